--- a/hornbeamglade/capacity/losses.py
+++ b/hornbeamglade/capacity/losses.py
@@ -68,8 +68,8 @@
     left = size.nodes - nodes
     seventh_us = measured.at("membership.domain_lost_us", size.nodes)
     scores = (size.nodes / 7) * size.replicas_per_node * (size.nodes * 6 / 7)
-    rounds = dissemination.RUMOUR_FACTOR * math.ceil(math.log2(size.nodes + 1))
-    batches = math.ceil(nodes / messages.MAX_RUMOURS)
+    rounds = dissemination.UPDATE_ROUNDS_FACTOR * math.ceil(math.log2(size.nodes + 1))
+    batches = math.ceil(nodes / messages.MAX_MEMBERSHIP_UPDATES)
     return Loss(
         what=what,
         nodes=nodes,
--- a/hornbeamglade/entry/peering.py
+++ b/hornbeamglade/entry/peering.py
@@ -236,7 +236,7 @@
             self._news.on_hint(message)
             for due in self._documents.on_hint(sender.name, message):
                 self.transport.send(peer, due.message)
-        elif isinstance(message, messages.Outrun):
+        elif isinstance(message, messages.SupersededIncarnation):
             rising.rise_above(message.incarnation, self.codec, self.grants, self.heartbeats)
         elif isinstance(message, messages.ConfigAsk):
             offer = self._documents.asked(message)
--- a/hornbeamglade/exchange/asyncudp.py
+++ b/hornbeamglade/exchange/asyncudp.py
@@ -52,11 +52,11 @@
         self.traffic.messages_in += 1
         outcome = self._codec.decode(data)
         if isinstance(outcome, codec.Dropped):
-            outrun = outcome.outrun_by
-            if outrun is not None:
+            superseded_by = outcome.superseded_by
+            if superseded_by is not None:
                 self.send(
-                    transport.Peer(outrun.name, transport.Endpoint(*addr)),
-                    messages.Outrun(outrun.incarnation),
+                    transport.Peer(superseded_by.name, transport.Endpoint(*addr)),
+                    messages.SupersededIncarnation(superseded_by.incarnation),
                 )
             return
         try:
--- a/hornbeamglade/exchange/codec.py
+++ b/hornbeamglade/exchange/codec.py
@@ -115,12 +115,12 @@
     """A frame that was not taken.
 
     :param reason: a stable identifier, counted in ``dropped_by_reason``.
-    :param outrun_by: the sender, with the higher incarnation that it is to be told of;
+    :param superseded_by: the sender, with the higher incarnation that it is to be told of;
         else None.
     """
 
     reason: str
-    outrun_by: Sender | None = None
+    superseded_by: Sender | None = None
 
 
 class Codec:
@@ -245,9 +245,9 @@
             now, wall = self._clock.now(), self._clock.wall()
             reason = self._guard.admit(stamp, now, wall)
             is_old = reason == replay.OLD_INCARNATION
-            outrun = self._guard.outruns(stamp, now, wall) if is_old else None
-        if outrun is not None:
-            return Dropped(reason, Sender(stamp.sender, outrun))
+            superseding = self._guard.superseding_incarnation(stamp, now, wall) if is_old else None
+        if superseding is not None:
+            return Dropped(reason, Sender(stamp.sender, superseding))
         if reason is not None:
             return Dropped(reason)
         return Decoded(message, Sender(stamp.sender, stamp.incarnation))
--- a/hornbeamglade/exchange/messages.py
+++ b/hornbeamglade/exchange/messages.py
@@ -20,7 +20,7 @@
 # A heartbeat at all its bounds fits one datagram.
 MAX_REPLICAS = 24
 MAX_DEMANDS = 12
-MAX_RUMOURS = 8
+MAX_MEMBERSHIP_UPDATES = 8
 MAX_AVOIDED = 8
 MAX_EVACUATED = 7
 MAX_EVACUATED_BYTES = 56
@@ -111,7 +111,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rumour:
+class MembershipUpdate:
     """What the sender has heard of a third node.
 
     :param node: :func:`key_hash` of the node's name.
@@ -142,7 +142,7 @@
     :param replicas: digests of the replicas that the sender owns.
     :param demands: teams, :data:`MAX_DEMANDS` at most, in each beat that
         :data:`DEMANDS_EVERY` divides; none in the others.
-    :param rumours: recent changes of state of other nodes.
+    :param updates: recent changes of state of other nodes.
     :param refutation: grows each time the sender hears that it is held for dead.
     :param list_version: the version of the platform's list of replicas that the sender
         has, or 0.
@@ -160,7 +160,7 @@
     wants_answer: bool = False
     replicas: tuple[ReplicaDigest, ...] = ()
     demands: tuple[TeamDemand, ...] = ()
-    rumours: tuple[Rumour, ...] = ()
+    updates: tuple[MembershipUpdate, ...] = ()
     refutation: int = 0
     list_version: int = 0
     evacuations: evacuationlib.Evacuations = evacuationlib.Evacuations()
@@ -393,7 +393,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outrun:
+class SupersededIncarnation:
     """The recipient's frames are dropped: a higher incarnation of it was heard before.
 
     :param incarnation: the highest one known.
@@ -411,7 +411,7 @@
     | ConfigHint
     | ConfigAsk
     | ConfigOffer
-    | Outrun
+    | SupersededIncarnation
     | CrashReport
     | QuarantineNotice
 )
--- a/hornbeamglade/exchange/replay.py
+++ b/hornbeamglade/exchange/replay.py
@@ -25,7 +25,7 @@
 comes back under its old name with its clock a little behind has a lower
 incarnation, and would otherwise never be heard again. It need not wait for that: who drops
 its frames tells it which incarnation it is known under
-(:class:`hornbeamglade.exchange.messages.Outrun`), and it goes on above that one.
+(:class:`hornbeamglade.exchange.messages.SupersededIncarnation`), and it goes on above that one.
 
 References
 ==========
@@ -112,7 +112,7 @@
             return self._begin(stamp, now, wall)
         return _advance(window, stamp, now)
 
-    def outruns(self, stamp: Stamp, now: float, wall: float) -> int | None:
+    def superseding_incarnation(self, stamp: Stamp, now: float, wall: float) -> int | None:
         """Return the incarnation that a frame's sender must go above, or None.
 
         A frame that is not fresh is one that was recorded, and is not answered; nor is more
--- a/hornbeamglade/exchange/transport.py
+++ b/hornbeamglade/exchange/transport.py
@@ -177,9 +177,12 @@
         self._count(bytes_in=len(frame), messages_in=1)
         outcome = self._codec.decode(frame)
         if isinstance(outcome, codec.Dropped):
-            outrun = outcome.outrun_by
-            if outrun is not None:
-                self.send(Peer(outrun.name, source), messages.Outrun(outrun.incarnation))
+            superseded_by = outcome.superseded_by
+            if superseded_by is not None:
+                self.send(
+                    Peer(superseded_by.name, source),
+                    messages.SupersededIncarnation(superseded_by.incarnation),
+                )
             return
         try:
             self._handler(outcome.message, outcome.sender, source)
--- a/hornbeamglade/exchange/wireforms.py
+++ b/hornbeamglade/exchange/wireforms.py
@@ -96,18 +96,18 @@
         entry.team = demand.team
         entry.share = _clip(demand.share, _MAX_U16)
         entry.demand = _clip(demand.demand, _MAX_U16)
-    count = _checked_length(message.rumours, messages.MAX_RUMOURS)
-    for entry, rumour in zip(builder.init("rumours", count), message.rumours, strict=True):
-        entry.node = rumour.node
-        entry.incarnation = rumour.incarnation
-        entry.refutation = rumour.refutation
-        entry.state = int(rumour.state)
+    count = _checked_length(message.updates, messages.MAX_MEMBERSHIP_UPDATES)
+    for entry, update in zip(builder.init("rumours", count), message.updates, strict=True):
+        entry.node = update.node
+        entry.incarnation = update.incarnation
+        entry.refutation = update.refutation
+        entry.state = int(update.state)
 
 
 def _read_heartbeat(reader: _Reader) -> messages.Heartbeat:
     _checked_length(reader.replicas, messages.MAX_REPLICAS)
     _checked_length(reader.demands, messages.MAX_DEMANDS)
-    _checked_length(reader.rumours, messages.MAX_RUMOURS)
+    _checked_length(reader.rumours, messages.MAX_MEMBERSHIP_UPDATES)
     state = messages.NodeState(reader.state)
     if state not in (messages.NodeState.LIVE, messages.NodeState.LEAVING):
         raise ValueError("a node is live or leaving by its own word")
@@ -127,8 +127,8 @@
         demands=tuple(
             messages.TeamDemand(entry.team, entry.share, entry.demand) for entry in reader.demands
         ),
-        rumours=tuple(
-            messages.Rumour(
+        updates=tuple(
+            messages.MembershipUpdate(
                 entry.node, entry.incarnation, entry.refutation, messages.NodeState(entry.state)
             )
             for entry in reader.rumours
@@ -321,14 +321,14 @@
     )
 
 
-def _fill_outrun(builder: _Builder, message: messages.Outrun) -> None:
+def _fill_superseded(builder: _Builder, message: messages.SupersededIncarnation) -> None:
     builder.incarnation = message.incarnation
 
 
-def _read_outrun(reader: _Reader) -> messages.Outrun:
+def _read_superseded(reader: _Reader) -> messages.SupersededIncarnation:
     if reader.incarnation > messages.MAX_INCARNATION:
         raise ValueError("no incarnation")
-    return messages.Outrun(reader.incarnation)
+    return messages.SupersededIncarnation(reader.incarnation)
 
 
 def _fill_crashes(builder: _Builder, message: messages.CrashReport) -> None:
@@ -385,7 +385,7 @@
     _Form(messages.ConfigHint, "configHint", _fill_hint, _read_hint),
     _Form(messages.ConfigAsk, "configAsk", _fill_config_ask, _read_config_ask),
     _Form(messages.ConfigOffer, "configOffer", _fill_offer, _read_offer),
-    _Form(messages.Outrun, "outrun", _fill_outrun, _read_outrun),
+    _Form(messages.SupersededIncarnation, "outrun", _fill_superseded, _read_superseded),
     _Form(messages.CrashReport, "crashReport", _fill_crashes, _read_crashes),
     _Form(messages.QuarantineNotice, "quarantineNotice", _fill_quarantine, _read_quarantine),
 )
--- a/hornbeamglade/membership/dissemination.py
+++ b/hornbeamglade/membership/dissemination.py
@@ -9,7 +9,7 @@
 :data:`FANOUT` sampled peers a second and asks them for a heartbeat in return [1]_. The
 traffic of a node then doesn't depend on the number of nodes; a change of state
 reaches all in a number of rounds that grows with its logarithm, as a rumour is
-passed on in ``RUMOUR_FACTOR * log2(nodes)`` rounds. A peer that owes an answer is
+passed on in ``UPDATE_ROUNDS_FACTOR * log2(nodes)`` rounds. A peer that owes an answer is
 asked again in each round, so it takes more than one lost datagram to suspect it.
 
 Weighed: *a shared table of heartbeats* in the platform's store (360 writes a second,
@@ -45,7 +45,7 @@
 FANOUT = 2
 RETRIES = 2
 SILENT_AFTER_S = 2.5 * MESH_PERIOD_S
-RUMOUR_FACTOR = 3
+UPDATE_ROUNDS_FACTOR = 3
 GONE_PROBE_EVERY = 5
 
 _State = messages.NodeState
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Pending:
-    rumour: messages.Rumour
+    update: messages.MembershipUpdate
     rounds_left: int
 
 
@@ -90,14 +90,14 @@
         if member.incarnation == 0:
             # Known from the platform's list only, as it is to everyone else.
             return
-        rumour = messages.Rumour(
+        update = messages.MembershipUpdate(
             messages.key_hash(member.identity.name),
             member.incarnation,
             member.refutation,
             member.state,
         )
-        rounds = RUMOUR_FACTOR * math.ceil(math.log2(nodes + 1))
-        self._pending_by_node[rumour.node] = _Pending(rumour, rounds)
+        rounds = UPDATE_ROUNDS_FACTOR * math.ceil(math.log2(nodes + 1))
+        self._pending_by_node[update.node] = _Pending(update, rounds)
 
     def is_due(self, now: float) -> bool:
         """Return whether the next round should begin."""
@@ -114,7 +114,7 @@
         :param now: monotonic seconds.
         """
         self._round += 1
-        self._spend_rumours()
+        self._spend_updates()
         present = [member for member in others if member.state is not _State.GONE]
         self._is_sampled = len(present) >= MESH_BOUND
         if not self._is_sampled:
@@ -130,19 +130,19 @@
             targets = [Target(member, True) for member in chosen.values()]
         return (*targets, *self._probe_gone(others))
 
-    def rumours(self) -> tuple[messages.Rumour, ...]:
+    def updates(self) -> tuple[messages.MembershipUpdate, ...]:
         """Return the rumours for this round's heartbeats, least spread first."""
         pending = sorted(
             self._pending_by_node.values(), key=lambda one: one.rounds_left, reverse=True
         )
-        return tuple(one.rumour for one in pending[: messages.MAX_RUMOURS])
+        return tuple(one.update for one in pending[: messages.MAX_MEMBERSHIP_UPDATES])
 
-    def _spend_rumours(self) -> None:
-        for rumour in self.rumours():
-            pending = self._pending_by_node[rumour.node]
+    def _spend_updates(self) -> None:
+        for update in self.updates():
+            pending = self._pending_by_node[update.node]
             pending.rounds_left -= 1
             if pending.rounds_left <= 0:
-                del self._pending_by_node[rumour.node]
+                del self._pending_by_node[update.node]
 
     def _sample(self, present: list[membership_view.Member]) -> list[membership_view.Member]:
         # Peers are taken from a shuffled list that is used up before it is made
--- a/hornbeamglade/membership/heartbeatcosts.py
+++ b/hornbeamglade/membership/heartbeatcosts.py
@@ -8,16 +8,16 @@
 _NO_IDENTITY = ("", "", "")
 _DIGEST = messages.ReplicaDigest(_HASH, room_tokens=400_000, queued=20, expected_wait_ms=3000)
 _DEMAND = messages.TeamDemand(_HASH, share=5000, demand=12_000)
-_RUMOUR = messages.Rumour(_HASH, 1_800_000_000_000, 1, messages.NodeState.GONE)
+_UPDATE = messages.MembershipUpdate(_HASH, 1_800_000_000_000, 1, messages.NodeState.GONE)
 
 
-def heartbeat_bytes(nodes: int, replicas_per_node: int, teams: int = 0, rumours: int = 0) -> float:
+def heartbeat_bytes(nodes: int, replicas_per_node: int, teams: int = 0, updates: int = 0) -> float:
     """Return the bytes of heartbeats that one node sends a second; it receives as many.
 
     :param nodes: the number of nodes.
     :param replicas_per_node: replicas that each owns.
     :param teams: teams whose demands are told.
-    :param rumours: changes of state that are being spread, in every heartbeat.
+    :param updates: changes of state that are being spread, in every heartbeat.
 
     Examples
     ========
@@ -25,16 +25,16 @@
     >>> heartbeat_bytes(6, 0) < heartbeat_bytes(6, 2) < heartbeat_bytes(6, 2, teams=10)
     True
     """
-    whole = _packet_bytes(replicas_per_node, 0, rumours, _IDENTITY)
+    whole = _packet_bytes(replicas_per_node, 0, updates, _IDENTITY)
     plain = whole
     if nodes <= dissemination.MESH_BOUND:
-        plain = _packet_bytes(replicas_per_node, 0, rumours, _NO_IDENTITY)
-    demands = _packet_bytes(replicas_per_node, teams, rumours, _IDENTITY) - whole
+        plain = _packet_bytes(replicas_per_node, 0, updates, _NO_IDENTITY)
+    demands = _packet_bytes(replicas_per_node, teams, updates, _IDENTITY) - whole
     mean = plain + (whole - plain) / messages.IDENTITY_EVERY + demands / messages.DEMANDS_EVERY
     return dissemination.frames_per_second(nodes) * mean
 
 
-def _packet_bytes(replicas: int, teams: int, rumours: int, identity: tuple[str, ...]) -> int:
+def _packet_bytes(replicas: int, teams: int, updates: int, identity: tuple[str, ...]) -> int:
     return framesizes.packet_bytes(
         messages.Heartbeat(
             messages.NodeState.LIVE,
@@ -43,6 +43,6 @@
             *identity,
             replicas=(_DIGEST,) * min(replicas, messages.MAX_REPLICAS),
             demands=(_DEMAND,) * min(teams, messages.MAX_DEMANDS),
-            rumours=(_RUMOUR,) * min(rumours, messages.MAX_RUMOURS),
+            updates=(_UPDATE,) * min(updates, messages.MAX_MEMBERSHIP_UPDATES),
         )
     )
--- a/hornbeamglade/membership/heartbeats.py
+++ b/hornbeamglade/membership/heartbeats.py
@@ -206,7 +206,7 @@
         digest = self._digest()
         with self._lock:
             own = self._view.member(self._own.name, self._clock.now())
-            rumours = self._dissemination.rumours()
+            updates = self._dissemination.updates()
         return messages.Heartbeat(
             state=own.state,
             beat=own.beat,
@@ -218,7 +218,7 @@
             wants_answer=wants_answer,
             replicas=digest.replicas[: messages.MAX_REPLICAS],
             demands=self._told_demands,
-            rumours=rumours,
+            updates=updates,
             list_version=digest.list_version,
             evacuations=digest.evacuations,
             quarantine_digest=digest.quarantine,
--- a/hornbeamglade/membership/standing.py
+++ b/hornbeamglade/membership/standing.py
@@ -115,30 +115,30 @@
         self.beat = beat
         return True
 
-    def rumoured(self, rumour: messages.Rumour, now: float) -> None:
+    def apply_update(self, update: messages.MembershipUpdate, now: float) -> None:
         """Take what another node says of this one."""
-        if rumour.incarnation < self.incarnation:
+        if update.incarnation < self.incarnation:
             return
-        if rumour.incarnation > self.incarnation:
-            self._begin(rumour.incarnation)
-        if rumour.state is _State.LEAVING:
+        if update.incarnation > self.incarnation:
+            self._begin(update.incarnation)
+        if update.state is _State.LEAVING:
             self.leave()
-        if rumour.state in (_State.LIVE, _State.LEAVING):
-            self._refuted(rumour)
+        if update.state in (_State.LIVE, _State.LEAVING):
+            self._refuted(update)
         else:
-            self._suspected(rumour, now)
+            self._suspected(update, now)
 
-    def refute(self, rumour: messages.Rumour) -> bool:
+    def refute(self, update: messages.MembershipUpdate) -> bool:
         """Raise the refutation number if a rumour holds this node itself for dead.
 
         :returns: whether there is something new to spread.
         """
-        doubted = rumour.state in (_State.SUSPECT, _State.GONE)
-        if not doubted or rumour.incarnation != self.incarnation:
+        doubted = update.state in (_State.SUSPECT, _State.GONE)
+        if not doubted or update.incarnation != self.incarnation:
             return False
-        if rumour.refutation < self.refutation:
+        if update.refutation < self.refutation:
             return False
-        self.refutation = rumour.refutation + 1
+        self.refutation = update.refutation + 1
         return True
 
     def _begin(self, incarnation: int) -> None:
@@ -149,23 +149,23 @@
         self.unanswered_since = None
         self.is_asked = False
 
-    def _refuted(self, rumour: messages.Rumour) -> None:
-        if rumour.refutation <= self.refutation:
+    def _refuted(self, update: messages.MembershipUpdate) -> None:
+        if update.refutation <= self.refutation:
             return
-        self.refutation = rumour.refutation
+        self.refutation = update.refutation
         # Guards against a node that others reach and this one does not: asked for a
         # grant it would cost each request a time-out, and be live again by hearsay.
         if not self.is_asked:
             self.unanswered_since = None
 
-    def _suspected(self, rumour: messages.Rumour, now: float) -> None:
+    def _suspected(self, update: messages.MembershipUpdate, now: float) -> None:
         # Guards against a healthy node that flaps: the suspicion is an echo of one
         # that was refuted, or the node was heard here after its accuser asked it.
         recent = self.heard_at is not None and now - self.heard_at < RECENT_S
-        if rumour.refutation < self.refutation or recent:
+        if update.refutation < self.refutation or recent:
             return
-        self.refutation = rumour.refutation
-        silent_s = SUSPECT_AFTER_S if rumour.state is _State.SUSPECT else GONE_AFTER_S
+        self.refutation = update.refutation
+        silent_s = SUSPECT_AFTER_S if update.state is _State.SUSPECT else GONE_AFTER_S
         since = now - silent_s
         if self.unanswered_since is None or since < self.unanswered_since:
             self.unanswered_since = since
--- a/hornbeamglade/membership/view.py
+++ b/hornbeamglade/membership/view.py
@@ -205,8 +205,8 @@
             record.heartbeat = heartbeat
             if heartbeat.beat % messages.DEMANDS_EVERY == 0:
                 record.demands = heartbeat.demands
-        for rumour in heartbeat.rumours:
-            self._rumoured(rumour, now)
+        for update in heartbeat.updates:
+            self._apply_update(update, now)
         return is_new
 
     def asked(self, name: str, now: float) -> None:
@@ -300,15 +300,15 @@
         record = self._record_by_name.get(sender.name)
         return None if record is None else record.identity
 
-    def _rumoured(self, rumour: messages.Rumour, now: float) -> None:
-        name = self._name_by_hash.get(rumour.node)
+    def _apply_update(self, update: messages.MembershipUpdate, now: float) -> None:
+        name = self._name_by_hash.get(update.node)
         if name is None:
             return
         record = self._record_by_name[name]
         self._touched.add(name)
         if record is not self._own:
-            record.known.rumoured(rumour, now)
-        elif record.known.refute(rumour):
+            record.known.apply_update(update, now)
+        elif record.known.refute(update):
             # Unreported, this node is a change again and so is spread as a rumour.
             record.reported = None
 
--- a/hornbeamglade/node/peering.py
+++ b/hornbeamglade/node/peering.py
@@ -247,7 +247,7 @@
             self.quarantine.on_notice(message)
         elif isinstance(message, messages.ConfigHint):
             self._config.hint(message.revision, sender.name)
-        elif isinstance(message, messages.Outrun):
+        elif isinstance(message, messages.SupersededIncarnation):
             rising.rise_above(message.incarnation, self.codec, self.grants, self.heartbeats)
         elif isinstance(message, messages.ConfigAsk):
             self._offer_chunk(message, transport.Peer(sender.name, source))
--- a/tests/exchange/strategies.py
+++ b/tests/exchange/strategies.py
@@ -11,8 +11,8 @@
 _NAMES = strategies.text("abcäö-0123", max_size=12)
 _CONTENT = strategies.binary(max_size=messages.MAX_CHUNK_BYTES)
 
-_RUMOURS = strategies.builds(
-    messages.Rumour, _U64, _U64, _U32, strategies.sampled_from(messages.NodeState)
+_UPDATES = strategies.builds(
+    messages.MembershipUpdate, _U64, _U64, _U32, strategies.sampled_from(messages.NodeState)
 )
 _DIGESTS = strategies.builds(messages.ReplicaDigest, _U64, _U32, _U16, _U32)
 _DEMANDS = strategies.builds(messages.TeamDemand, _U64, _U16, _U16)
@@ -33,7 +33,7 @@
     wants_answer=strategies.booleans(),
     replicas=strategies.lists(_DIGESTS, max_size=8).map(tuple),
     demands=strategies.lists(_DEMANDS, max_size=8).map(tuple),
-    rumours=strategies.lists(_RUMOURS, max_size=6).map(tuple),
+    updates=strategies.lists(_UPDATES, max_size=6).map(tuple),
     refutation=_U32,
     list_version=_U64,
     evacuations=_EVACUATIONS,
@@ -97,7 +97,9 @@
         messages.ConfigAsk, _U64, _U16, strategies.sampled_from(messages.Subject), _U64
     )
     | _OFFERS
-    | strategies.builds(messages.Outrun, strategies.integers(0, messages.MAX_INCARNATION))
+    | strategies.builds(
+        messages.SupersededIncarnation, strategies.integers(0, messages.MAX_INCARNATION)
+    )
     | strategies.builds(
         messages.CrashReport,
         strategies.lists(_CRASHES, max_size=messages.MAX_REPORTED_CRASHES).map(tuple),
--- a/tests/exchange/test_codec.py
+++ b/tests/exchange/test_codec.py
@@ -118,7 +118,7 @@
     most, name = 2**32 - 1, "n" * messages.MAX_NAME_BYTES
     digest = messages.ReplicaDigest(2**64 - 3, most, 2**16 - 1, most, True, True)
     demand = messages.TeamDemand(2**64 - 3, 2**16 - 1, 2**16 - 1)
-    rumour = messages.Rumour(2**64 - 3, 2**64 - 3, most, messages.NodeState.GONE)
+    update = messages.MembershipUpdate(2**64 - 3, 2**64 - 3, most, messages.NodeState.GONE)
     beat = messages.Heartbeat(
         messages.NodeState.LEAVING,
         most,
@@ -129,7 +129,7 @@
         wants_answer=True,
         replicas=(digest,) * messages.MAX_REPLICAS,
         demands=(demand,) * messages.MAX_DEMANDS,
-        rumours=(rumour,) * messages.MAX_RUMOURS,
+        updates=(update,) * messages.MAX_MEMBERSHIP_UPDATES,
         refutation=most,
         evacuations=evacuations.Evacuations(
             2**64 - 3, frozenset(str(n) * 8 for n in range(messages.MAX_EVACUATED))
@@ -161,7 +161,7 @@
     peer, former, again = make("b"), make("a", incarnation=9), make("a", incarnation=4)
     peer.decode(former.encode("b", HINT))
     dropped = peer.decode(again.encode("b", HINT))
-    assert dropped.outrun_by == codec.Sender("a", 9)
+    assert dropped.superseded_by == codec.Sender("a", 9)
     assert again.rise_above(9) == 10
     assert peer.decode(again.encode("b", HINT)) == codec.Decoded(HINT, codec.Sender("a", 10))
 
--- a/tests/exchange/test_replay.py
+++ b/tests/exchange/test_replay.py
@@ -71,14 +71,16 @@
     guard = replay.ReplayGuard()
     guard.admit(stamp(1, incarnation=5), 0.0, 100.0)
     late = stamp(1, incarnation=4)
-    assert guard.outruns(late, 1.0, 100.0) == 5
-    assert guard.outruns(late, 1.1, 100.0) is None
-    assert guard.outruns(late, 2.0, 100.0) == 5
+    assert guard.superseding_incarnation(late, 1.0, 100.0) == 5
+    assert guard.superseding_incarnation(late, 1.1, 100.0) is None
+    assert guard.superseding_incarnation(late, 2.0, 100.0) == 5
 
 
 def test_recorded_frame_of_a_former_incarnation_is_not_answered():
     guard = replay.ReplayGuard()
     guard.admit(stamp(1, incarnation=5), 0.0, 100.0)
-    assert guard.outruns(stamp(1, incarnation=4), 50.0, 150.0) is None
-    assert guard.outruns(stamp(1, incarnation=4, sender="new"), 50.0, 100.0) is None
-    assert guard.outruns(stamp(2, incarnation=5), 50.0, 100.0) is None
+    assert guard.superseding_incarnation(stamp(1, incarnation=4), 50.0, 150.0) is None
+    assert (
+        guard.superseding_incarnation(stamp(1, incarnation=4, sender="new"), 50.0, 100.0) is None
+    )
+    assert guard.superseding_incarnation(stamp(2, incarnation=5), 50.0, 100.0) is None
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -51,10 +51,10 @@
     (change,) = [c for c in view.changes(0.0) if c.member.incarnation]
     plan.note(change, nodes=6)
     spread = 0
-    while plan.rumours():
+    while plan.updates():
         plan.plan(others(view), 3.0)
         spread += 1
-    assert spread == dissemination.RUMOUR_FACTOR * 3
+    assert spread == dissemination.UPDATE_ROUNDS_FACTOR * 3
 
 
 @pytest.mark.parametrize("nodes", [24, 90, 360])
--- a/tests/membership/test_heartbeats.py
+++ b/tests/membership/test_heartbeats.py
@@ -152,8 +152,8 @@
     # everyone. The other's refutation must end it everywhere.
     site = Site(30)
     site.run(5)
-    told = messages.Rumour(messages.key_hash("n1"), 1, 0, State.SUSPECT)
-    beat = messages.Heartbeat(State.LIVE, 6, 1, "d", "", "127.0.0.1:1", rumours=(told,))
+    told = messages.MembershipUpdate(messages.key_hash("n1"), 1, 0, State.SUSPECT)
+    beat = messages.Heartbeat(State.LIVE, 6, 1, "d", "", "127.0.0.1:1", updates=(told,))
     origin = codec.Sender("n4", 1)
     for name in site.names[5:25]:
         site.node_by_name[name].heard(beat, origin, transport.Endpoint("127.0.0.1", 1))
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -22,8 +22,8 @@
     return messages.Heartbeat(state, beat, 1, "d2", "b:80", "b:7000", **more)
 
 
-def rumour(state, refutation=0, incarnation=5, name="b"):
-    return messages.Rumour(messages.key_hash(name), incarnation, refutation, state)
+def update(state, refutation=0, incarnation=5, name="b"):
+    return messages.MembershipUpdate(messages.key_hash(name), incarnation, refutation, state)
 
 
 class Watch:
@@ -36,7 +36,7 @@
         self.view.heard(codec.Sender("b", incarnation), heartbeat(**content), now)
 
     def tell(self, told, now):
-        self.view.heard(codec.Sender("c", 1), heartbeat(rumours=(told,)), now)
+        self.view.heard(codec.Sender("c", 1), heartbeat(updates=(told,)), now)
 
     def state(self, now):
         return self.view.member("b", now).state
@@ -129,29 +129,29 @@
     # A rumour of a lost heartbeat outlives its refutation. Believed, the healthy node
     # would lose and win its replicas with each echo.
     watch.hear(0.0, refutation=1)
-    watch.tell(rumour(State.SUSPECT, refutation=0), 5.0)
+    watch.tell(update(State.SUSPECT, refutation=0), 5.0)
     assert watch.state(5.0) is State.LIVE
 
 
 def test_a_suspicion_of_a_node_heard_just_now_is_not_taken(watch):
     watch.hear(0.0)
-    watch.tell(rumour(State.GONE), 0.5)
+    watch.tell(update(State.GONE), 0.5)
     assert watch.state(0.5) is State.LIVE
 
 
 def test_a_rumour_of_a_former_incarnation_is_not_taken(watch):
     watch.hear(0.0)
-    watch.tell(rumour(State.LEAVING, incarnation=4), 5.0)
+    watch.tell(update(State.LEAVING, incarnation=4), 5.0)
     assert watch.state(5.0) is State.LIVE
 
 
 def test_a_suspicion_spreads_and_a_refutation_ends_it(watch):
     watch.hear(0.0)
-    watch.tell(rumour(State.SUSPECT), 5.0)
+    watch.tell(update(State.SUSPECT), 5.0)
     assert watch.state(5.0) is State.SUSPECT
-    watch.tell(rumour(State.LIVE), 6.0)
+    watch.tell(update(State.LIVE), 6.0)
     assert watch.state(6.0) is State.SUSPECT
-    watch.tell(rumour(State.LIVE, refutation=1), 7.0)
+    watch.tell(update(State.LIVE, refutation=1), 7.0)
     assert watch.state(7.0) is State.LIVE
 
 
@@ -160,16 +160,16 @@
     # be asked for grants in vain, and each request would wait out the time-out.
     watch.hear(0.0)
     watch.view.asked("b", 1.0)
-    watch.tell(rumour(State.LIVE, refutation=1), 4.0)
+    watch.tell(update(State.LIVE, refutation=1), 4.0)
     assert watch.state(4.0) is State.SUSPECT
 
 
 def test_a_suspected_node_spreads_its_refutation(watch):
     watch.view.changes(0.0)
-    watch.tell(rumour(State.SUSPECT, refutation=3, incarnation=9, name="a"), 1.0)
+    watch.tell(update(State.SUSPECT, refutation=3, incarnation=9, name="a"), 1.0)
     own = [c.member for c in watch.view.changes(1.0) if c.member.identity == OWN]
     assert [(member.refutation, member.state) for member in own] == [(4, State.LIVE)]
-    watch.tell(rumour(State.SUSPECT, refutation=0, incarnation=9, name="a"), 2.0)
+    watch.tell(update(State.SUSPECT, refutation=0, incarnation=9, name="a"), 2.0)
     assert watch.view.member("a", 2.0).refutation == 4
 
 
@@ -265,7 +265,7 @@
     def hear_a_rumour(self, state, number):
         if state is State.LEAVING:
             self.left.add(self.incarnation)
-        told = rumour(state, number, self.incarnation)
+        told = update(state, number, self.incarnation)
         self.watch.tell(told, self.now)
 
     @stateful.rule()
