--- a/hornbeamglade/capacity/checksrouting.py
+++ b/hornbeamglade/capacity/checksrouting.py
@@ -1,7 +1,7 @@
 """Bounds on routing, membership and the status page."""
 
 from hornbeamglade.capacity import checkvalues, dutyvalues, slopes, targetsize
-from hornbeamglade.exchange import asks
+from hornbeamglade.exchange import grantrequests
 from hornbeamglade.node import replicacatalog
 from hornbeamglade.routing import candidates
 
@@ -83,10 +83,10 @@
         ),
         checkvalues.Check(
             "first token's wait for each owner that has just died",
-            asks.ANSWER_BOUND_S,
+            grantrequests.ANSWER_BOUND_S,
             1.1 / 2,
             "s",
-            "exchange/asks.py (ANSWER_BOUND_S)",
+            "exchange/grantrequests.py (ANSWER_BOUND_S)",
             "two in a row leave half of the 1.1 s",
         ),
     )
--- a/hornbeamglade/capacity/losses.py
+++ b/hornbeamglade/capacity/losses.py
@@ -4,7 +4,7 @@
 import math
 
 from hornbeamglade.capacity import slopes, targetsize
-from hornbeamglade.exchange import asks, messages
+from hornbeamglade.exchange import grantrequests, messages
 from hornbeamglade.membership import dissemination
 from hornbeamglade.node import replicacatalog
 
@@ -82,5 +82,5 @@
     )
 
 
-ASK_WAIT_S = asks.ANSWER_BOUND_S
+ASK_WAIT_S = grantrequests.ANSWER_BOUND_S
 DIGEST_LIFE_S = replicacatalog.REPORT_LIFE_S
--- a/hornbeamglade/capacity/measuringgrants.py
+++ b/hornbeamglade/capacity/measuringgrants.py
@@ -214,8 +214,8 @@
 
     def _ask(self) -> int:
         work = self._work
-        ask = messages.GrantAsk(
-            ask=0,
+        ask = messages.GrantRequest(
+            grant_id=0,
             replica=messages.key_hash(self._replica),
             service=messages.key_hash(work.service),
             team=messages.key_hash(work.team),
@@ -228,12 +228,12 @@
         answer = self._client.ask(self._peer, ask)
         if getattr(answer, "kind", None) is not messages.GrantKind.GRANTED:
             raise codederrors.InvariantError("capacity_not_granted", repr(answer))
-        return answer.ask
+        return answer.grant_id
 
     def _at_owner(
         self, message: messages.Message, sender: codec.Sender, source: transport.Endpoint
     ) -> None:
-        if isinstance(message, messages.GrantAsk):
+        if isinstance(message, messages.GrantRequest):
             self._server.asked(message, sender, source)
         else:
             self._server.progressed(message, sender, source)
--- a/hornbeamglade/entry/peering.py
+++ b/hornbeamglade/entry/peering.py
@@ -7,7 +7,7 @@
 from hornbeamglade.core import clocks
 from hornbeamglade.entry import sharing
 from hornbeamglade.exchange import (
-    asyncasks,
+    asyncgrantclient,
     asyncudp,
     codec,
     grantserver,
@@ -102,7 +102,7 @@
         self._owners_seen: tuple[list[ownership.Place], dict[str, str]] | None = None
         self.codec = codec.Codec(identity.name, incarnation, keys, clock)
         self.transport = asyncudp.AsyncUdpTransport(self.codec, self._handle, news.message_failed)
-        self.grants = asyncasks.AsyncGrantClient(incarnation, self.transport, clock)
+        self.grants = asyncgrantclient.AsyncGrantClient(incarnation, self.transport, clock)
         self.names = remotescheduler.AskNames()
         self._scheduler = remotescheduler.RemoteScheduler(schedulers, clock, self.names)
         self._server = grantserver.GrantServer(self._scheduler, self.transport, clock)
@@ -224,13 +224,13 @@
                 self._hear_leaving(message.replicas)
                 self._news.on_evacuations(message.evacuations)
                 self._news.on_quarantine_digest(sender.name, message.quarantine_digest)
-        elif isinstance(message, messages.GrantAsk):
+        elif isinstance(message, messages.GrantRequest):
             self._server.asked(message, sender, source)
-        elif isinstance(message, messages.GrantAnswer):
+        elif isinstance(message, messages.GrantResponse):
             self.grants.answered(message, sender, source)
         elif isinstance(message, messages.Progress):
             self._server.progressed(message, sender, source)
-        elif isinstance(message, messages.MoveTurn):
+        elif isinstance(message, messages.MigrationSlot):
             self.turns.heard(message, sender, source)
         elif isinstance(message, messages.ConfigHint):
             self._news.on_hint(message)
--- a/hornbeamglade/exchange/asyncasks.py
+++ b/hornbeamglade/exchange/asyncgrantclient.py
@@ -3,12 +3,12 @@
 import asyncio
 
 from hornbeamglade.core import clocks
-from hornbeamglade.exchange import asks, codec, messages, transport
+from hornbeamglade.exchange import codec, grantrequests, messages, transport
 
 _SHORTEST_WAIT_S = 0.001
 
 
-class AsyncGrantClient(asks.Asker):
+class AsyncGrantClient(grantrequests.GrantRequester):
     """Asks over a transport; the counterpart of ``GrantClient`` for an event loop.
 
     :param incarnation: this node's incarnation.
@@ -17,7 +17,7 @@
     """
 
     def __init__(self, incarnation: int, sender: transport.Transport, clock: clocks.Clock) -> None:
-        self._tracker = asks.AskTracker(incarnation)
+        self._tracker = grantrequests.GrantTracker(incarnation)
         self._transport = sender
         self._clock = clock
         self._answered_by_number: dict[int, asyncio.Event] = {}
@@ -27,16 +27,16 @@
         self._tracker.rise_to(incarnation)
 
     async def ask(
-        self, owner: transport.Peer, ask: messages.GrantAsk
-    ) -> messages.GrantAnswer | asks.NoAnswer | None:
+        self, owner: transport.Peer, ask: messages.GrantRequest
+    ) -> messages.GrantResponse | grantrequests.NoResponse | None:
         """Ask ``owner`` and wait for a grant, a refusal or its silence.
 
         :param owner: the owner of the replica.
-        :param ask: what is wanted; its ``ask`` number is replaced. The wait is
+        :param ask: what is wanted; its ``grant_id`` is replaced. The wait is
             bounded by its ``deadline_ms``; cancelling it gives the ask up.
         :returns: a granted or refused answer; the owner's silence, also when the deadline
             is earlier; or None when the deadline passed while queued. Only a granted
-            answer needs :meth:`close`, by its ``ask`` number.
+            answer needs :meth:`close`, by its ``grant_id``.
         """
         ends_at = self._clock.now() + ask.deadline_ms / 1000
         number = self._tracker.open(owner, ask, self._clock.now())
@@ -67,19 +67,19 @@
         self._send(self._tracker.tick(self._clock.now()))
 
     def answered(
-        self, answer: messages.GrantAnswer, origin: codec.Sender, source: transport.Endpoint
+        self, answer: messages.GrantResponse, origin: codec.Sender, source: transport.Endpoint
     ) -> None:
         """Take an answer from the transport."""
         owner = transport.Peer(origin.name, source)
         outgoing = self._tracker.answered(owner, answer, self._clock.now())
-        answered = self._answered_by_number.get(answer.ask)
+        answered = self._answered_by_number.get(answer.grant_id)
         if answered is not None:
             answered.set()
         self._send(outgoing)
 
     async def _wait(
         self, number: int, ends_at: float
-    ) -> messages.GrantAnswer | asks.NoAnswer | None:
+    ) -> messages.GrantResponse | grantrequests.NoResponse | None:
         answered = self._answered_by_number[number]
         while True:
             now = self._clock.now()
@@ -90,7 +90,7 @@
                 return outcome
             if now >= ends_at:
                 owner = self._tracker.owner(number)
-                return None if self._tracker.was_heard(number) else asks.NoAnswer(owner)
+                return None if self._tracker.was_heard(number) else grantrequests.NoResponse(owner)
             wait_s = min(self._tracker.wake_at(number), ends_at) - now
             try:
                 async with asyncio.timeout(max(_SHORTEST_WAIT_S, wait_s)):
@@ -98,12 +98,12 @@
             except TimeoutError:
                 continue
 
-    def _send(self, outgoing: tuple[asks.Outgoing, ...]) -> None:
+    def _send(self, outgoing: tuple[grantrequests.Outgoing, ...]) -> None:
         for one in outgoing:
             self._transport.send(one.peer, one.message)
 
 
-def _is_granted(outcome: messages.GrantAnswer | asks.NoAnswer | None) -> bool:
-    if not isinstance(outcome, messages.GrantAnswer):
+def _is_granted(outcome: messages.GrantResponse | grantrequests.NoResponse | None) -> bool:
+    if not isinstance(outcome, messages.GrantResponse):
         return False
     return outcome.kind is messages.GrantKind.GRANTED
--- a/hornbeamglade/exchange/framesizes.py
+++ b/hornbeamglade/exchange/framesizes.py
@@ -11,7 +11,7 @@
 import math
 
 from hornbeamglade.core import clocks
-from hornbeamglade.exchange import asks, codec, messages
+from hornbeamglade.exchange import codec, grantrequests, messages
 
 IP_AND_UDP_HEADER_BYTES = 28
 
@@ -72,7 +72,7 @@
     >>> expected_reports(2.0), expected_reports(10.0)
     (0.0, 1.5)
     """
-    return max(0.0, duration_s - asks.REPORT_FROM_S) / asks.REPORT_S
+    return max(0.0, duration_s - grantrequests.REPORT_FROM_S) / grantrequests.REPORT_S
 
 
 def remote_request_bytes(duration_s: float, queued_s: float = 0.0) -> RequestCost:
@@ -88,16 +88,18 @@
     >>> at_once.frames, queued.frames
     (4.0, 7.0)
     """
-    ask = messages.GrantAsk(_ASK, _HASH, _HASH, _HASH, 2, 2 * _TOKENS, 2 * _TOKENS, 1.0, 20_000)
-    granted = messages.GrantAnswer(
+    ask = messages.GrantRequest(
+        _ASK, _HASH, _HASH, _HASH, 2, 2 * _TOKENS, 2 * _TOKENS, 1.0, 20_000
+    )
+    granted = messages.GrantResponse(
         _ASK, messages.GrantKind.GRANTED, incarnation=int(_START_S * 1000)
     )
     queued = dataclasses.replace(granted, kind=messages.GrantKind.QUEUED)
     running = messages.Progress((messages.GrantProgress(_ASK, _HASH, _TOKENS),))
-    returned = messages.Progress((), (messages.GrantReturn(_ASK, _TOKENS),))
-    waits = 1 + math.floor(queued_s / asks.POLL_S) if queued_s else 0
+    returned = messages.Progress((), (messages.GrantRelease(_ASK, _TOKENS),))
+    waits = 1 + math.floor(queued_s / grantrequests.POLL_S) if queued_s else 0
     reports = expected_reports(duration_s)
-    returns = 1 + asks.RETURN_REPEATS
+    returns = 1 + grantrequests.RETURN_REPEATS
     asker_bytes = (
         max(1, waits) * packet_bytes(ask)
         + reports * packet_bytes(running)
--- a/hornbeamglade/exchange/grantclient.py
+++ b/hornbeamglade/exchange/grantclient.py
@@ -4,13 +4,13 @@
 import threading
 
 from hornbeamglade.core import clocks
-from hornbeamglade.exchange import asks, codec, messages, transport
+from hornbeamglade.exchange import codec, grantrequests, messages, transport
 
 _SHORTEST_WAIT_S = 0.001
 _WANTED_EVERY_S = 0.5
 
 
-class GrantClient(asks.Asker):
+class GrantClient(grantrequests.GrantRequester):
     """Blocking asks over a transport; safe to use from several threads.
 
     Explanation
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, incarnation: int, sender: transport.Transport, clock: clocks.Clock) -> None:
-        self._tracker = asks.AskTracker(incarnation)
+        self._tracker = grantrequests.GrantTracker(incarnation)
         self._transport = sender
         self._clock = clock
         self._lock = threading.Lock()
@@ -35,19 +35,19 @@
     def ask(
         self,
         owner: transport.Peer,
-        ask: messages.GrantAsk,
+        ask: messages.GrantRequest,
         wanted: collections.abc.Callable[[], bool] = lambda: True,
-    ) -> messages.GrantAnswer | asks.NoAnswer | None:
+    ) -> messages.GrantResponse | grantrequests.NoResponse | None:
         """Ask ``owner`` and wait for a grant, a refusal or its silence.
 
         :param owner: the owner of the replica.
-        :param ask: what is wanted; its ``ask`` number is replaced. The wait is
+        :param ask: what is wanted; its ``grant_id`` is replaced. The wait is
             bounded by its ``deadline_ms``.
         :param wanted: asked at least twice a second while queued; False ends the
             ask, for a caller who has gone.
         :returns: a granted or refused answer; the owner's silence; or None when the
             deadline passed or the ask was no longer wanted. Only a granted
-            answer needs :meth:`close`, by its ``ask`` number.
+            answer needs :meth:`close`, by its ``grant_id``.
         """
         ends_at = self._clock.now() + ask.deadline_ms / 1000
         answered = threading.Event()
@@ -58,7 +58,7 @@
         try:
             outcome = self._wait(number, answered, ends_at, wanted)
             granted = (
-                isinstance(outcome, messages.GrantAnswer)
+                isinstance(outcome, messages.GrantResponse)
                 and outcome.kind is messages.GrantKind.GRANTED
             )
             return outcome
@@ -92,7 +92,7 @@
 
     def answered(
         self,
-        answer: messages.GrantAnswer,
+        answer: messages.GrantResponse,
         origin: codec.Sender,
         source: transport.Endpoint,
     ) -> None:
@@ -100,7 +100,7 @@
         owner = transport.Peer(origin.name, source)
         with self._lock:
             outgoing = self._tracker.answered(owner, answer, self._clock.now())
-            event = self._event_by_number.get(answer.ask)
+            event = self._event_by_number.get(answer.grant_id)
         if event is not None:
             event.set()
         self._send(outgoing)
@@ -111,7 +111,7 @@
         answered: threading.Event,
         ends_at: float,
         wanted: collections.abc.Callable[[], bool],
-    ) -> messages.GrantAnswer | asks.NoAnswer | None:
+    ) -> messages.GrantResponse | grantrequests.NoResponse | None:
         while True:
             now = self._clock.now()
             answered.clear()
@@ -127,6 +127,6 @@
             wait_s = min(wake_at - now, ends_at - now, _WANTED_EVERY_S)
             answered.wait(max(_SHORTEST_WAIT_S, wait_s))
 
-    def _send(self, outgoing: tuple[asks.Outgoing, ...]) -> None:
+    def _send(self, outgoing: tuple[grantrequests.Outgoing, ...]) -> None:
         for one in outgoing:
             self._transport.send(one.peer, one.message)
--- a/hornbeamglade/exchange/asks.py
+++ b/hornbeamglade/exchange/grantrequests.py
@@ -12,7 +12,7 @@
   and tells the owner that someone still waits.
 - Silence of :data:`ANSWER_BOUND_S` (:data:`QUEUED_BOUND_S` while queued) gives the ask
   up, so the caller can try another replica; the owner may still have granted
-  it, so the give-up is announced by :class:`messages.GrantReturn`.
+  it, so the give-up is announced by :class:`messages.GrantRelease`.
 - An answer that comes for an ask that was given up is returned at once.
 - Progress of all grants is reported each :data:`REPORT_S`, in one message for each
   owner, but of none younger than :data:`REPORT_FROM_S`, which has little to tell.
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NoAnswer:
+class NoResponse:
     """The owner was not heard in time; it was told that the ask is given up.
 
     :param owner: the silent node's name.
@@ -73,11 +73,11 @@
 @dataclasses.dataclass(slots=True)
 class _Ask:
     peer: transport.Peer
-    ask: messages.GrantAsk
+    ask: messages.GrantRequest
     heard_at: float
     send_at: float
     state: _State = _State.UNANSWERED
-    outcome: messages.GrantAnswer | NoAnswer | None = None
+    outcome: messages.GrantResponse | NoResponse | None = None
     report_from: float = 0.0
     produced: int = 0
 
@@ -85,7 +85,7 @@
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Return:
     peer: transport.Peer
-    grant: messages.GrantReturn
+    grant: messages.GrantRelease
     repeats_left: int
 
 
@@ -93,10 +93,10 @@
     """One line of a report."""
 
     peer: transport.Peer
-    grant: messages.GrantProgress | messages.GrantReturn
+    grant: messages.GrantProgress | messages.GrantRelease
 
 
-class Asker(abc.ABC):
+class GrantRequester(abc.ABC):
     """Whatever names this node's incarnation in what it asks."""
 
     @abc.abstractmethod
@@ -104,21 +104,21 @@
         """Go on under another incarnation."""
 
 
-class AskTracker(Asker):
+class GrantTracker(GrantRequester):
     """All asks and grants of one incarnation of a node.
 
     Examples
     ========
 
     >>> owner = transport.Peer("b", transport.Endpoint("127.0.0.1", 7000))
-    >>> tracker = AskTracker(incarnation=1)
+    >>> tracker = GrantTracker(incarnation=1)
     >>> names = [messages.key_hash(name) for name in ("engine-1", "chat", "clerks")]
-    >>> ask = messages.GrantAsk(0, *names, 0, 10, None, 1.0, 500)
+    >>> ask = messages.GrantRequest(0, *names, 0, 10, None, 1.0, 500)
     >>> number = tracker.open(owner, ask, now=0.0)
     >>> [type(out.message).__name__ for out in tracker.due(number, now=0.0)]
-    ['GrantAsk']
+    ['GrantRequest']
     >>> kind = messages.GrantKind.GRANTED
-    >>> granted = messages.GrantAnswer(number, kind, incarnation=1)
+    >>> granted = messages.GrantResponse(number, kind, incarnation=1)
     >>> tracker.answered(owner, granted, now=0.01)
     ()
     >>> tracker.outcome(number) == granted
@@ -140,20 +140,20 @@
         """Go on under another incarnation; answers to asks under the former one are void."""
         self._incarnation = incarnation
 
-    def open(self, owner: transport.Peer, ask: messages.GrantAsk, now: float) -> int:
+    def open(self, owner: transport.Peer, ask: messages.GrantRequest, now: float) -> int:
         """Begin to ask ``owner``.
 
-        :param ask: what is wanted; its ``ask`` number is replaced.
+        :param ask: what is wanted; its ``grant_id`` is replaced.
         :param now: monotonic seconds.
         :returns: the number of the ask.
         """
         self._last_number += 1
         number = self._last_number
-        numbered = dataclasses.replace(ask, ask=number)
+        numbered = dataclasses.replace(ask, grant_id=number)
         self._ask_by_number[number] = _Ask(owner, numbered, heard_at=now, send_at=now)
         return number
 
-    def outcome(self, number: int) -> messages.GrantAnswer | NoAnswer | None:
+    def outcome(self, number: int) -> messages.GrantResponse | NoResponse | None:
         """Return how the ask ended, or None while it is open."""
         ask = self._ask_by_number.get(number)
         return ask.outcome if ask else None
@@ -177,7 +177,7 @@
         if ask.state not in (_State.UNANSWERED, _State.QUEUED):
             return ()
         if now - ask.heard_at >= _silence_bound_s(ask):
-            ask.outcome = NoAnswer(ask.peer.name)
+            ask.outcome = NoResponse(ask.peer.name)
             return self._return(number, ask)
         if now < ask.send_at:
             return ()
@@ -185,7 +185,7 @@
         return (Outgoing(ask.peer, ask.ask),)
 
     def answered(
-        self, owner: transport.Peer, answer: messages.GrantAnswer, now: float
+        self, owner: transport.Peer, answer: messages.GrantResponse, now: float
     ) -> tuple[Outgoing, ...]:
         """Take an answer.
 
@@ -198,7 +198,7 @@
         # run of this node, which would show as a grant that the owner never gave.
         if answer.incarnation != self._incarnation:
             return ()
-        ask = self._ask_by_number.get(answer.ask)
+        ask = self._ask_by_number.get(answer.grant_id)
         if ask is None or ask.state is _State.SETTLED:
             return _return_late(owner, answer)
         # Guards against an overtaken "queued" that arrives after the grant, and
@@ -264,7 +264,7 @@
 
     def _return(self, number: int, ask: _Ask) -> tuple[Outgoing, ...]:
         ask.state = _State.SETTLED
-        grant = messages.GrantReturn(number, ask.produced)
+        grant = messages.GrantRelease(number, ask.produced)
         self._returns.append(_Return(ask.peer, grant, RETURN_REPEATS))
         return (Outgoing(ask.peer, messages.Progress(returned=(grant,))),)
 
@@ -291,13 +291,15 @@
     ask.state = _State.QUEUED
 
 
-def _return_late(owner: transport.Peer, answer: messages.GrantAnswer) -> tuple[Outgoing, ...]:
+def _return_late(owner: transport.Peer, answer: messages.GrantResponse) -> tuple[Outgoing, ...]:
     if answer.kind is messages.GrantKind.REFUSED:
         return ()
     # Guards against a grant that nobody uses: its answer was late, the request
     # went elsewhere, and the owner would hold memory for it. The returns that
     # were scheduled at the give-up may all be lost.
-    return (Outgoing(owner, messages.Progress(returned=(messages.GrantReturn(answer.ask),))),)
+    return (
+        Outgoing(owner, messages.Progress(returned=(messages.GrantRelease(answer.grant_id),))),
+    )
 
 
 def _reports(entries: list[_Entry]) -> collections.abc.Iterator[messages.Progress]:
@@ -305,7 +307,7 @@
         grants = [entry.grant for entry in entries[start : start + messages.MAX_PROGRESS]]
         yield messages.Progress(
             tuple(grant for grant in grants if isinstance(grant, messages.GrantProgress)),
-            tuple(grant for grant in grants if isinstance(grant, messages.GrantReturn)),
+            tuple(grant for grant in grants if isinstance(grant, messages.GrantRelease)),
         )
 
 
--- a/hornbeamglade/exchange/grantserver.py
+++ b/hornbeamglade/exchange/grantserver.py
@@ -27,9 +27,9 @@
 import threading
 
 from hornbeamglade.core import clocks
-from hornbeamglade.exchange import asks, codec, messages, replay, transport
+from hornbeamglade.exchange import codec, grantrequests, messages, replay, transport
 
-LAPSE_S = 4 * asks.REPORT_S
+LAPSE_S = 4 * grantrequests.REPORT_S
 REMEMBER_S = 3 * replay.MAX_FLIGHT_S
 MAX_RECORDS = 20_000
 
@@ -43,12 +43,12 @@
 
     :param holder: the asking node's name.
     :param incarnation: the asking node's incarnation.
-    :param ask: the number of the ask.
+    :param grant_id: the number of the ask.
     """
 
     holder: str
     incarnation: int
-    ask: int
+    grant_id: int
 
 
 class GrantScheduler(abc.ABC):
@@ -62,7 +62,7 @@
     """
 
     @abc.abstractmethod
-    def ask(self, key: GrantKey, ask: messages.GrantAsk) -> messages.GrantAnswer:
+    def ask(self, key: GrantKey, ask: messages.GrantRequest) -> messages.GrantResponse:
         """Grant, queue or refuse; called once for each key."""
 
     @abc.abstractmethod
@@ -95,7 +95,7 @@
     peer: transport.Peer
     heard_at: float
     phase: _Phase = _Phase.ASKING
-    answer: messages.GrantAnswer | None = None
+    answer: messages.GrantResponse | None = None
 
 
 class GrantServer:
@@ -119,10 +119,10 @@
         self._incarnation_by_holder: dict[str, int] = {}
 
     def asked(
-        self, ask: messages.GrantAsk, origin: codec.Sender, source: transport.Endpoint
+        self, ask: messages.GrantRequest, origin: codec.Sender, source: transport.Endpoint
     ) -> None:
         """Take an ask from the transport and answer it."""
-        key = GrantKey(origin.name, origin.incarnation, ask.ask)
+        key = GrantKey(origin.name, origin.incarnation, ask.grant_id)
         peer = transport.Peer(origin.name, source)
         self._lapse_former_runs(origin)
         with self._lock:
@@ -132,7 +132,7 @@
                 record.peer = peer
                 answer = _remembered_answer(ask, record)
             elif len(self._record_by_key) >= MAX_RECORDS:
-                answer = _refusal(ask.ask, OWNER_FULL)
+                answer = _refusal(ask.grant_id, OWNER_FULL)
             else:
                 answer = None
                 self._record_by_key[key] = _Record(peer, self._clock.now())
@@ -150,11 +150,11 @@
         """Take a report of progress from the transport."""
         peer = transport.Peer(origin.name, source)
         for grant in progress.returned:
-            self._returned(GrantKey(origin.name, origin.incarnation, grant.ask), peer, grant)
+            self._returned(GrantKey(origin.name, origin.incarnation, grant.grant_id), peer, grant)
         for grant in progress.running:
-            self._advanced(GrantKey(origin.name, origin.incarnation, grant.ask), peer, grant)
+            self._advanced(GrantKey(origin.name, origin.incarnation, grant.grant_id), peer, grant)
 
-    def push(self, key: GrantKey, answer: messages.GrantAnswer) -> bool:
+    def push(self, key: GrantKey, answer: messages.GrantResponse) -> bool:
         """Send the answer that a queued ask was waiting for.
 
         :returns: False when the ask has ended meanwhile; then nothing is sent and
@@ -191,7 +191,7 @@
             for holder in self._incarnation_by_holder.keys() - holders:
                 del self._incarnation_by_holder[holder]
 
-    def _decide(self, key: GrantKey, ask: messages.GrantAsk) -> messages.GrantAnswer:
+    def _decide(self, key: GrantKey, ask: messages.GrantRequest) -> messages.GrantResponse:
         answer = self._scheduler.ask(key, ask)
         with self._lock:
             record = self._record_by_key[key]
@@ -205,9 +205,9 @@
                 return record.answer
         # The ask was returned while the scheduler decided: free what it just gave.
         self._scheduler.returned(key, 0)
-        return _refusal(ask.ask, RETURNED)
+        return _refusal(ask.grant_id, RETURNED)
 
-    def _returned(self, key: GrantKey, peer: transport.Peer, grant: messages.GrantReturn) -> None:
+    def _returned(self, key: GrantKey, peer: transport.Peer, grant: messages.GrantRelease) -> None:
         with self._lock:
             record = self._record_by_key.get(key)
             was_open = record is not None and record.phase is _Phase.OPEN
@@ -232,7 +232,7 @@
             if known:
                 record.heard_at = self._clock.now()
             elif adopted and (record is not None or len(self._record_by_key) < MAX_RECORDS):
-                answer = messages.GrantAnswer(key.ask, messages.GrantKind.GRANTED)
+                answer = messages.GrantResponse(key.grant_id, messages.GrantKind.GRANTED)
                 self._record_by_key[key] = _Record(peer, self._clock.now(), _Phase.OPEN, answer)
             else:
                 return
@@ -266,8 +266,8 @@
         for key in lapsed:
             self._scheduler.lapse(key)
 
-    def _reply(self, key: GrantKey, peer: transport.Peer, answer: messages.GrantAnswer) -> None:
-        addressed = dataclasses.replace(answer, ask=key.ask, incarnation=key.incarnation)
+    def _reply(self, key: GrantKey, peer: transport.Peer, answer: messages.GrantResponse) -> None:
+        addressed = dataclasses.replace(answer, grant_id=key.grant_id, incarnation=key.incarnation)
         self._transport.send(peer, addressed)
 
 
@@ -275,15 +275,17 @@
     return record.phase in (_Phase.ASKING, _Phase.OPEN)
 
 
-def _is_refused(answer: messages.GrantAnswer) -> bool:
+def _is_refused(answer: messages.GrantResponse) -> bool:
     return answer.kind is messages.GrantKind.REFUSED
 
 
-def _remembered_answer(ask: messages.GrantAsk, record: _Record) -> messages.GrantAnswer | None:
+def _remembered_answer(
+    ask: messages.GrantRequest, record: _Record
+) -> messages.GrantResponse | None:
     if record.phase in (_Phase.RETURNED, _Phase.LAPSED):
-        return _refusal(ask.ask, RETURNED)
+        return _refusal(ask.grant_id, RETURNED)
     return record.answer
 
 
-def _refusal(ask: int, code: str) -> messages.GrantAnswer:
-    return messages.GrantAnswer(ask, messages.GrantKind.REFUSED, code)
+def _refusal(grant_id: int, code: str) -> messages.GrantResponse:
+    return messages.GrantResponse(grant_id, messages.GrantKind.REFUSED, code)
--- a/hornbeamglade/exchange/messages.py
+++ b/hornbeamglade/exchange/messages.py
@@ -138,7 +138,7 @@
     :param exchange: ``ip:port`` (UDP) for other nodes; where it is empty, the other
         two are as well, and the recipient keeps what it was told before.
     :param wants_answer: the sender has not heard from the recipient lately and
-        asks for a heartbeat in return.
+        grantrequests for a heartbeat in return.
     :param replicas: digests of the replicas that the sender owns.
     :param demands: teams, :data:`MAX_DEMANDS` at most, in each beat that
         :data:`DEMANDS_EVERY` divides; none in the others.
@@ -168,10 +168,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GrantAsk:
+class GrantRequest:
     """A request to the owner of a replica for leave to send one request to it.
 
-    :param ask: unique among the asks of the sender's incarnation; from 1.
+    :param grant_id: unique among the asks of the sender's incarnation; from 1.
     :param replica: :func:`key_hash` of the replica's name.
     :param service: :func:`key_hash` of the service's name.
     :param team: :func:`key_hash` of the team's name.
@@ -190,7 +190,7 @@
     :param at_once: whether it may only start now: it is refused rather than queued.
     """
 
-    ask: int
+    grant_id: int
     replica: int
     service: int
     team: int
@@ -207,10 +207,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GrantAnswer:
+class GrantResponse:
     """The owner's answer to an ask.
 
-    :param ask: the number of the ask; the grant goes by it too.
+    :param grant_id: the number of the ask; the grant goes by it too.
     :param kind: granted, queued (another answer follows) or refused.
     :param code: why it was refused; else empty.
     :param retry_after_ms: milliseconds until asking again makes sense, or 0.
@@ -219,7 +219,7 @@
         be another than the one asked for; else 0.
     """
 
-    ask: int
+    grant_id: int
     kind: GrantKind
     code: str = ""
     retry_after_ms: int = 0
@@ -231,26 +231,26 @@
 class GrantProgress:
     """How far one granted request has come.
 
-    :param ask: the number of the ask that was granted.
+    :param grant_id: the number of the ask that was granted.
     :param replica: :func:`key_hash` of the replica's name, for an owner that did not
         admit the request.
     :param produced: tokens of the answer so far.
     """
 
-    ask: int
+    grant_id: int
     replica: int
     produced: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GrantReturn:
+class GrantRelease:
     """A grant is returned, or an ask given up: finished, failed or abandoned.
 
-    :param ask: the number of the ask.
+    :param grant_id: the number of the ask.
     :param produced: tokens of the answer, 0 for none.
     """
 
-    ask: int
+    grant_id: int
     produced: int = 0
 
 
@@ -259,20 +259,20 @@
     """News of the sender's grants of one owner, :data:`MAX_PROGRESS` at most."""
 
     running: tuple[GrantProgress, ...] = ()
-    returned: tuple[GrantReturn, ...] = ()
+    returned: tuple[GrantRelease, ...] = ()
 
 
-class TurnKind(enum.IntEnum):
+class MigrationSlotKind(enum.IntEnum):
     """What a message says of a run's turn to leave a replica."""
 
-    ASK = 0
-    GO = 1
-    DONE = 2
+    REQUEST = 0
+    GRANT = 1
+    RELEASE = 2
     WAIT = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class MoveTurn:
+class MigrationSlot:
     """The order in which runs leave a replica that is about to stop.
 
     :param kind: asked by a run's node; given, or put off, by the replica's owner; done with.
@@ -281,7 +281,7 @@
     :param tokens: memory that the run holds, as its node asks.
     """
 
-    kind: TurnKind
+    kind: MigrationSlotKind
     replica: int
     run: int
     tokens: int = 0
@@ -404,10 +404,10 @@
 
 Message = (
     Heartbeat
-    | GrantAsk
-    | GrantAnswer
+    | GrantRequest
+    | GrantResponse
     | Progress
-    | MoveTurn
+    | MigrationSlot
     | ConfigHint
     | ConfigAsk
     | ConfigOffer
--- a/hornbeamglade/exchange/wireforms.py
+++ b/hornbeamglade/exchange/wireforms.py
@@ -166,8 +166,8 @@
     )
 
 
-def _fill_ask(builder: _Builder, message: messages.GrantAsk) -> None:
-    builder.ask = message.ask
+def _fill_ask(builder: _Builder, message: messages.GrantRequest) -> None:
+    builder.ask = message.grant_id
     builder.replica = message.replica
     builder.service = message.service
     builder.team = message.team
@@ -187,12 +187,12 @@
         avoid[place] = name_hash
 
 
-def _read_ask(reader: _Reader) -> messages.GrantAsk:
+def _read_ask(reader: _Reader) -> messages.GrantRequest:
     weight = float(reader.weight)
     if not 0.0 <= weight < float("inf"):
         raise ValueError("weight is not a finite share")
-    return messages.GrantAsk(
-        ask=reader.ask,
+    return messages.GrantRequest(
+        grant_id=reader.ask,
         replica=reader.replica,
         service=reader.service,
         team=reader.team,
@@ -209,8 +209,8 @@
     )
 
 
-def _fill_answer(builder: _Builder, message: messages.GrantAnswer) -> None:
-    builder.ask = message.ask
+def _fill_answer(builder: _Builder, message: messages.GrantResponse) -> None:
+    builder.ask = message.grant_id
     builder.kind = int(message.kind)
     builder.code = checked_name(message.code)
     builder.retryAfterMs = _clip(message.retry_after_ms)
@@ -218,9 +218,9 @@
     builder.replica = message.replica
 
 
-def _read_answer(reader: _Reader) -> messages.GrantAnswer:
-    return messages.GrantAnswer(
-        ask=reader.ask,
+def _read_answer(reader: _Reader) -> messages.GrantResponse:
+    return messages.GrantResponse(
+        grant_id=reader.ask,
         kind=messages.GrantKind(reader.kind),
         code=checked_name(reader.code),
         retry_after_ms=reader.retryAfterMs,
@@ -235,12 +235,12 @@
     # An empty list that is not made costs nothing.
     if running:
         for entry, grant in zip(builder.init("running", len(running)), running, strict=True):
-            entry.ask = grant.ask
+            entry.ask = grant.grant_id
             entry.replica = grant.replica
             entry.produced = _clip(grant.produced)
     if returned:
         for entry, grant in zip(builder.init("returned", len(returned)), returned, strict=True):
-            entry.ask = grant.ask
+            entry.ask = grant.grant_id
             entry.produced = _clip(grant.produced)
 
 
@@ -253,21 +253,21 @@
             for entry in reader.running
         ),
         returned=tuple(
-            messages.GrantReturn(entry.ask, entry.produced) for entry in reader.returned
+            messages.GrantRelease(entry.ask, entry.produced) for entry in reader.returned
         ),
     )
 
 
-def _fill_turn(builder: _Builder, message: messages.MoveTurn) -> None:
+def _fill_turn(builder: _Builder, message: messages.MigrationSlot) -> None:
     builder.kind = int(message.kind)
     builder.replica = message.replica
     builder.run = message.run
     builder.tokens = _clip(message.tokens)
 
 
-def _read_turn(reader: _Reader) -> messages.MoveTurn:
-    return messages.MoveTurn(
-        messages.TurnKind(reader.kind), reader.replica, reader.run, reader.tokens
+def _read_turn(reader: _Reader) -> messages.MigrationSlot:
+    return messages.MigrationSlot(
+        messages.MigrationSlotKind(reader.kind), reader.replica, reader.run, reader.tokens
     )
 
 
@@ -378,10 +378,10 @@
 
 _FORMS = (
     _Form(messages.Heartbeat, "heartbeat", _fill_heartbeat, _read_heartbeat),
-    _Form(messages.GrantAsk, "grantAsk", _fill_ask, _read_ask),
-    _Form(messages.GrantAnswer, "grantAnswer", _fill_answer, _read_answer),
+    _Form(messages.GrantRequest, "grantAsk", _fill_ask, _read_ask),
+    _Form(messages.GrantResponse, "grantAnswer", _fill_answer, _read_answer),
     _Form(messages.Progress, "progress", _fill_progress, _read_progress),
-    _Form(messages.MoveTurn, "moveTurn", _fill_turn, _read_turn),
+    _Form(messages.MigrationSlot, "moveTurn", _fill_turn, _read_turn),
     _Form(messages.ConfigHint, "configHint", _fill_hint, _read_hint),
     _Form(messages.ConfigAsk, "configAsk", _fill_config_ask, _read_config_ask),
     _Form(messages.ConfigOffer, "configOffer", _fill_offer, _read_offer),
--- a/hornbeamglade/grants/asyncgrantacquirer.py
+++ b/hornbeamglade/grants/asyncgrantacquirer.py
@@ -25,7 +25,7 @@
 import random
 
 from hornbeamglade.core import clocks, outcomes
-from hornbeamglade.exchange import asks, asyncasks, messages
+from hornbeamglade.exchange import asyncgrantclient, grantrequests, messages
 from hornbeamglade.grants import (
     grantacquirer,
     grantanswers,
@@ -61,14 +61,14 @@
     """Permission to run one request on one replica, until it is released.
 
     :param replica: the replica's id.
-    :param grant_id: what the grant was given for.
+    :param admission_id: identifies the attempt at the schedulers.
     :param number: the ask's number at a remote owner; None when this node is the owner.
     :param is_bound: False for a request that goes on without a grant.
     :param produced: tokens of the answer so far.
     """
 
     replica: str
-    grant_id: str
+    admission_id: str
     number: int | None = None
     is_bound: bool = True
     produced: int = 0
@@ -103,7 +103,7 @@
     find: Find | None = None
 
     @property
-    def grant_id(self) -> str:
+    def admission_id(self) -> str:
         """Name the grant of this attempt."""
         return f"{self.work.request_id}.{self.attempt}"
 
@@ -130,7 +130,7 @@
         self,
         clock: clocks.Clock,
         schedulers: schedulerset.SchedulerSet,
-        client: asyncasks.AsyncGrantClient,
+        client: asyncgrantclient.AsyncGrantClient,
         owners: grantacquirer.Owners,
         rng: random.Random,
         settings: candidates.RoutingSettings,
@@ -220,17 +220,17 @@
         if not grant.is_bound:
             return
         if grant.number is None:
-            self._schedulers.progress(grant.replica, grant.grant_id, produced)
+            self._schedulers.progress(grant.replica, grant.admission_id, produced)
         else:
             self._client.note(grant.number, produced)
 
     def release(self, grant: Grant) -> None:
         """Give a grant back to its owner; idempotent."""
-        if grant.grant_id not in self._active:
+        if grant.admission_id not in self._active:
             return
-        self._active.discard(grant.grant_id)
+        self._active.discard(grant.admission_id)
         if grant.number is None:
-            self._schedulers.finish(grant.replica, grant.grant_id)
+            self._schedulers.finish(grant.replica, grant.admission_id)
         else:
             self._client.close(grant.number)
 
@@ -337,7 +337,7 @@
         if isinstance(answer, Grant):
             if owner is not None:
                 self._backoff.granted(owner.name)
-            self._active.add(answer.grant_id)
+            self._active.add(answer.admission_id)
             tokens = candidates.needed_tokens(placement.work, self._settings)
             self._placements.placed(answer.replica, tokens, self._clock.now())
         return answer
@@ -369,7 +369,9 @@
     async def _ask_here(
         self, placement: PlacementRequest, replica: str, wait_s: float
     ) -> Grant | outcomes.Refusal:
-        work = dataclasses.replace(placement.work, request_id=f"{placement.grant_id}@{replica}")
+        work = dataclasses.replace(
+            placement.work, request_id=f"{placement.admission_id}@{replica}"
+        )
         grant = Grant(replica, work.request_id)
         if placement.produced:
             answer = self._schedulers.take_in(replica, work, placement.produced)
@@ -405,33 +407,33 @@
         return later
 
     async def _ask_there(
-        self, placement: PlacementRequest, replica: str, owner: str, message: messages.GrantAsk
+        self, placement: PlacementRequest, replica: str, owner: str, message: messages.GrantRequest
     ) -> Grant | outcomes.Refusal:
         peer = self._owners.owner(replica)
         if peer is None:
             return await self._ask_here(placement, replica, message.deadline_ms / 1000)
         answer = await self._client.ask(peer, message)
-        if isinstance(answer, messages.GrantAnswer):
+        if isinstance(answer, messages.GrantResponse):
             if answer.kind is messages.GrantKind.GRANTED:
                 return self._granted_there(placement, answer)
             return grantanswers.refused_there(replica, answer)
-        if isinstance(answer, asks.NoAnswer):
+        if isinstance(answer, grantrequests.NoResponse):
             self._owners.unanswered(owner)
             return grantanswers.no_answer(replica, owner)
         return grantanswers.gave_up(replica)
 
     def _granted_there(
-        self, placement: PlacementRequest, answer: messages.GrantAnswer
+        self, placement: PlacementRequest, answer: messages.GrantResponse
     ) -> Grant | outcomes.Refusal:
         replica = placement.chosen(answer.replica)
         if replica is not None:
-            return Grant(replica, f"{placement.grant_id}@{replica}", answer.ask)
+            return Grant(replica, f"{placement.admission_id}@{replica}", answer.grant_id)
         # An engine that this node has not heard of yet, or that has refused the request.
-        self._client.close(answer.ask)
+        self._client.close(answer.grant_id)
         return grantanswers.unfit(answer.replica)
 
     def _without_grant(self, placement: PlacementRequest) -> Grant | None:
         ordered = self._ordered(placement)
         if not ordered:
             return None
-        return Grant(ordered[0], f"{placement.grant_id}@{ordered[0]}", is_bound=False)
+        return Grant(ordered[0], f"{placement.admission_id}@{ordered[0]}", is_bound=False)
--- a/hornbeamglade/grants/grantacquirer.py
+++ b/hornbeamglade/grants/grantacquirer.py
@@ -23,7 +23,7 @@
 import threading
 
 from hornbeamglade.core import clocks, outcomes
-from hornbeamglade.exchange import asks, grantclient, messages, transport
+from hornbeamglade.exchange import grantclient, grantrequests, messages, transport
 from hornbeamglade.grants import grantanswers, replicascheduler, schedulerset
 from hornbeamglade.routing import candidates, placements
 from hornbeamglade.routing import choice as choicelib
@@ -113,7 +113,7 @@
     attempt: int = 1
 
     @property
-    def grant_id(self) -> str:
+    def admission_id(self) -> str:
         """Name the grant of this attempt."""
         return f"{self.work.request_id}.{self.attempt}"
 
@@ -210,7 +210,9 @@
         ordered = self._ordered(placement.work, known)
         if not ordered:
             return None
-        return self._activate(Grant(ordered[0].candidate.replica, placement.grant_id, self, None))
+        return self._activate(
+            Grant(ordered[0].candidate.replica, placement.admission_id, self, None)
+        )
 
     def _find_once(
         self, placement: PlacementRequest, known: Known, refused: list[outcomes.Refusal]
@@ -309,7 +311,7 @@
     def _ask_here(
         self, placement: PlacementRequest, replica: str, known: Known | None
     ) -> Grant | outcomes.Refusal:
-        work = dataclasses.replace(placement.work, request_id=placement.grant_id)
+        work = dataclasses.replace(placement.work, request_id=placement.admission_id)
         wait = _Wait()
         deadline = self._clock.now() if known is None else placement.deadline
         answer = self._schedulers.ask(replica, work, placement.weight, deadline, wait.notify)
@@ -319,16 +321,16 @@
                 answer = self._await_scheduler(placement, wait, elsewhere)
             except BaseException:
                 # Its place in the queue would be granted later and never given back.
-                self._schedulers.finish(replica, placement.grant_id)
+                self._schedulers.finish(replica, placement.admission_id)
                 raise
         if elsewhere.grant is not None:
-            self._schedulers.finish(replica, placement.grant_id)
+            self._schedulers.finish(replica, placement.admission_id)
             return elsewhere.grant
         if isinstance(answer, replicascheduler.Granted):
-            return self._activate(Grant(replica, placement.grant_id, self, None))
+            return self._activate(Grant(replica, placement.admission_id, self, None))
         if answer is not None:
             return answer
-        self._schedulers.finish(replica, placement.grant_id)
+        self._schedulers.finish(replica, placement.admission_id)
         return grantanswers.gave_up(replica)
 
     def _await_scheduler(
@@ -347,14 +349,16 @@
         message = grantanswers.message(placement.work, replica, placement.weight, wait_s)
         answer = self._client.ask(owner, message, elsewhere.waits_on)
         if elsewhere.grant is not None:
-            if isinstance(answer, messages.GrantAnswer):
-                self._client.close(answer.ask)
+            if isinstance(answer, messages.GrantResponse):
+                self._client.close(answer.grant_id)
             return elsewhere.grant
-        if isinstance(answer, messages.GrantAnswer):
+        if isinstance(answer, messages.GrantResponse):
             if answer.kind is messages.GrantKind.GRANTED:
-                return self._activate(Grant(replica, placement.grant_id, self, answer.ask))
+                return self._activate(
+                    Grant(replica, placement.admission_id, self, answer.grant_id)
+                )
             return grantanswers.refused_there(replica, answer)
-        if isinstance(answer, asks.NoAnswer):
+        if isinstance(answer, grantrequests.NoResponse):
             self._owners.unanswered(owner.name)
             return grantanswers.no_answer(replica, owner.name)
         return grantanswers.gave_up(replica)
--- a/hornbeamglade/grants/grantanswers.py
+++ b/hornbeamglade/grants/grantanswers.py
@@ -36,7 +36,7 @@
     *,
     or_other: bool = True,
     at_once: bool = False,
-) -> messages.GrantAsk:
+) -> messages.GrantRequest:
     """Return the ask for one replica.
 
     :param wait_s: seconds that the request may still queue.
@@ -47,8 +47,8 @@
     :param at_once: whether it is to be refused rather than queued.
     """
     avoided = sorted(messages.key_hash(each) for each in avoid)
-    return messages.GrantAsk(
-        ask=0,
+    return messages.GrantRequest(
+        grant_id=0,
         replica=messages.key_hash(replica),
         service=messages.key_hash(work.service),
         team=messages.key_hash(work.team),
@@ -65,7 +65,7 @@
     )
 
 
-def refused_there(replica: str, answer: messages.GrantAnswer) -> outcomes.Refusal:
+def refused_there(replica: str, answer: messages.GrantResponse) -> outcomes.Refusal:
     """Return the refusal that an owner gave."""
     retry_after_s = answer.retry_after_ms / MILLISECONDS or None
     detail = f"replica {replica} takes no more work now"
--- a/hornbeamglade/grants/remotescheduler.py
+++ b/hornbeamglade/grants/remotescheduler.py
@@ -18,7 +18,7 @@
 """What an adopted request's prompt counts as: progress reports do not say it, and
 the engine's own load report corrects the sum."""
 
-Push = collections.abc.Callable[[grantserver.GrantKey, messages.GrantAnswer], bool]
+Push = collections.abc.Callable[[grantserver.GrantKey, messages.GrantResponse], bool]
 
 Others = collections.abc.Callable[[str, outcomes.Work], collections.abc.Sequence[str]]
 """Returns the replicas of a replica's service that this node owns, best first."""
@@ -74,7 +74,7 @@
         """Take what finds other replicas for asks that leave the choice to the owner."""
         self._others = others
 
-    def ask(self, key: grantserver.GrantKey, ask: messages.GrantAsk) -> messages.GrantAnswer:
+    def ask(self, key: grantserver.GrantKey, ask: messages.GrantRequest) -> messages.GrantResponse:
         """Ask the scheduler of the replica, or those of all that will do.
 
         Explanation
@@ -86,28 +86,30 @@
         """
         asked = self._asked(key, ask)
         if asked is None:
-            return _answer(ask.ask, grantanswers.names_unknown())
+            return _answer(ask.grant_id, grantanswers.names_unknown())
         choices: collections.abc.Sequence[str] = ()
         if ask.or_other:
             choices = self._choices(ask, asked)
             if not choices:
-                return _answer(ask.ask, _none_left())
+                return _answer(ask.grant_id, _none_left())
         for replica in choices:
             if self._grant_at_once(key, ask, dataclasses.replace(asked, replica=replica)):
-                return _answer(ask.ask, replicascheduler.Granted(asked.work.request_id, replica))
+                return _answer(
+                    ask.grant_id, replicascheduler.Granted(asked.work.request_id, replica)
+                )
         if ask.at_once and not ask.produced:
             if not choices and self._grant_at_once(key, ask, asked):
                 return _answer(
-                    ask.ask, replicascheduler.Granted(asked.work.request_id, asked.replica)
+                    ask.grant_id, replicascheduler.Granted(asked.work.request_id, asked.replica)
                 )
             if not self._schedulers.admits_to(asked.replica):
-                return _answer(ask.ask, replicascheduler.owner_moved(asked.replica))
-            return _answer(ask.ask, grantanswers.no_room_now(asked.replica))
+                return _answer(ask.grant_id, replicascheduler.owner_moved(asked.replica))
+            return _answer(ask.grant_id, grantanswers.no_room_now(asked.replica))
         if choices:
             asked = dataclasses.replace(asked, replica=choices[0])
         return self._ask_one(key, ask, asked)
 
-    def _choices(self, ask: messages.GrantAsk, asked: "_Asked") -> list[str]:
+    def _choices(self, ask: messages.GrantRequest, asked: "_Asked") -> list[str]:
         """Return this node's replicas that will do, the best first."""
         others = self._others(asked.replica, asked.work) or (asked.replica,)
         choices = [each for each in others if messages.key_hash(each) not in ask.avoid]
@@ -119,7 +121,7 @@
         return choices
 
     def _grant_at_once(
-        self, key: grantserver.GrantKey, ask: messages.GrantAsk, asked: "_Asked"
+        self, key: grantserver.GrantKey, ask: messages.GrantRequest, asked: "_Asked"
     ) -> bool:
         if ask.produced:
             answer = self._schedulers.take_in(asked.replica, asked.work, ask.produced)
@@ -132,8 +134,8 @@
         return True
 
     def _ask_one(
-        self, key: grantserver.GrantKey, ask: messages.GrantAsk, asked: "_Asked"
-    ) -> messages.GrantAnswer:
+        self, key: grantserver.GrantKey, ask: messages.GrantRequest, asked: "_Asked"
+    ) -> messages.GrantResponse:
         with self._lock:
             self._asked_by_key[key] = asked
         if ask.produced:
@@ -145,9 +147,9 @@
             )
         if isinstance(answer, outcomes.Refusal):
             self._forget(key)
-        return _answer(ask.ask, answer)
+        return _answer(ask.grant_id, answer)
 
-    def _due(self, ask: messages.GrantAsk) -> float:
+    def _due(self, ask: messages.GrantRequest) -> float:
         if ask.due_ms is None:
             return math.inf
         return self._clock.now() + ask.due_ms / MILLISECONDS
@@ -183,14 +185,14 @@
         replica = self._names.replicas.find(progress.replica)
         if replica is None:
             return
-        work = outcomes.Work(_grant_id(key), "", "", 0, ADOPTED_PROMPT_TOKENS)
+        work = outcomes.Work(_admission_id(key), "", "", 0, ADOPTED_PROMPT_TOKENS)
         with self._lock:
             self._asked_by_key[key] = _Asked(replica, work)
         self._schedulers.change(
             replica, lambda scheduler, now: scheduler.adopt(work, progress.produced, now)
         )
 
-    def _asked(self, key: grantserver.GrantKey, ask: messages.GrantAsk) -> _Asked | None:
+    def _asked(self, key: grantserver.GrantKey, ask: messages.GrantRequest) -> _Asked | None:
         replica = self._names.replicas.find(ask.replica)
         service = self._names.services.find(ask.service)
         team = self._names.teams.find(ask.team)
@@ -199,7 +201,7 @@
         if replica is None or service is None or team is None:
             return None
         work = outcomes.Work(
-            request_id=_grant_id(key),
+            request_id=_admission_id(key),
             service=service,
             team=team,
             priority=ask.priority,
@@ -212,7 +214,7 @@
         def notify(settled: replicascheduler.Settled) -> None:
             if isinstance(settled.answer, outcomes.Refusal):
                 self._forget(key)
-            self._push(key, _answer(key.ask, settled.answer))
+            self._push(key, _answer(key.grant_id, settled.answer))
 
         return notify
 
@@ -221,8 +223,8 @@
             return self._asked_by_key.pop(key, None)
 
 
-def _grant_id(key: grantserver.GrantKey) -> str:
-    return f"{key.holder}/{key.incarnation}/{key.ask}"
+def _admission_id(key: grantserver.GrantKey) -> str:
+    return f"{key.holder}/{key.incarnation}/{key.grant_id}"
 
 
 def _none_left() -> outcomes.Refusal:
@@ -231,11 +233,13 @@
 
 
 def _answer(
-    ask: int, answer: replicascheduler.Granted | replicascheduler.Waiting | outcomes.Refusal
-) -> messages.GrantAnswer:
+    grant_id: int, answer: replicascheduler.Granted | replicascheduler.Waiting | outcomes.Refusal
+) -> messages.GrantResponse:
     if not isinstance(answer, outcomes.Refusal):
         is_granted = isinstance(answer, replicascheduler.Granted)
         kind = messages.GrantKind.GRANTED if is_granted else messages.GrantKind.QUEUED
-        return messages.GrantAnswer(ask, kind, replica=messages.key_hash(answer.replica))
+        return messages.GrantResponse(grant_id, kind, replica=messages.key_hash(answer.replica))
     retry_after_ms = int((answer.retry_after_s or 0) * MILLISECONDS)
-    return messages.GrantAnswer(ask, messages.GrantKind.REFUSED, answer.code, retry_after_ms)
+    return messages.GrantResponse(
+        grant_id, messages.GrantKind.REFUSED, answer.code, retry_after_ms
+    )
--- a/hornbeamglade/grants/turntaker.py
+++ b/hornbeamglade/grants/turntaker.py
@@ -60,7 +60,7 @@
             if owner is None:
                 self._asked(run, self._name, tokens)
             else:
-                ask = messages.MoveTurn(messages.TurnKind.ASK, *run, tokens)
+                ask = messages.MigrationSlot(messages.MigrationSlotKind.REQUEST, *run, tokens)
                 self._transport.send(owner, ask)
             try:
                 async with asyncio.timeout(ASK_AGAIN_S):
@@ -81,23 +81,27 @@
             return
         # Said twice: when it is lost, the next run waits for the turn to lapse.
         for _ in range(2):
-            self._transport.send(owner, messages.MoveTurn(messages.TurnKind.DONE, *run))
+            self._transport.send(
+                owner, messages.MigrationSlot(messages.MigrationSlotKind.RELEASE, *run)
+            )
 
     def heard(
-        self, turn: messages.MoveTurn, origin: codec.Sender, source: transport.Endpoint
+        self, turn: messages.MigrationSlot, origin: codec.Sender, source: transport.Endpoint
     ) -> None:
         """Take a message from the transport."""
         run = (turn.replica, turn.run)
-        if turn.kind is messages.TurnKind.ASK:
+        if turn.kind is messages.MigrationSlotKind.REQUEST:
             peer = transport.Peer(origin.name, source)
             self._peer_by_holder[origin.name] = peer
             self._asked(run, origin.name, turn.tokens)
-            self._transport.send(peer, messages.MoveTurn(messages.TurnKind.WAIT, *run))
-        elif turn.kind is messages.TurnKind.DONE:
+            self._transport.send(
+                peer, messages.MigrationSlot(messages.MigrationSlotKind.WAIT, *run)
+            )
+        elif turn.kind is messages.MigrationSlotKind.RELEASE:
             self._done(run)
         elif run in self._go_by_run:
             self._heard_at_by_run[run] = self._clock.now()
-            if turn.kind is messages.TurnKind.GO:
+            if turn.kind is messages.MigrationSlotKind.GRANT:
                 self._go_by_run[run].set()
 
     @property
@@ -116,7 +120,9 @@
                     self._go_by_run[run].set()
             else:
                 peer = self._peer_by_holder[turn.run.holder]
-                self._transport.send(peer, messages.MoveTurn(messages.TurnKind.GO, *run))
+                self._transport.send(
+                    peer, messages.MigrationSlot(messages.MigrationSlotKind.GRANT, *run)
+                )
 
     def _asked(self, run: tuple[int, int], holder: str, tokens: int) -> None:
         replica, run_id = run
--- a/hornbeamglade/membership/rising.py
+++ b/hornbeamglade/membership/rising.py
@@ -1,12 +1,15 @@
 """What a node does that was told that others know it under a higher incarnation."""
 
-from hornbeamglade.exchange import asks, codec
+from hornbeamglade.exchange import codec, grantrequests
 from hornbeamglade.membership import heartbeats
 from hornbeamglade.observability import logs
 
 
 def rise_above(
-    incarnation: int, frames: codec.Codec, asker: asks.Asker, beats: heartbeats.Heartbeats
+    incarnation: int,
+    frames: codec.Codec,
+    asker: grantrequests.GrantRequester,
+    beats: heartbeats.Heartbeats,
 ) -> None:
     """Go on above an incarnation that others know, with all that names the own one.
 
--- a/hornbeamglade/node/peering.py
+++ b/hornbeamglade/node/peering.py
@@ -235,9 +235,9 @@
                 self._hear_closings(message.replicas)
                 self._hear_demands(sender.name, message.demands)
                 self.quarantine.on_digest(sender.name, message.quarantine_digest)
-        elif isinstance(message, messages.GrantAsk):
+        elif isinstance(message, messages.GrantRequest):
             self._server.asked(message, sender, source)
-        elif isinstance(message, messages.GrantAnswer):
+        elif isinstance(message, messages.GrantResponse):
             self.grants.answered(message, sender, source)
         elif isinstance(message, messages.Progress):
             self._server.progressed(message, sender, source)
--- a/tests/exchange/lossynetwork.py
+++ b/tests/exchange/lossynetwork.py
@@ -100,7 +100,7 @@
         return self._answer(key, messages.GrantKind.GRANTED)
 
     def _answer(self, key, kind, code=""):
-        return messages.GrantAnswer(key.ask, kind, code)
+        return messages.GrantResponse(key.grant_id, kind, code)
 
     def _free(self, key):
         self.granted.discard(key)
@@ -111,6 +111,6 @@
 REPLICA = messages.key_hash("engine-1")
 
 
-def make_ask(ask=0, deadline_ms=5000):
+def make_ask(grant_id=0, deadline_ms=5000):
     names = (REPLICA, messages.key_hash("chat"), messages.key_hash("clerks"))
-    return messages.GrantAsk(ask, *names, 0, 10, None, 1.0, deadline_ms)
+    return messages.GrantRequest(grant_id, *names, 0, 10, None, 1.0, deadline_ms)
--- a/tests/exchange/strategies.py
+++ b/tests/exchange/strategies.py
@@ -40,8 +40,8 @@
     quarantine_digest=_U64,
 )
 _ASKS = strategies.builds(
-    messages.GrantAsk,
-    ask=_U64,
+    messages.GrantRequest,
+    grant_id=_U64,
     replica=_U64,
     service=_U64,
     team=_U64,
@@ -57,8 +57,8 @@
     avoid=strategies.lists(_U64, max_size=messages.MAX_AVOIDED).map(tuple),
 )
 _ANSWERS = strategies.builds(
-    messages.GrantAnswer,
-    ask=_U64,
+    messages.GrantResponse,
+    grant_id=_U64,
     kind=strategies.sampled_from(messages.GrantKind),
     code=_NAMES,
     retry_after_ms=_U32,
@@ -70,7 +70,7 @@
     strategies.lists(strategies.builds(messages.GrantProgress, _U64, _U64, _U32), max_size=8).map(
         tuple
     ),
-    strategies.lists(strategies.builds(messages.GrantReturn, _U64, _U32), max_size=8).map(tuple),
+    strategies.lists(strategies.builds(messages.GrantRelease, _U64, _U32), max_size=8).map(tuple),
 )
 _OFFERS = strategies.builds(
     messages.ConfigOffer,
@@ -82,7 +82,7 @@
     subject=strategies.sampled_from(messages.Subject),
 )
 _TURNS = strategies.builds(
-    messages.MoveTurn, strategies.sampled_from(messages.TurnKind), _U64, _U64, _U32
+    messages.MigrationSlot, strategies.sampled_from(messages.MigrationSlotKind), _U64, _U64, _U32
 )
 _CRASHES = strategies.builds(messages.ReportedCrash, _U64, _U64, _U32, _U32)
 _QUARANTINED = strategies.builds(messages.QuarantinedRequest, _U64, _U32)
--- a/tests/exchange/test_codec.py
+++ b/tests/exchange/test_codec.py
@@ -147,7 +147,7 @@
     returned = messages.MAX_PROGRESS - running
     report = messages.Progress(
         (messages.GrantProgress(most, most, 2**32 - 1),) * running,
-        (messages.GrantReturn(most, 2**32 - 1),) * returned,
+        (messages.GrantRelease(most, 2**32 - 1),) * returned,
     )
     frame = make(name, incarnation=2**63).encode(name, report)
     assert make(name).decode(frame).message == report
--- a/tests/exchange/test_grantclient.py
+++ b/tests/exchange/test_grantclient.py
@@ -1,7 +1,7 @@
 import threading
 
 from hornbeamglade.core import clocks
-from hornbeamglade.exchange import asks, codec, grantclient, messages, transport
+from hornbeamglade.exchange import codec, grantclient, grantrequests, messages, transport
 from tests.exchange import lossynetwork
 
 KIND = messages.GrantKind
@@ -18,10 +18,10 @@
 
     def send(self, peer, message):
         if isinstance(message, messages.Progress):
-            self.returned += [grant.ask for grant in message.returned]
+            self.returned += [grant.grant_id for grant in message.returned]
         elif self.script:
             kind = self.script.pop(0)
-            answer = messages.GrantAnswer(message.ask, kind, incarnation=1)
+            answer = messages.GrantResponse(message.grant_id, kind, incarnation=1)
             threading.Thread(
                 target=self.client.answered,
                 args=(answer, codec.Sender(peer.name, 1), peer.endpoint),
@@ -33,9 +33,9 @@
     answer = owner.client.ask(OWNER, lossynetwork.make_ask())
     assert answer.kind is KIND.GRANTED
     assert owner.returned == []
-    owner.client.close(answer.ask)
-    owner.client.close(answer.ask)
-    assert owner.returned == [answer.ask]
+    owner.client.close(answer.grant_id)
+    owner.client.close(answer.grant_id)
+    assert owner.returned == [answer.grant_id]
 
 
 def test_a_queued_ask_polls_until_it_is_granted():
@@ -45,7 +45,7 @@
 
 def test_a_silent_owner_ends_the_ask_and_is_told():
     owner = ScriptedOwner()
-    assert owner.client.ask(OWNER, lossynetwork.make_ask()) == asks.NoAnswer("b")
+    assert owner.client.ask(OWNER, lossynetwork.make_ask()) == grantrequests.NoResponse("b")
     assert owner.returned == [1]
 
 
--- a/tests/exchange/test_asks.py
+++ b/tests/exchange/test_grantrequests.py
@@ -1,6 +1,6 @@
 import pytest
 
-from hornbeamglade.exchange import asks, messages, transport
+from hornbeamglade.exchange import grantrequests, messages, transport
 from tests.exchange import lossynetwork
 
 KIND = messages.GrantKind
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def tracker():
-    return asks.AskTracker(1)
+    return grantrequests.GrantTracker(1)
 
 
 def opened(tracker):
@@ -19,31 +19,31 @@
 
 
 def answer(number, kind, incarnation=1):
-    return messages.GrantAnswer(number, kind, incarnation=incarnation)
+    return messages.GrantResponse(number, kind, incarnation=incarnation)
 
 
 def returned(outgoing):
-    return [grant.ask for out in outgoing for grant in out.message.returned]
+    return [grant.grant_id for out in outgoing for grant in out.message.returned]
 
 
 def test_an_unanswered_ask_is_sent_again_under_its_number(tracker):
     number = opened(tracker)
     assert tracker.due(number, 0.05) == ()
     (again,) = tracker.due(number, 0.1)
-    assert again.message.ask == number
+    assert again.message.grant_id == number
 
 
 def test_silence_gives_the_ask_up_and_returns_it(tracker):
     number = opened(tracker)
-    assert returned(tracker.due(number, asks.ANSWER_BOUND_S)) == [number]
-    assert tracker.outcome(number) == asks.NoAnswer("b")
+    assert returned(tracker.due(number, grantrequests.ANSWER_BOUND_S)) == [number]
+    assert tracker.outcome(number) == grantrequests.NoResponse("b")
 
 
 def test_a_late_grant_is_returned_at_once(tracker):
     # The owner granted after the caller had moved on to another replica. Every
     # scheduled return may have been lost; the owner would hold memory for nobody.
     number = opened(tracker)
-    tracker.due(number, asks.ANSWER_BOUND_S)
+    tracker.due(number, grantrequests.ANSWER_BOUND_S)
     tracker.close(number, 0.3)
     late = answer(number, KIND.GRANTED)
     assert returned(tracker.answered(OWNER, late, 9.0)) == [number]
@@ -53,21 +53,21 @@
     number = opened(tracker)
     tracker.answered(OWNER, answer(number, KIND.GRANTED), 0.0)
     assert returned(tracker.close(number, 0.0)) == [number]
-    reports = [returned(tracker.tick(report * asks.REPORT_S)) for report in range(4)]
+    reports = [returned(tracker.tick(report * grantrequests.REPORT_S)) for report in range(4)]
     assert reports == [[number], [], [], []]
 
 
 def test_reports_for_one_owner_share_a_message(tracker):
     for _ in range(messages.MAX_PROGRESS + 1):
         tracker.answered(OWNER, answer(opened(tracker), KIND.GRANTED), 0.0)
-    reports = tracker.tick(asks.REPORT_FROM_S)
+    reports = tracker.tick(grantrequests.REPORT_FROM_S)
     assert [len(out.message.running) for out in reports] == [messages.MAX_PROGRESS, 1]
 
 
 def test_a_grant_is_not_reported_before_it_has_something_to_tell(tracker):
     tracker.answered(OWNER, answer(opened(tracker), KIND.GRANTED), 0.0)
-    assert tracker.tick(asks.REPORT_FROM_S - 0.1) == ()
-    (report,) = tracker.tick(asks.REPORT_FROM_S - 0.1 + asks.REPORT_S)
+    assert tracker.tick(grantrequests.REPORT_FROM_S - 0.1) == ()
+    (report,) = tracker.tick(grantrequests.REPORT_FROM_S - 0.1 + grantrequests.REPORT_S)
     assert len(report.message.running) == 1
 
 
@@ -99,8 +99,8 @@
     tracker.answered(OWNER, answer(number, KIND.QUEUED), 0.1)
     tracker.due(number, 1.0)
     assert tracker.outcome(number) is None
-    tracker.due(number, 0.1 + asks.QUEUED_BOUND_S)
-    assert tracker.outcome(number) == asks.NoAnswer("b")
+    tracker.due(number, 0.1 + grantrequests.QUEUED_BOUND_S)
+    assert tracker.outcome(number) == grantrequests.NoResponse("b")
 
 
 def test_progress_goes_to_the_new_owner_after_a_redirect(tracker):
--- a/tests/exchange/test_grantserver.py
+++ b/tests/exchange/test_grantserver.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies
 
 from hornbeamglade.core import clocks
-from hornbeamglade.exchange import asks, codec, grantserver, messages, transport
+from hornbeamglade.exchange import codec, grantrequests, grantserver, messages, transport
 from tests.exchange import lossynetwork
 
 KIND = messages.GrantKind
@@ -35,7 +35,7 @@
 
     def report(self, number, done, origin=ORIGIN):
         running = messages.GrantProgress(number, lossynetwork.REPLICA, 5)
-        returned = messages.GrantReturn(number, 5)
+        returned = messages.GrantRelease(number, 5)
         news = messages.Progress((), (returned,)) if done else messages.Progress((running,))
         self.server.progressed(news, origin, SOURCE)
 
@@ -108,7 +108,7 @@
     owner.ask(1)
     owner.report(1, done=True)
     key = grantserver.GrantKey("a", 1, 1)
-    assert not owner.server.push(key, messages.GrantAnswer(1, KIND.GRANTED))
+    assert not owner.server.push(key, messages.GrantResponse(1, KIND.GRANTED))
 
 
 def test_a_silent_holder_loses_its_grant_and_a_reporting_one_keeps_it():
@@ -118,7 +118,7 @@
     owner.ask(1, codec.Sender("silent", 1))
     owner.ask(1)
     for _ in range(5):
-        owner.clock.advance(asks.REPORT_S)
+        owner.clock.advance(grantrequests.REPORT_S)
         owner.report(1, done=False)
         owner.server.tick()
     assert owner.scheduler.granted == {grantserver.GrantKey("a", 1, 1)}
@@ -173,7 +173,7 @@
         self.rng = random.Random(seed)
         self.network = lossynetwork.LossyNetwork(self.rng, faults)
         self.clock = self.network.clock
-        self.tracker = asks.AskTracker(1)
+        self.tracker = grantrequests.GrantTracker(1)
         self.port = self.network.attach("a", self._answered)
         self.scheduler_by_owner = {name: lossynetwork.FakeScheduler(2) for name in ("x", "y")}
         self.server_by_owner = {name: self._serve(name) for name in ("x", "y")}
@@ -184,7 +184,9 @@
     def _serve(self, name):
         def handle(message, origin, source):
             server = self.server_by_owner[name]
-            take = server.asked if isinstance(message, messages.GrantAsk) else server.progressed
+            take = (
+                server.asked if isinstance(message, messages.GrantRequest) else server.progressed
+            )
             take(message, origin, source)
 
         port = self.network.attach(name, handle)
@@ -220,7 +222,7 @@
         if outcome is None:
             return
         del self.open[number]
-        if isinstance(outcome, messages.GrantAnswer) and outcome.kind is KIND.GRANTED:
+        if isinstance(outcome, messages.GrantResponse) and outcome.kind is KIND.GRANTED:
             self.held[number] = request_id
             return
         self.send(self.tracker.close(number, self.clock.now()))
@@ -232,7 +234,7 @@
 
     def granted_requests(self):
         return collections.Counter(
-            self.request_by_ask[key.ask] if key in scheduler.ask_by_key else "adopted"
+            self.request_by_ask[key.grant_id] if key in scheduler.ask_by_key else "adopted"
             for scheduler in self.scheduler_by_owner.values()
             for key in scheduler.granted
         )
--- a/tests/grants/test_asyncgrantacquirer.py
+++ b/tests/grants/test_asyncgrantacquirer.py
@@ -7,7 +7,7 @@
 from hornbeamglade.admission import replicaadmission, tokenledger
 from hornbeamglade.core import clocks, outcomes
 from hornbeamglade.exchange import (
-    asyncasks,
+    asyncgrantclient,
     asyncudp,
     codec,
     grantserver,
@@ -47,7 +47,7 @@
             self.report(replica)
         frames = codec.Codec(name, 1, KEYS, self.clock)
         self.transport = asyncudp.AsyncUdpTransport(frames, self._handle, self._failed)
-        self.client = asyncasks.AsyncGrantClient(1, self.transport, self.clock)
+        self.client = asyncgrantclient.AsyncGrantClient(1, self.transport, self.clock)
         self.names = names = remotescheduler.AskNames()
         names.replicas.replace(("e0", "e1"))
         names.services.replace(("draft",))
@@ -78,8 +78,8 @@
 
     def _handle(self, message, sender, source):
         take_by_type = {
-            messages.GrantAsk: self.server.asked,
-            messages.GrantAnswer: self.client.answered,
+            messages.GrantRequest: self.server.asked,
+            messages.GrantResponse: self.client.answered,
             messages.Progress: self.server.progressed,
         }
         take_by_type[type(message)](message, sender, source)
--- a/tests/grants/test_grantacquirer.py
+++ b/tests/grants/test_grantacquirer.py
@@ -4,7 +4,7 @@
 import pytest
 
 from hornbeamglade.core import outcomes
-from hornbeamglade.exchange import asks, messages, transport
+from hornbeamglade.exchange import grantrequests, messages, transport
 from hornbeamglade.grants import grantacquirer
 from hornbeamglade.routing import candidates
 from tests.callers import callerside
@@ -95,11 +95,11 @@
 
 
 def granted(number):
-    return messages.GrantAnswer(number, messages.GrantKind.GRANTED)
+    return messages.GrantResponse(number, messages.GrantKind.GRANTED)
 
 
 def refused(code="queue_full"):
-    return messages.GrantAnswer(1, messages.GrantKind.REFUSED, code, 700)
+    return messages.GrantResponse(1, messages.GrantKind.REFUSED, code, 700)
 
 
 def test_a_grant_here_is_given_back_once():
@@ -125,12 +125,12 @@
     assert site.client.calls == [("note", 7, 5), ("note", 7, 5), ("close", 7)]
 
 
-@pytest.mark.parametrize("answer", [refused(), asks.NoAnswer("n2"), None])
+@pytest.mark.parametrize("answer", [refused(), grantrequests.NoResponse("n2"), None])
 def test_the_next_replica_is_asked_when_the_first_gives_nothing(answer):
     site = Site(remote={"e1"}, e1=answer)
     grant = site.find()
     assert (grant.replica, site.client.asked) == ("e2", ["e1"])
-    assert site.owners.silent == (["n2"] if isinstance(answer, asks.NoAnswer) else [])
+    assert site.owners.silent == (["n2"] if isinstance(answer, grantrequests.NoResponse) else [])
 
 
 def test_a_refusal_by_all_is_the_one_with_the_earliest_return():
@@ -206,7 +206,7 @@
     assert asking.schedulers.states()["e2"].waiting == 1
 
 
-@pytest.mark.parametrize("answer", [asks.NoAnswer("n2"), refused("owner_moved")])
+@pytest.mark.parametrize("answer", [grantrequests.NoResponse("n2"), refused("owner_moved")])
 def test_an_engine_that_nobody_admits_to_is_used_without_a_grant(answer):
     """The node that admits to both engines is killed, and a caller asks another node.
 
--- a/tests/grants/test_turntaker.py
+++ b/tests/grants/test_turntaker.py
@@ -129,8 +129,8 @@
     async def main():
         taker = site(0.0)["n1"]
         sender, endpoint = codec.Sender("n2", 1), transport.Endpoint("10.0.0.1", 1)
-        for kind in messages.TurnKind:
-            taker.heard(messages.MoveTurn(kind, 1, 2, 3), sender, endpoint)
+        for kind in messages.MigrationSlotKind:
+            taker.heard(messages.MigrationSlot(kind, 1, 2, 3), sender, endpoint)
         taker.tick()
 
     eventloop.run(main())
--- a/tests/routed/test_handover.py
+++ b/tests/routed/test_handover.py
@@ -56,7 +56,7 @@
         if not self.has_room:
             return None
         self.held += 1
-        return asyncgrantacquirer.Grant(TARGET.id, f"{placement.grant_id}@{TARGET.id}")
+        return asyncgrantacquirer.Grant(TARGET.id, f"{placement.admission_id}@{TARGET.id}")
 
     def release(self, grant):
         self.held -= 1
