--- a/hornbeamglade/entry/following.py
+++ b/hornbeamglade/entry/following.py
@@ -89,7 +89,7 @@
         age_s = self._clock.now() - max(times) if times else None
         return views.Belief(self._replicas.version, age_s)
 
-    def on_hint(self, hint: messages.ConfigHint) -> None:
+    def on_hint(self, hint: messages.VersionAnnouncement) -> None:
         """Take the word of a follower: its list is as new as the store's."""
         if hint.is_reached and hint.list_version <= self._replicas.version:
             self._confirmed_at = self._clock.now()
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -355,7 +355,7 @@
         """Take an owner's word that an engine is about to stop."""
         self._engine_watch.leaves(replica_id, enginewatch.PEER)
 
-    def on_hint(self, hint: messages.ConfigHint) -> None:
+    def on_hint(self, hint: messages.VersionAnnouncement) -> None:
         """Take a hint of an instance that follows the store."""
         self.watch.heard(hint)
         self.following.on_hint(hint)
--- a/hornbeamglade/entry/peering.py
+++ b/hornbeamglade/entry/peering.py
@@ -34,7 +34,7 @@
         """Take an owner's word that an engine is about to stop."""
 
     @abc.abstractmethod
-    def on_hint(self, hint: messages.ConfigHint) -> None:
+    def on_hint(self, hint: messages.VersionAnnouncement) -> None:
         """Take a hint of an instance that follows the store."""
 
     @abc.abstractmethod
@@ -232,13 +232,13 @@
             self._server.progressed(message, sender, source)
         elif isinstance(message, messages.MigrationSlot):
             self.turns.heard(message, sender, source)
-        elif isinstance(message, messages.ConfigHint):
+        elif isinstance(message, messages.VersionAnnouncement):
             self._news.on_hint(message)
             for due in self._documents.on_hint(sender.name, message):
                 self.transport.send(peer, due.message)
         elif isinstance(message, messages.SupersededIncarnation):
             rising.rise_above(message.incarnation, self.codec, self.grants, self.heartbeats)
-        elif isinstance(message, messages.ConfigAsk):
+        elif isinstance(message, messages.ChunkRequest):
             offer = self._documents.asked(message)
             if offer is not None:
                 self.transport.send(peer, offer)
@@ -246,7 +246,7 @@
             self._news.on_crash_report(sender.name, message)
         elif isinstance(message, messages.QuarantineNotice):
             self._news.on_quarantine_notice(message)
-        elif isinstance(message, messages.ConfigOffer):
+        elif isinstance(message, messages.DocumentChunk):
             ask = self._documents.offered(message)
             if ask is not None:
                 self.transport.send(peer, ask)
--- a/hornbeamglade/entry/sharing.py
+++ b/hornbeamglade/entry/sharing.py
@@ -57,7 +57,7 @@
     """
 
     node: str
-    message: messages.ConfigAsk
+    message: messages.ChunkRequest
 
 
 @dataclasses.dataclass(slots=True)
@@ -103,7 +103,7 @@
         self._pursuit_by_subject: dict[messages.Subject, _Pursuit] = {}
         self._live: tuple[membershipview.Member, ...] | None = None
         self._ahead_by_subject: dict[messages.Subject, tuple[int, str]] = {}
-        self._offers: collections.OrderedDict[_Wanted, tuple[messages.ConfigOffer, ...]]
+        self._offers: collections.OrderedDict[_Wanted, tuple[messages.DocumentChunk, ...]]
         self._offers = collections.OrderedDict()
 
     @property
@@ -131,7 +131,7 @@
                 return ask
         return None
 
-    def on_hint(self, node: str, hint: messages.ConfigHint) -> tuple[Ask, ...]:
+    def on_hint(self, node: str, hint: messages.VersionAnnouncement) -> tuple[Ask, ...]:
         """Take a hint of an instance that follows the store; return what to ask it."""
         now = self._clock.now()
         had = self.versions()
@@ -146,7 +146,7 @@
                 due.append(self._question(pursuit, subject, version, node))
         return tuple(each for each in due if each is not None)
 
-    def asked(self, ask: messages.ConfigAsk) -> messages.ConfigOffer | None:
+    def asked(self, ask: messages.ChunkRequest) -> messages.DocumentChunk | None:
         """Return the chunk that another instance asks for, or None."""
         wanted = _Wanted(ask.subject, self.versions().of(ask.subject), ask.since)
         if wanted.version != ask.revision:
@@ -154,7 +154,7 @@
         offers = self._offers_of(wanted)
         return offers[ask.chunk] if ask.chunk < len(offers) else None
 
-    def offered(self, offer: messages.ConfigOffer) -> messages.ConfigAsk | None:
+    def offered(self, offer: messages.DocumentChunk) -> messages.ChunkRequest | None:
         """Take a chunk; return the question for the next one, or None at the end."""
         pursuit = self._pursuit_by_subject.get(offer.subject)
         if pursuit is None or pursuit.assembly is None or pursuit.version != offer.revision:
@@ -162,7 +162,7 @@
         document = pursuit.assembly.add(offer)
         if document is None:
             pursuit.asked_at = self._clock.now()
-            return _since(pursuit.assembly.next_ask(), pursuit.held)
+            return _since(pursuit.assembly.next_request(), pursuit.held)
         del self._pursuit_by_subject[offer.subject]
         self._take(offer.subject, offer.revision, _inflated(document))
         return None
@@ -196,10 +196,10 @@
             pursuit.assembly = configchunks.Assembly(version, subject)
             pursuit.held = self.versions().of(subject)
         pursuit.asked_at = self._clock.now()
-        question = _since(pursuit.assembly.next_ask(), pursuit.held)
+        question = _since(pursuit.assembly.next_request(), pursuit.held)
         return None if question is None else Ask(node, question)
 
-    def _offers_of(self, wanted: "_Wanted") -> tuple[messages.ConfigOffer, ...]:
+    def _offers_of(self, wanted: "_Wanted") -> tuple[messages.DocumentChunk, ...]:
         made = self._offers.pop(wanted, None)
         if made is None:
             document = self._read(wanted.subject, wanted.since)
@@ -221,7 +221,7 @@
     since: int
 
 
-def _since(ask: messages.ConfigAsk | None, since: int) -> messages.ConfigAsk | None:
+def _since(ask: messages.ChunkRequest | None, since: int) -> messages.ChunkRequest | None:
     """Return an ask that says which position its sender has."""
     return None if ask is None else dataclasses.replace(ask, since=since)
 
@@ -242,7 +242,7 @@
     return member.heartbeat.list_version
 
 
-def _version_in(hint: messages.ConfigHint, subject: messages.Subject) -> int:
+def _version_in(hint: messages.VersionAnnouncement, subject: messages.Subject) -> int:
     return hint.revision if subject is messages.Subject.CONFIGURATION else hint.list_version
 
 
--- a/hornbeamglade/entry/storewatch.py
+++ b/hornbeamglade/entry/storewatch.py
@@ -49,7 +49,7 @@
     """
 
     node: str
-    message: messages.ConfigHint
+    message: messages.VersionAnnouncement
 
 
 class StoreWatch:
@@ -90,7 +90,7 @@
         """Note that the list of the others was read."""
         self._begins_at = min(self._begins_at, self._clock.now())
 
-    def heard(self, hint: messages.ConfigHint) -> None:
+    def heard(self, hint: messages.VersionAnnouncement) -> None:
         """Take a hint: a follower lives."""
         if hint.is_reached:
             self._heard_at = self._clock.now()
@@ -156,5 +156,5 @@
             return ()
         self._change_hints = max(0, self._change_hints - 1)
         self._hint_at = now + (CHANGE_HINT_EVERY_S if self._change_hints else HINT_EVERY_S)
-        message = messages.ConfigHint(*versions, self._reached(), evacuations)
+        message = messages.VersionAnnouncement(*versions, self._reached(), evacuations)
         return tuple(Hint(node, message) for node in self._told)
--- a/hornbeamglade/exchange/codec.py
+++ b/hornbeamglade/exchange/codec.py
@@ -132,7 +132,7 @@
     >>> ring = KeyRing(1, {1: b"sixteen bytes at least"})
     >>> a = Codec("a", 1, ring, clocks.ManualClock())
     >>> b = Codec("b", 1, ring, clocks.ManualClock())
-    >>> b.decode(a.encode("b", messages.ConfigHint(7))).message.revision
+    >>> b.decode(a.encode("b", messages.VersionAnnouncement(7))).message.revision
     7
     >>> b.decode(b"noise").reason
     'truncated'
--- a/hornbeamglade/exchange/configchunks.py
+++ b/hornbeamglade/exchange/configchunks.py
@@ -21,7 +21,7 @@
     revision: int,
     document: bytes,
     subject: messages.Subject = messages.Subject.CONFIGURATION,
-) -> tuple[messages.ConfigOffer, ...]:
+) -> tuple[messages.DocumentChunk, ...]:
     """Cut a document into offers.
 
     :param revision: the revision of the document.
@@ -43,7 +43,7 @@
     parts = [document[start : start + size] for start in range(0, len(document), size)] or [b""]
     digest = hashlib.sha256(document).digest()
     return tuple(
-        messages.ConfigOffer(revision, digest, chunk, len(parts), part, subject)
+        messages.DocumentChunk(revision, digest, chunk, len(parts), part, subject)
         for chunk, part in enumerate(parts)
     )
 
@@ -74,14 +74,16 @@
         self._source: tuple[bytes, int] | None = None
         self._content_by_chunk: dict[int, bytes] = {}
 
-    def next_ask(self) -> messages.ConfigAsk | None:
+    def next_request(self) -> messages.ChunkRequest | None:
         """Return the ask for the first chunk that is missing, or None at the end."""
         chunks = self._source[1] if self._source else 1
         missing = (chunk for chunk in range(chunks) if chunk not in self._content_by_chunk)
         chunk = next(missing, None)
-        return None if chunk is None else messages.ConfigAsk(self._revision, chunk, self._subject)
+        return (
+            None if chunk is None else messages.ChunkRequest(self._revision, chunk, self._subject)
+        )
 
-    def add(self, offer: messages.ConfigOffer) -> bytes | None:
+    def add(self, offer: messages.DocumentChunk) -> bytes | None:
         """Take one chunk.
 
         :returns: the whole document once it is complete and matches its digest.
--- a/hornbeamglade/exchange/framesizes.py
+++ b/hornbeamglade/exchange/framesizes.py
@@ -50,7 +50,7 @@
     Examples
     ========
 
-    >>> packet_bytes(messages.ConfigHint(7)) < 100
+    >>> packet_bytes(messages.VersionAnnouncement(7)) < 100
     True
     """
     clock = clocks.ManualClock(_START_S)
--- a/hornbeamglade/exchange/messages.py
+++ b/hornbeamglade/exchange/messages.py
@@ -295,7 +295,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ConfigHint:
+class VersionAnnouncement:
     """What the sender has of the platform's store; the recipient reads what is newer.
 
     :param revision: the configuration's revision.
@@ -311,7 +311,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ConfigAsk:
+class ChunkRequest:
     """Ask a peer for one chunk of a configuration document.
 
     :param revision: the revision wanted.
@@ -327,7 +327,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ConfigOffer:
+class DocumentChunk:
     """One chunk of a configuration document.
 
     :param revision: the revision of the document.
@@ -408,9 +408,9 @@
     | GrantResponse
     | Progress
     | MigrationSlot
-    | ConfigHint
-    | ConfigAsk
-    | ConfigOffer
+    | VersionAnnouncement
+    | ChunkRequest
+    | DocumentChunk
     | SupersededIncarnation
     | CrashReport
     | QuarantineNotice
--- a/hornbeamglade/exchange/wireforms.py
+++ b/hornbeamglade/exchange/wireforms.py
@@ -271,33 +271,33 @@
     )
 
 
-def _fill_hint(builder: _Builder, message: messages.ConfigHint) -> None:
+def _fill_version_announcement(builder: _Builder, message: messages.VersionAnnouncement) -> None:
     builder.revision = message.revision
     builder.listVersion = message.list_version
     builder.isReached = message.is_reached
     _fill_evacuations(builder, message.evacuations)
 
 
-def _read_hint(reader: _Reader) -> messages.ConfigHint:
-    return messages.ConfigHint(
+def _read_version_announcement(reader: _Reader) -> messages.VersionAnnouncement:
+    return messages.VersionAnnouncement(
         reader.revision, reader.listVersion, reader.isReached, _read_evacuations(reader)
     )
 
 
-def _fill_config_ask(builder: _Builder, message: messages.ConfigAsk) -> None:
+def _fill_chunk_request(builder: _Builder, message: messages.ChunkRequest) -> None:
     builder.revision = message.revision
     builder.chunk = message.chunk
     builder.subject = int(message.subject)
     builder.since = message.since
 
 
-def _read_config_ask(reader: _Reader) -> messages.ConfigAsk:
-    return messages.ConfigAsk(
+def _read_chunk_request(reader: _Reader) -> messages.ChunkRequest:
+    return messages.ChunkRequest(
         reader.revision, reader.chunk, messages.Subject(reader.subject), reader.since
     )
 
 
-def _fill_offer(builder: _Builder, message: messages.ConfigOffer) -> None:
+def _fill_document_chunk(builder: _Builder, message: messages.DocumentChunk) -> None:
     _checked_length(message.content, messages.MAX_CHUNK_BYTES)
     builder.revision = message.revision
     builder.digest = message.digest
@@ -307,7 +307,7 @@
     builder.subject = int(message.subject)
 
 
-def _read_offer(reader: _Reader) -> messages.ConfigOffer:
+def _read_document_chunk(reader: _Reader) -> messages.DocumentChunk:
     digest = bytes(reader.digest)
     content = bytes(reader.content)
     _checked_length(content, messages.MAX_CHUNK_BYTES)
@@ -316,7 +316,7 @@
     if not reader.chunk < reader.chunks <= messages.MAX_CHUNKS:
         raise ValueError("chunk out of bounds")
     subject = messages.Subject(reader.subject)
-    return messages.ConfigOffer(
+    return messages.DocumentChunk(
         reader.revision, digest, reader.chunk, reader.chunks, content, subject
     )
 
@@ -382,9 +382,14 @@
     _Form(messages.GrantResponse, "grantAnswer", _fill_answer, _read_answer),
     _Form(messages.Progress, "progress", _fill_progress, _read_progress),
     _Form(messages.MigrationSlot, "moveTurn", _fill_turn, _read_turn),
-    _Form(messages.ConfigHint, "configHint", _fill_hint, _read_hint),
-    _Form(messages.ConfigAsk, "configAsk", _fill_config_ask, _read_config_ask),
-    _Form(messages.ConfigOffer, "configOffer", _fill_offer, _read_offer),
+    _Form(
+        messages.VersionAnnouncement,
+        "configHint",
+        _fill_version_announcement,
+        _read_version_announcement,
+    ),
+    _Form(messages.ChunkRequest, "configAsk", _fill_chunk_request, _read_chunk_request),
+    _Form(messages.DocumentChunk, "configOffer", _fill_document_chunk, _read_document_chunk),
     _Form(messages.SupersededIncarnation, "outrun", _fill_superseded, _read_superseded),
     _Form(messages.CrashReport, "crashReport", _fill_crashes, _read_crashes),
     _Form(messages.QuarantineNotice, "quarantineNotice", _fill_quarantine, _read_quarantine),
--- a/hornbeamglade/node/peering.py
+++ b/hornbeamglade/node/peering.py
@@ -245,16 +245,16 @@
             self.quarantine.on_report(sender.name, message)
         elif isinstance(message, messages.QuarantineNotice):
             self.quarantine.on_notice(message)
-        elif isinstance(message, messages.ConfigHint):
+        elif isinstance(message, messages.VersionAnnouncement):
             self._config.hint(message.revision, sender.name)
         elif isinstance(message, messages.SupersededIncarnation):
             rising.rise_above(message.incarnation, self.codec, self.grants, self.heartbeats)
-        elif isinstance(message, messages.ConfigAsk):
+        elif isinstance(message, messages.ChunkRequest):
             self._offer_chunk(message, transport.Peer(sender.name, source))
-        elif isinstance(message, messages.ConfigOffer):
+        elif isinstance(message, messages.DocumentChunk):
             self._take_chunk(message, transport.Peer(sender.name, source))
 
-    def _offer_chunk(self, ask: messages.ConfigAsk, peer: transport.Peer) -> None:
+    def _offer_chunk(self, ask: messages.ChunkRequest, peer: transport.Peer) -> None:
         revision = self._config.document_for_peers()
         if revision is None or revision.number != ask.revision:
             return
@@ -309,12 +309,12 @@
         if self._assembly is None or self._assembled_revision != newest:
             self._assembly = configchunks.Assembly(newest)
             self._assembled_revision = newest
-        ask = self._assembly.next_ask()
+        ask = self._assembly.next_request()
         peer = self.heartbeats.peer(name_by_revision[newest])
         if ask is not None and peer is not None:
             self.transport.send(peer, ask)
 
-    def _take_chunk(self, offer: messages.ConfigOffer, peer: transport.Peer) -> None:
+    def _take_chunk(self, offer: messages.DocumentChunk, peer: transport.Peer) -> None:
         assembly = self._assembly
         if assembly is None:
             return
@@ -323,7 +323,7 @@
             digest = DIGEST_PREFIX + offer.digest.hex()
             self._config.offer(documents.Revision(offer.revision, digest, "", document.decode()))
             return
-        ask = assembly.next_ask()
+        ask = assembly.next_request()
         if ask is not None:
             self.transport.send(peer, ask)
 
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -232,9 +232,11 @@
     mark = contract.Row("op/evacuate/a", "", 5)
     believer.following.on_configuration(contract.Changes((mark,), (), 5, 5))
     for state in (evacuations.Evacuations(), evacuations.Evacuations(4)):
-        believer.following.on_hint(messages.ConfigHint(1, 1, True, state))
+        believer.following.on_hint(messages.VersionAnnouncement(1, 1, True, state))
     assert believer.evacuated == [["a"]]
-    believer.following.on_hint(messages.ConfigHint(1, 1, True, evacuations.Evacuations(6)))
+    believer.following.on_hint(
+        messages.VersionAnnouncement(1, 1, True, evacuations.Evacuations(6))
+    )
     assert believer.evacuated == [["a"], []]
 
 
--- a/tests/entry/test_sharing.py
+++ b/tests/entry/test_sharing.py
@@ -111,7 +111,7 @@
 
 def hint(holder):
     versions = holder.documents.versions()
-    return messages.ConfigHint(versions.configuration, versions.replicas, True)
+    return messages.VersionAnnouncement(versions.configuration, versions.replicas, True)
 
 
 def test_what_a_follower_hints_at_is_asked_for_at_once():
--- a/tests/entry/test_ticks.py
+++ b/tests/entry/test_ticks.py
@@ -49,7 +49,7 @@
 def test_an_instance_that_wants_a_newer_document_ticks_often():
     """A chunk of a document is lost: it must be asked for again within a tick of its time."""
     node = begun_node()
-    hint = messages.ConfigHint(5, 9, True)
+    hint = messages.VersionAnnouncement(5, 9, True)
     assert node.instance.tick_s == instance.IDLE_TICK_S
     node.instance.peering._documents.on_hint("entry-1", hint)
     assert node.instance.tick_s == instance.TICK_S
--- a/tests/exchange/strategies.py
+++ b/tests/exchange/strategies.py
@@ -73,7 +73,7 @@
     strategies.lists(strategies.builds(messages.GrantRelease, _U64, _U32), max_size=8).map(tuple),
 )
 _OFFERS = strategies.builds(
-    messages.ConfigOffer,
+    messages.DocumentChunk,
     revision=_U64,
     digest=strategies.binary(min_size=32, max_size=32),
     chunk=strategies.integers(0, 4),
@@ -92,9 +92,11 @@
     | _ANSWERS
     | _PROGRESS
     | _TURNS
-    | strategies.builds(messages.ConfigHint, _U64, _U64, strategies.booleans(), _EVACUATIONS)
     | strategies.builds(
-        messages.ConfigAsk, _U64, _U16, strategies.sampled_from(messages.Subject), _U64
+        messages.VersionAnnouncement, _U64, _U64, strategies.booleans(), _EVACUATIONS
+    )
+    | strategies.builds(
+        messages.ChunkRequest, _U64, _U16, strategies.sampled_from(messages.Subject), _U64
     )
     | _OFFERS
     | strategies.builds(
--- a/tests/exchange/test_codec.py
+++ b/tests/exchange/test_codec.py
@@ -11,7 +11,7 @@
 from tests.exchange import strategies as exchange_strategies
 
 OLD, NEW = b"the site key of last year", b"the site key of this year"
-HINT = messages.ConfigHint(7)
+HINT = messages.VersionAnnouncement(7)
 fuzz = hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=150)
 
 
@@ -97,7 +97,7 @@
 
 def test_a_message_beyond_a_datagram_is_refused_at_the_sender():
     with pytest.raises(codederrors.CodedError, match="exchange_message_too_large"):
-        make("a").encode("b", messages.ConfigOffer(1, b"d" * 32, 0, 1, b"x" * 1001))
+        make("a").encode("b", messages.DocumentChunk(1, b"d" * 32, 0, 1, b"x" * 1001))
 
 
 def test_a_load_figure_out_of_range_is_clipped_and_the_heartbeat_goes_out():
@@ -177,5 +177,5 @@
     """Cut short, a state would end the evacuations that it leaves out."""
     state = evacuations.Evacuations(4, frozenset(domains))
     sender, recipient = make("a"), make("b")
-    frame = sender.encode("b", messages.ConfigHint(7, 3, True, state))
-    assert recipient.decode(frame).message == messages.ConfigHint(7, 3, True)
+    frame = sender.encode("b", messages.VersionAnnouncement(7, 3, True, state))
+    assert recipient.decode(frame).message == messages.VersionAnnouncement(7, 3, True)
--- a/tests/exchange/test_configchunks.py
+++ b/tests/exchange/test_configchunks.py
@@ -15,16 +15,16 @@
     rng.shuffle(offers)
     assembly = configchunks.Assembly(3)
     assert [assembly.add(offer) for offer in offers][-1] == document
-    assert assembly.next_ask() is None
+    assert assembly.next_request() is None
 
 
 def test_asks_name_the_first_missing_chunk():
     offers = configchunks.split(3, b"x" * 2500)
     assembly = configchunks.Assembly(3)
-    assert assembly.next_ask().chunk == 0
+    assert assembly.next_request().chunk == 0
     assembly.add(offers[0])
     assembly.add(offers[2])
-    assert assembly.next_ask().chunk == 1
+    assert assembly.next_request().chunk == 1
 
 
 def test_chunks_of_two_documents_are_never_mixed():
@@ -46,4 +46,4 @@
     (offer,) = configchunks.split(3, b"accepted")
     assembly = configchunks.Assembly(3)
     assert assembly.add(dataclasses.replace(offer, content=b"tampered")) is None
-    assert assembly.next_ask().chunk == 0
+    assert assembly.next_request().chunk == 0
--- a/tests/exchange/test_transport.py
+++ b/tests/exchange/test_transport.py
@@ -29,9 +29,9 @@
     inbox = queue.Queue()
     receiver = udp("b", lambda *received: inbox.put(received))
     sender = udp("a", lambda *received: None)
-    sender.send(transport.Peer("b", receiver.endpoint), messages.ConfigHint(7))
+    sender.send(transport.Peer("b", receiver.endpoint), messages.VersionAnnouncement(7))
     message, origin, source = inbox.get(timeout=BOUND_S)
-    assert message == messages.ConfigHint(7)
+    assert message == messages.VersionAnnouncement(7)
     assert (origin.name, source) == ("a", sender.endpoint)
     assert receiver.traffic.bytes_in == sender.traffic.bytes_out > 0
 
@@ -49,8 +49,8 @@
     receiver = udp("b", handle)
     sender = udp("a", lambda *received: None)
     for revision in (1, 2):
-        sender.send(transport.Peer("b", receiver.endpoint), messages.ConfigHint(revision))
-    assert inbox.get(timeout=BOUND_S) == messages.ConfigHint(2)
+        sender.send(transport.Peer("b", receiver.endpoint), messages.VersionAnnouncement(revision))
+    assert inbox.get(timeout=BOUND_S) == messages.VersionAnnouncement(2)
     assert receiver.traffic.handler_failures == 1
 
 
@@ -58,7 +58,7 @@
     sender = udp("a", lambda *received: None)
     peer = transport.Peer("b", sender.endpoint)
     sender.stop()
-    sender.send(peer, messages.ConfigHint(1))
+    sender.send(peer, messages.VersionAnnouncement(1))
     assert sender.traffic == transport.Traffic(send_failures=1)
 
 
