--- a/hornbeamglade/streams/generationstream.py
+++ b/hornbeamglade/streams/generationstream.py
@@ -27,7 +27,7 @@
     ENDED = "ended"
 
 
-class AfterLoss(enum.Enum):
+class RecoveryAction(enum.Enum):
     """What may follow when a generation's connection was lost.
 
     ``RUN_AGAIN`` starts another generation; ``RESUME`` continues the same one
@@ -51,12 +51,12 @@
     >>> stream = GenerationStream(repeatable=True, resumable=False)
     >>> stream.begin("g1")
     >>> stream.lost("g1")
-    <AfterLoss.RUN_AGAIN: 'run_again'>
+    <RecoveryAction.RUN_AGAIN: 'run_again'>
     >>> stream.begin("g2")
     >>> stream.accept("g1", 0), stream.accept("g2", 0), stream.accept("g2", 0)
     (False, True, False)
     >>> stream.lost("g2")
-    <AfterLoss.END: 'end'>
+    <RecoveryAction.END: 'end'>
     """
 
     __slots__ = ("_generation", "_repeatable", "_resumable", "next_offset", "phase")
@@ -102,13 +102,13 @@
         self.phase = Phase.DELIVERING
         return True
 
-    def lost(self, generation: str) -> AfterLoss:
+    def lost(self, generation: str) -> RecoveryAction:
         """Decide what may follow the loss of a generation's connection."""
         if generation != self._generation or self.phase is Phase.ENDED:
-            return AfterLoss.END
+            return RecoveryAction.END
         if self.next_offset == 0 and self._repeatable:
-            return AfterLoss.RUN_AGAIN
-        return AfterLoss.RESUME if self._resumable else AfterLoss.END
+            return RecoveryAction.RUN_AGAIN
+        return RecoveryAction.RESUME if self._resumable else RecoveryAction.END
 
     def end(self) -> bool:
         """Claim the right to give the final answer; true exactly once."""
