--- a/hornbeamglade/node/runtime.py
+++ b/hornbeamglade/node/runtime.py
@@ -66,7 +66,7 @@
     def requested(self, service: str) -> None:
         """Note a request's first attempt."""
         with self._lock:
-            self._of(service).requested()
+            self._of(service).record_request()
 
     def spend(self, service: str, *, repeatable: bool) -> bool:
         """Take one retry from the budget, if it may be."""
--- a/hornbeamglade/retries/budget.py
+++ b/hornbeamglade/retries/budget.py
@@ -36,8 +36,8 @@
     >>> budget = RetryBudget(RetrySettings(share=0.5, burst=1.0))
     >>> budget.spend(repeatable=True), budget.spend(repeatable=True)
     (True, False)
-    >>> budget.requested()
-    >>> budget.requested()
+    >>> budget.record_request()
+    >>> budget.record_request()
     >>> budget.spend(repeatable=False), budget.spend(repeatable=True)
     (False, True)
     """
@@ -46,7 +46,7 @@
         self._settings = settings
         self._saved = settings.burst
 
-    def requested(self) -> None:
+    def record_request(self) -> None:
         """Note the first attempt of a request."""
         self._saved = min(self._saved + self._settings.share, self._settings.burst)
 
--- a/tests/retries/test_budget.py
+++ b/tests/retries/test_budget.py
@@ -7,7 +7,7 @@
     made = budget.RetryBudget(budget.RetrySettings(share=0.1, burst=10.0))
     retries = 0
     for _ in range(1000):
-        made.requested()
+        made.record_request()
         retries += sum(made.spend(repeatable=True) for _ in range(3))
     assert 100 <= retries <= 110
 
@@ -22,5 +22,5 @@
 def test_quiet_time_saves_up_no_more_than_the_burst():
     made = budget.RetryBudget(budget.RetrySettings(share=1.0, burst=2.0))
     for _ in range(100):
-        made.requested()
+        made.record_request()
     assert [made.spend(repeatable=True) for _ in range(3)] == [True, True, False]
