--- a/hornbeamglade/bench/policyschedulers.py
+++ b/hornbeamglade/bench/policyschedulers.py
@@ -155,7 +155,7 @@
         if probe is not None and self.replica_by_name[probe].is_up:
             return [probe]
         known = self._placements_by_node[node].applied(self._known(node, now), now)
-        ordered = choice.order(work, known, self._rng, self._settings)
+        ordered = choice.rank(work, known, self._rng, self._settings)
         return [each.candidate.replica for each in ordered[:_TRIES]]
 
     def _known(self, node: int, now: float) -> list[candidates.Candidate]:
--- a/hornbeamglade/capacity/measuringrouting.py
+++ b/hornbeamglade/capacity/measuringrouting.py
@@ -81,7 +81,7 @@
 
     def choose() -> None:
         known = catalog.candidates("pool-0", prefix, frozenset(), own)
-        choice.order(work, placed.applied(known, 0.5), rng, settings)
+        choice.rank(work, placed.applied(known, 0.5), rng, settings)
 
     return gauges.cpu_us(choose)
 
--- a/hornbeamglade/grants/asyncgrantacquirer.py
+++ b/hornbeamglade/grants/asyncgrantacquirer.py
@@ -275,7 +275,7 @@
 
     def _choices(self, placement: PlacementRequest) -> tuple[choicelib.Choice, ...]:
         current = self._placements.applied(placement.known(), self._clock.now())
-        return choicelib.order(placement.work, current, self._rng, self._settings)
+        return choicelib.rank(placement.work, current, self._rng, self._settings)
 
     async def _queue_at(
         self, placement: PlacementRequest, replica: str
--- a/hornbeamglade/grants/grantacquirer.py
+++ b/hornbeamglade/grants/grantacquirer.py
@@ -293,7 +293,7 @@
         present = known()
         with self._lock:
             current = self._placements.applied(present, self._clock.now())
-            return choicelib.order(work, current, self._rng, self._settings)
+            return choicelib.rank(work, current, self._rng, self._settings)
 
     def _ask(
         self, placement: PlacementRequest, replica: str, known: Known | None
--- a/hornbeamglade/routing/choice.py
+++ b/hornbeamglade/routing/choice.py
@@ -83,7 +83,7 @@
     return min(_costed(work, compared, settings), key=lambda choice: choice.cost_s)
 
 
-def order(
+def rank(
     work: outcomes.Work,
     candidates: collections.abc.Sequence[candidatelib.Candidate],
     rng: random.Random,
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -110,9 +110,9 @@
         candidate("other", expected_wait_s=0.02, failure_domain="z2"),
         candidate("gone", leaving=True),
     ]
-    ranked = choice.order(WORK, known, random.Random(1), SETTINGS)
+    ranked = choice.rank(WORK, known, random.Random(1), SETTINGS)
     assert [each.candidate.replica for each in ranked] == ["first", "other", "same"]
 
 
 def test_order_is_empty_without_a_candidate():
-    assert choice.order(WORK, [], random.Random(1), SETTINGS) == ()
+    assert choice.rank(WORK, [], random.Random(1), SETTINGS) == ()
