--- a/hornbeamglade/entry/callershandler.py
+++ b/hornbeamglade/entry/callershandler.py
@@ -13,13 +13,13 @@
 from hornbeamglade.quarantine import fingerprints, requestquarantine
 from hornbeamglade.routed import (
     attemptlog,
+    bufferedexchange,
     callrouter,
     dialect,
     drainadmission,
-    ownanswers,
-    plainexchange,
+    responses,
     retrybudget,
-    runparts,
+    rundependencies,
     streamrun,
     views,
 )
@@ -48,13 +48,13 @@
 
     words: dialect.Dialect
     startup: startupgate.StartupGate
-    current: views.Views
-    plain: plainexchange.PlainExchange
-    runs: runparts.RunParts
+    current: views.CurrentView
+    plain: bufferedexchange.BufferedExchange
+    runs: rundependencies.RunDependencies
     quarantine: requestquarantine.RequestQuarantine
     budgets: retrybudget.RetryBudgets
     leaving: drainadmission.DrainAdmission
-    belief: collections.abc.Callable[[], views.Belief]
+    belief: collections.abc.Callable[[], views.ListStaleness]
     metrics: metrics.NodeMetrics
     clock: clocks.Clock
 
@@ -98,7 +98,9 @@
             return
         await self._answer(exchange, routed)
 
-    async def _answer(self, exchange: serverside.Exchange, routed: callrouter.RoutedCall) -> None:
+    async def _answer(
+        self, exchange: serverside.Exchange, routed: callrouter.RoutedRequest
+    ) -> None:
         parts = self._parts
         log = attemptlog.AttemptLog()
         refusal = parts.quarantine.refusal(routed.fingerprint) or parts.leaving.refusal(
@@ -107,7 +109,7 @@
         if refusal is not None:
             await self._send_away(exchange, routed, log, refusal)
             return
-        parts.budgets.requested(routed.service.name, parts.clock.now())
+        parts.budgets.record_request(routed.service.name, parts.clock.now())
         run = self._make_run(exchange, routed, log)
         try:
             async with asyncio.timeout(max(0.0, routed.ends_at - parts.clock.now())):
@@ -116,13 +118,13 @@
             answer = _timed_out(routed, log)
             if exchange.is_answered:
                 exchange.abort()
-                answer = run.streamed(is_whole=False)
+                answer = run.result(is_complete=False)
         except asyncio.CancelledError:
             self._note_cut(routed, log, run)
             raise
         if _is_completed(answer):
             parts.quarantine.completed(routed.fingerprint)
-        if isinstance(answer, streamrun.Streamed):
+        if isinstance(answer, streamrun.StreamResult):
             self._note_stream(routed, log, answer)
         elif isinstance(answer, outcomes.Refusal):
             await self._send_away(exchange, routed, log, answer)
@@ -133,7 +135,7 @@
     async def _send_away(
         self,
         exchange: serverside.Exchange,
-        routed: callrouter.RoutedCall,
+        routed: callrouter.RoutedRequest,
         log: attemptlog.AttemptLog,
         refusal: outcomes.Refusal,
     ) -> None:
@@ -147,7 +149,7 @@
     def _make_run(
         self,
         exchange: serverside.Exchange,
-        routed: callrouter.RoutedCall,
+        routed: callrouter.RoutedRequest,
         log: attemptlog.AttemptLog,
     ) -> streamrun.StreamRun | None:
         """Return the run of a request for an engine's stream; None for a plain one."""
@@ -166,11 +168,11 @@
         self, exchange: serverside.Exchange, refusal: outcomes.Refusal, request_id: str, team: str
     ) -> None:
         self._parts.metrics.refusals.add(labels=(refusal.code, team))
-        await ownanswers.refuse(exchange, refusal, request_id)
+        await responses.refuse(exchange, refusal, request_id)
 
     def _note(
         self,
-        routed: callrouter.RoutedCall,
+        routed: callrouter.RoutedRequest,
         log: attemptlog.AttemptLog,
         outcome: str,
         status: int,
@@ -195,7 +197,7 @@
             team="-" if routed.team is None else routed.team.name,
             revision=routed.revision,
             attempts=log.sent,
-            replica=",".join([*log.tried, *filter(None, (log.under_way,))])[:100] or "-",
+            replica=",".join([*log.tried, *filter(None, (log.in_flight_replica,))])[:100] or "-",
             run=log.run.value,
             list_version=positions.version(belief.list_version),
             era=positions.era(belief.list_version),
@@ -211,7 +213,7 @@
 
     def _note_cut(
         self,
-        routed: callrouter.RoutedCall,
+        routed: callrouter.RoutedRequest,
         log: attemptlog.AttemptLog,
         run: streamrun.StreamRun | None,
     ) -> None:
@@ -219,36 +221,36 @@
         # A planned stop that reaches its limit ends what is under way as a caller's close
         # does. Told as the caller's doing, it would send whoever looks for the cause astray.
         is_over = self._parts.leaving.is_over(self._parts.clock.now())
-        events = None if run is None else run.streamed(is_whole=False).events
+        events = None if run is None else run.result(is_complete=False).events
         self._note(routed, log, "cut_by_stop" if is_over else "caller_left", 0, events=events)
 
     def _note_stream(
         self,
-        routed: callrouter.RoutedCall,
+        routed: callrouter.RoutedRequest,
         log: attemptlog.AttemptLog,
-        streamed: streamrun.Streamed,
+        streamed: streamrun.StreamResult,
     ) -> None:
         first_s = streamed.first_event_s
         self._note(
             routed,
             log,
-            "streamed" if streamed.is_whole else "broken_off",
+            "streamed" if streamed.is_complete else "broken_off",
             http.HTTPStatus.OK.value,
             events=streamed.events,
-            moves=streamed.moves,
+            moves=streamed.migrations,
             first_s=None if first_s is None else round(first_s, 4),
             gap_s=round(streamed.longest_gap_s, 4),
         )
 
 
-def _is_completed(answer: streamrun.Streamed | outcomes.Refusal | ownanswers.Answer) -> bool:
+def _is_completed(answer: streamrun.StreamResult | outcomes.Refusal | responses.Response) -> bool:
     """Tell whether a replica ran a request to a good end."""
-    if isinstance(answer, streamrun.Streamed):
-        return answer.is_whole
-    return isinstance(answer, ownanswers.Answer) and answer.status < 500
+    if isinstance(answer, streamrun.StreamResult):
+        return answer.is_complete
+    return isinstance(answer, responses.Response) and answer.status < 500
 
 
-def _timed_out(routed: callrouter.RoutedCall, log: attemptlog.AttemptLog) -> outcomes.Refusal:
+def _timed_out(routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog) -> outcomes.Refusal:
     if log.run is outcomes.RunStatus.NOT_RUN:
         detail = f"no replica of {routed.service.name} could take the request in time"
         return outcomes.Refusal("not_started_in_time", 503, detail, retry_after_s=UNREAD_RETRY_S)
--- a/hornbeamglade/entry/enginewatch.py
+++ b/hornbeamglade/entry/enginewatch.py
@@ -102,7 +102,7 @@
         )
         self._schedulers.leave(replica_id)
         if self._moves_runs:
-            self._registry.replica_leaves(replica_id)
+            self._registry.on_replica_leaving(replica_id)
 
     def has_reported_stop(self, replica_id: str) -> bool:
         """Tell whether an engine's own report, here or at its owner, announced its stop."""
@@ -124,7 +124,7 @@
         neither is reset.
         """
         self._pool.close_kept(former.address)
-        self._registry.replica_gone(former.id)
+        self._registry.on_replica_gone(former.id)
 
     def forget_absent(self) -> None:
         """Forget replicas that are neither in the list nor have left it lately."""
--- a/hornbeamglade/entry/following.py
+++ b/hornbeamglade/entry/following.py
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        current: views.Views,
+        current: views.CurrentView,
         available: availability.Availability,
         clock: clocks.Clock,
         list_changed: ListChanged,
@@ -82,12 +82,12 @@
         revision = 0 if route_view is None else route_view.revision
         return sharing.Versions(revision, self._replicas.version)
 
-    def belief(self) -> views.Belief:
+    def belief(self) -> views.ListStaleness:
         """Return what this instance believes of the replicas, and how old that is."""
         heard_at = self.reached_at_by_table.get(tables.REPLICAS)
         times = [each for each in (heard_at, self._confirmed_at) if each is not None]
         age_s = self._clock.now() - max(times) if times else None
-        return views.Belief(self._replicas.version, age_s)
+        return views.ListStaleness(self._replicas.version, age_s)
 
     def on_hint(self, hint: messages.VersionAnnouncement) -> None:
         """Take the word of a follower: its list is as new as the store's."""
--- a/hornbeamglade/entry/gauges.py
+++ b/hornbeamglade/entry/gauges.py
@@ -27,7 +27,7 @@
     """
 
     instruments: metrics.NodeMetrics
-    current: views.Views
+    current: views.CurrentView
     available: availability.Availability
     believed: following.Following
     quarantine: requestquarantine.RequestQuarantine
@@ -49,4 +49,4 @@
         view = self.current.routes
         for name in () if view is None else view.configuration.service_by_name:
             routed.usable_replicas.set(len(self.available.usable(name)), (name,))
-            routed.budget_left.set(self.budgets.left(name, self.clock.now()), (name,))
+            routed.budget_left.set(self.budgets.remaining(name, self.clock.now()), (name,))
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -35,17 +35,17 @@
 from hornbeamglade.replicas import evacuations as evacuationlib
 from hornbeamglade.replicas import models as replicamodels
 from hornbeamglade.routed import (
+    bufferedexchange,
     drainadmission,
     enginecatalog,
-    handover,
-    plainexchange,
+    migration,
+    ratelimitqueue,
     replicaload,
     retrybudget,
-    runparts,
+    rundependencies,
     runregistry,
     sending,
-    streampace,
-    turnqueue,
+    tokentimes,
     views,
 )
 from hornbeamglade.store import contract, positions
@@ -77,7 +77,7 @@
         self.incarnation = int(clock.wall() * 1000)
         self.instruments = metrics.NodeMetrics()
         rng = random.Random(self.incarnation ^ hash(told.name))
-        self._views = views.Views()
+        self._views = views.CurrentView()
         self._startup = startupgate.StartupGate()
         self._replicas = replicalist.ReplicaList()
         self._available = availability.Availability(
@@ -163,7 +163,7 @@
         self.catalog = enginecatalog.EngineCatalog(
             self._available, self._schedulers, digests, self.peering.owned, rates
         )
-        self.peering.offer_others(self.catalog.owned_like)
+        self.peering.offer_others(self.catalog.owned_alternatives)
         self.acquirer = asyncgrantacquirer.AsyncGrantAcquirer(
             clock,
             self._schedulers,
@@ -172,7 +172,7 @@
             rng,
             rates,
         )
-        moves = handover.HandoverParts(
+        moves = migration.MigrationDependencies(
             engine_calls,
             self.acquirer,
             self.peering.turns,
@@ -180,12 +180,12 @@
             clock,
             told.policy.arrivals_in_turn,
         )
-        pace = streampace.StreamPace()
+        pace = tokentimes.TokenTimes()
         self._drain_admission = drainadmission.DrainAdmission(
             pace, self._outlasts, self._are_others_ready
         )
-        turns = turnqueue.TurnQueue(self._available, clock)
-        runs = runparts.RunParts(
+        turns = ratelimitqueue.RateLimitQueue(self._available, clock)
+        runs = rundependencies.RunDependencies(
             self._sender,
             self.acquirer,
             self.catalog,
@@ -200,7 +200,7 @@
             turns,
             clock,
         )
-        plain = plainexchange.PlainExchange(
+        plain = bufferedexchange.BufferedExchange(
             self._available,
             self._sender,
             self._loads,
@@ -278,7 +278,7 @@
         What it is called and where it listens stays until its next start.
         """
         self._told = told
-        self._budgets.use(partsettings.budget(told))
+        self._budgets.configure(partsettings.budget(told))
         self._available.use_bound(partsettings.cold_bound(told))
 
     def addresses(self, failure_domain: str, region: str) -> tuple[str, ...]:
@@ -384,7 +384,7 @@
         """Forget what is gone; every second or so."""
         present = self._replicas.by_id
         self._pool.forget(frozenset(each.address for each in present.values()))
-        self._loads.forget(present)
+        self._loads.forget_absent(present)
         self._available.forget_ended(self._clock.now())
         self._crashes.forget_old()
         self.quarantine.tidy()
--- a/hornbeamglade/platform/requestdialect.py
+++ b/hornbeamglade/platform/requestdialect.py
@@ -94,18 +94,18 @@
         if dispatch.urgency is not None:
             sent.append((b"Request-Priority", b"%d" % dispatch.urgency))
         if dispatch.copy is not None:
-            source = f"{dispatch.copy.held_at}/{dispatch.copy.name}"
+            source = f"{dispatch.copy.source_address}/{dispatch.copy.name}"
             sent.append((b"Kv-From", source.encode()))
         if dispatch.last_event_id is None:
             return (*call.fields, *sent)
         sent.append((b"Last-Event-Id", dispatch.last_event_id.encode()))
         return (*fields.without(call.fields, (_LAST_EVENT,)), *sent)
 
-    def answer_head(self, head: clientside.Head) -> calls.AnswerHead:
+    def response_head(self, head: clientside.Head) -> calls.ResponseHead:
         """Read the head of a replica's answer."""
         is_marked = fields.value(head.fields, _NOT_RUN) is not None
         encoding = fields.value(head.fields, b"content-encoding")
-        return calls.AnswerHead(
+        return calls.ResponseHead(
             status=head.status,
             fields=fields.without(fields.end_to_end(head.fields), (b"content-length",)),
             request_id=_optional_text(head.fields, _REQUEST_ID),
@@ -114,7 +114,7 @@
             is_encoded=encoding not in (None, b"identity"),
             load=_load(fields.value(head.fields, _LOAD)),
             limit=rate_limit(head.fields),
-            is_elsewhere=head.status == _MISDIRECTED,
+            is_misdirected=head.status == _MISDIRECTED,
         )
 
 
--- a/hornbeamglade/routed/__init__.py
+++ b/hornbeamglade/routed/__init__.py
@@ -10,7 +10,7 @@
 - :mod:`hornbeamglade.routed.calls`: requests and answers, as values
 - :mod:`hornbeamglade.routed.dialect`: how they are written, behind an abstract class
 - :mod:`hornbeamglade.routed.callrouter`: route, team and service of a request
-- :mod:`hornbeamglade.routed.plainexchange`: whole answers
+- :mod:`hornbeamglade.routed.bufferedexchange`: whole answers
 - :mod:`hornbeamglade.routed.streamrun`: streams of events
 - :mod:`hornbeamglade.routed.placefinder`: the engines that they run at
 """
--- a/hornbeamglade/routed/attemptlog.py
+++ b/hornbeamglade/routed/attemptlog.py
@@ -13,7 +13,7 @@
     :param tried: replicas that it was sent to, or that could not be reached.
     :param sent: attempts that a replica may have received.
     :param may_have_run: whether one of them may have run.
-    :param under_way: the replica of the attempt that has not ended, or None.
+    :param in_flight_replica: the replica of the attempt that has not ended, or None.
     :param has_answer: whether that replica has begun to answer.
     :param limit_per_s: the limit that the replica of the newest attempt had named, or None.
     """
@@ -21,13 +21,13 @@
     tried: list[str] = dataclasses.field(default_factory=list)
     sent: int = 0
     may_have_run: bool = False
-    under_way: str | None = None
+    in_flight_replica: str | None = None
     has_answer: bool = False
     limit_per_s: float | None = None
 
     def begin(self, replica_id: str, limit: ratelimits.RateLimit | None) -> None:
         """Note that the request is being sent to a replica, and the limit that it had named."""
-        self.under_way = replica_id
+        self.in_flight_replica = replica_id
         self.limit_per_s = None if limit is None else limit.requests_per_s
 
     def answered(self) -> None:
@@ -36,7 +36,7 @@
 
     def note(self, replica_id: str, run: outcomes.RunStatus, was_sent: bool) -> None:
         """Note an attempt that ended without an answer for the caller."""
-        self.under_way = None
+        self.in_flight_replica = None
         self.has_answer = False
         self.tried.append(replica_id)
         self.sent += was_sent
@@ -45,6 +45,6 @@
     @property
     def run(self) -> outcomes.RunStatus:
         """What is known over all attempts."""
-        if self.may_have_run or self.under_way is not None:
+        if self.may_have_run or self.in_flight_replica is not None:
             return outcomes.RunStatus.UNKNOWN
         return outcomes.RunStatus.NOT_RUN
--- a/hornbeamglade/routed/plainexchange.py
+++ b/hornbeamglade/routed/bufferedexchange.py
@@ -9,11 +9,11 @@
     attemptlog,
     callrouter,
     calls,
-    ownanswers,
+    ratelimitqueue,
     replicaload,
+    responses,
     retrybudget,
     sending,
-    turnqueue,
 )
 
 MAX_CONTACTS = 4
@@ -25,7 +25,7 @@
 """Of the time in which an answer is on time; the rest is for the answer."""
 
 
-class PlainExchange:
+class BufferedExchange:
     """Gets a whole answer, at another replica where that is safe.
 
     Explanation
@@ -52,7 +52,7 @@
         budgets: retrybudget.RetryBudgets,
         crashes: crashdetector.CrashDetector,
         quarantine: requestquarantine.RequestQuarantine,
-        turns: turnqueue.TurnQueue,
+        turns: ratelimitqueue.RateLimitQueue,
         clock: clocks.Clock,
     ) -> None:
         self._available = available
@@ -65,13 +65,13 @@
         self._clock = clock
 
     async def answer(
-        self, routed: callrouter.RoutedCall, log: attemptlog.AttemptLog
-    ) -> ownanswers.Answer | outcomes.Refusal:
+        self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
+    ) -> responses.Response | outcomes.Refusal:
         """Return what the caller gets.
 
         :param log: takes the attempts, for a caller whose time ends meanwhile.
         """
-        best: ownanswers.Answer | None = None
+        best: responses.Response | None = None
         while True:
             replica = self._choose(routed, log)
             if replica is None:
@@ -84,7 +84,7 @@
             if log.sent and not self._budgets.spend(routed.service.name, self._clock.now()):
                 return best or _failed(routed, log)
             answer = await self._attempt(routed, replica, log)
-            if isinstance(answer, ownanswers.Answer):
+            if isinstance(answer, responses.Response):
                 if not self._is_worth_another(routed, answer, log):
                     return answer
                 best = answer
@@ -92,7 +92,7 @@
                 return best or _failed(routed, log)
 
     def _choose(
-        self, routed: callrouter.RoutedCall, log: attemptlog.AttemptLog
+        self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
     ) -> replicamodels.Replica | None:
         if len(log.tried) >= MAX_CONTACTS:
             return None
@@ -106,18 +106,20 @@
         ]
         return self._loads.choose(usable)
 
-    async def _turn_comes(self, routed: callrouter.RoutedCall, log: attemptlog.AttemptLog) -> bool:
+    async def _turn_comes(
+        self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
+    ) -> bool:
         """Wait for a turn where all replicas have named limits, while it can be on time."""
         until = routed.call.arrived_at + TURN_WAIT_SHARE * routed.route.goal_s
         return len(log.tried) < MAX_CONTACTS and await self._turns.wait(
             routed.service.name, routed.allowed_regions, log.tried, routed.urgency, until
         )
 
-    def _usable(self, routed: callrouter.RoutedCall) -> tuple[replicamodels.Replica, ...]:
+    def _usable(self, routed: callrouter.RoutedRequest) -> tuple[replicamodels.Replica, ...]:
         return self._available.usable(routed.service.name, routed.allowed_regions)
 
     def _none_left(
-        self, routed: callrouter.RoutedCall, log: attemptlog.AttemptLog
+        self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
     ) -> outcomes.Refusal:
         if log.tried:
             return _failed(routed, log)
@@ -141,15 +143,15 @@
 
     async def _attempt(
         self,
-        routed: callrouter.RoutedCall,
+        routed: callrouter.RoutedRequest,
         replica: replicamodels.Replica,
         log: attemptlog.AttemptLog,
-    ) -> ownanswers.Answer | sending.Failed:
+    ) -> responses.Response | sending.Failed:
         team = None if routed.team is None else routed.team.name
         begun_at = self._clock.now()
         known = self._loads.known(replica)
         dispatch = calls.Dispatch(replica.name, team, routed.ends_at - begun_at)
-        outcome: ownanswers.Answer | sending.Failed | None = None
+        outcome: responses.Response | sending.Failed | None = None
         load = None
         self._loads.started(replica.id)
         self._available.started(replica.id, begun_at)
@@ -159,13 +161,13 @@
             begun = await self._sender.begin(routed, replica, dispatch)
             if isinstance(begun, sending.Begun):
                 load = begun.head.load
-                if not begun.head.is_elsewhere:
+                if not begun.head.is_misdirected:
                     self._available.answered(replica.id, begun.head.limit)
                 outcome = await self._finish(begun)
             else:
                 outcome = begun
         finally:
-            failed = not isinstance(outcome, ownanswers.Answer) or outcome.status >= 500
+            failed = not isinstance(outcome, responses.Response) or outcome.status >= 500
             self._loads.ended(replica.id, failed, load)
             if outcome is None:
                 self._crashes.run_silent(routed.fingerprint, replica, begun_at)
@@ -182,15 +184,15 @@
 
     def _tell_failure(
         self,
-        routed: callrouter.RoutedCall,
+        routed: callrouter.RoutedRequest,
         replica: replicamodels.Replica,
         known: replicaload.Known,
-        outcome: ownanswers.Answer | sending.Failed,
+        outcome: responses.Response | sending.Failed,
         begun_at: float,
     ) -> None:
         """Write the line on an attempt that may lead to another one."""
         now = self._clock.now()
-        is_answer = isinstance(outcome, ownanswers.Answer)
+        is_answer = isinstance(outcome, responses.Response)
         logs.decided(
             routed.call.request_id,
             "attempt",
@@ -200,11 +202,11 @@
             run="ran" if is_answer else outcome.run.value,
             load=round(known.business, 3),
             load_age_s=None if known.age_s is None else round(known.age_s, 3),
-            budget=round(self._budgets.left(routed.service.name, now), 1),
+            budget=round(self._budgets.remaining(routed.service.name, now), 1),
             seconds=round(now - begun_at, 4),
         )
 
-    async def _finish(self, begun: sending.Begun) -> ownanswers.Answer | sending.Failed:
+    async def _finish(self, begun: sending.Begun) -> responses.Response | sending.Failed:
         body = await self._sender.whole_body(begun)
         if isinstance(body, sending.Failed):
             return body
@@ -213,21 +215,24 @@
             return sending.Failed("replica_refused", outcomes.RunStatus.NOT_RUN)
         if not head.is_sealed or head.is_encoded:
             return sending.Failed("answer_not_proved", outcomes.RunStatus.UNKNOWN)
-        return ownanswers.Answer(head.status, head.fields, body)
+        return responses.Response(head.status, head.fields, body)
 
     def _is_worth_another(
-        self, routed: callrouter.RoutedCall, answer: ownanswers.Answer, log: attemptlog.AttemptLog
+        self,
+        routed: callrouter.RoutedRequest,
+        answer: responses.Response,
+        log: attemptlog.AttemptLog,
     ) -> bool:
         """Tell whether a replica's own failure is worth another attempt."""
         return answer.status >= 500 and self._may_go_on(routed, log)
 
-    def _may_go_on(self, routed: callrouter.RoutedCall, log: attemptlog.AttemptLog) -> bool:
+    def _may_go_on(self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog) -> bool:
         if not log.may_have_run:
             return True
         return routed.route.is_repeatable and log.sent < routed.route.max_attempts
 
 
-def _failed(routed: callrouter.RoutedCall, log: attemptlog.AttemptLog) -> outcomes.Refusal:
+def _failed(routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog) -> outcomes.Refusal:
     if log.may_have_run:
         detail = f"no replica of {routed.service.name} gave a whole answer"
         return outcomes.Refusal("no_answer", 502, detail, outcomes.RunStatus.UNKNOWN)
--- a/hornbeamglade/routed/callrouter.py
+++ b/hornbeamglade/routed/callrouter.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RoutedCall:
+class RoutedRequest:
     """A request and where it goes.
 
     :param call: the request.
@@ -55,7 +55,7 @@
         return min(self.call.deadline, self.call.arrived_at + self.route.timeout_s)
 
 
-def route(call: calls.Call, view: views.RouteView | None) -> RoutedCall | outcomes.Refusal:
+def route(call: calls.Call, view: views.RouteView | None) -> RoutedRequest | outcomes.Refusal:
     """Find out where a request goes.
 
     :param view: the configuration in force, or None before the first one.
@@ -72,7 +72,7 @@
     if team is None and view.keys.is_needed and not found.is_public:
         return outcomes.Refusal("key_unknown", 401, "no team holds this key")
     service = view.configuration.service_by_name[splits.service(found, call.request_id)]
-    return RoutedCall(call, found, service, team, view.revision, _fingerprint(call, team))
+    return RoutedRequest(call, found, service, team, view.revision, _fingerprint(call, team))
 
 
 def _fingerprint(call: calls.Call, team: models.Team | None) -> int:
--- a/hornbeamglade/routed/calls.py
+++ b/hornbeamglade/routed/calls.py
@@ -70,11 +70,11 @@
 class Copy:
     """A copy of a run's memory from which the run can go on.
 
-    :param held_at: ``ip:port`` that the copy's name belongs to.
+    :param source_address: ``ip:port`` that the copy's name belongs to.
     :param name: what the copy is called there.
     """
 
-    held_at: str
+    source_address: str
     name: str
 
 
@@ -113,7 +113,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """The head of a replica's answer.
 
     :param status: its status.
@@ -124,7 +124,7 @@
     :param is_encoded: whether the body is not the replica's own bytes.
     :param load: the replica's load, or None.
     :param limit: what the replica takes at most, or None when it names no limit.
-    :param is_elsewhere: whether another server answered than the one that was meant.
+    :param is_misdirected: whether another server answered than the one that was meant.
     """
 
     status: int
@@ -135,4 +135,4 @@
     is_encoded: bool = False
     load: Load | None = None
     limit: ratelimits.RateLimit | None = None
-    is_elsewhere: bool = False
+    is_misdirected: bool = False
--- a/hornbeamglade/routed/dialect.py
+++ b/hornbeamglade/routed/dialect.py
@@ -19,5 +19,5 @@
         """Return the fields with which a request goes to a replica."""
 
     @abc.abstractmethod
-    def answer_head(self, head: clientside.Head) -> calls.AnswerHead:
+    def response_head(self, head: clientside.Head) -> calls.ResponseHead:
         """Read the head of a replica's answer."""
--- a/hornbeamglade/routed/drainadmission.py
+++ b/hornbeamglade/routed/drainadmission.py
@@ -23,7 +23,7 @@
 import dataclasses
 
 from hornbeamglade.core import outcomes
-from hornbeamglade.routed import callrouter, streampace
+from hornbeamglade.routed import callrouter, tokentimes
 
 LEAVING = "node_leaving"
 RETRY_S = 0.05
@@ -64,7 +64,7 @@
     :param begun_at: monotonic seconds of the signal to stop.
     """
 
-    pace: streampace.StreamPace
+    pace: tokentimes.TokenTimes
     outlasts: Outlasts
     others_ready: OthersReady
     ends_at: float | None = None
@@ -82,7 +82,7 @@
         """Tell whether the process ends: what is still under way is cut off by it."""
         return self.ends_at is not None and now >= self.ends_at
 
-    def refusal(self, routed: callrouter.RoutedCall, now: float) -> outcomes.Refusal | None:
+    def refusal(self, routed: callrouter.RoutedRequest, now: float) -> outcomes.Refusal | None:
         """Return the refusal of a request that would be cut off, or None to take it."""
         if self.ends_at is None:
             return None
@@ -96,7 +96,7 @@
         retry_s = RETRY_S if has_others else ALL_LEAVING_RETRY_S
         return outcomes.Refusal(LEAVING, 503, detail, retry_after_s=retry_s)
 
-    def _cut_chance(self, routed: callrouter.RoutedCall, left_s: float) -> float:
+    def _cut_chance(self, routed: callrouter.RoutedRequest, left_s: float) -> float:
         """Return the chance that a request does not end within ``left_s``."""
         left_s -= routed.route.goal_s
         if left_s <= 0.0:
--- a/hornbeamglade/routed/enginecatalog.py
+++ b/hornbeamglade/routed/enginecatalog.py
@@ -127,7 +127,7 @@
     ) -> bool:
         return replica.id not in excluded and self.may_send(replica.id)
 
-    def owned_like(self, replica_id: str, work: outcomes.Work) -> tuple[str, ...]:
+    def owned_alternatives(self, replica_id: str, work: outcomes.Work) -> tuple[str, ...]:
         """Return this node's engines of the service of ``replica_id``, the best first.
 
         :param work: the request that is to be placed.
--- a/hornbeamglade/routed/enginework.py
+++ b/hornbeamglade/routed/enginework.py
@@ -16,7 +16,7 @@
 NO_GENERATION = calls.Generation("", 0, 0)
 
 
-def work(routed: callrouter.RoutedCall) -> outcomes.Work:
+def work(routed: callrouter.RoutedRequest) -> outcomes.Work:
     """Return what the schedulers decide by."""
     generation = routed.call.generation or NO_GENERATION
     return outcomes.Work(
@@ -30,14 +30,14 @@
     )
 
 
-def due(routed: callrouter.RoutedCall) -> float:
+def due(routed: callrouter.RoutedRequest) -> float:
     """Return the monotonic seconds by which a request must start to be on time."""
     generation = routed.call.generation or NO_GENERATION
     read_s = generation.prompt_tokens / promptbacklog.PromptSettings().tokens_per_s
     return routed.call.arrived_at + routed.route.goal_s - read_s
 
 
-def queue_deadline(routed: callrouter.RoutedCall, now: float) -> float:
+def queue_deadline(routed: callrouter.RoutedRequest, now: float) -> float:
     """Return the monotonic seconds until which a request waits for an engine."""
     by_goal = routed.call.arrived_at + QUEUE_GOALS * routed.route.goal_s
     return min(by_goal, now + QUEUE_SHARE * (routed.ends_at - now))
--- a/hornbeamglade/routed/handover.py
+++ b/hornbeamglade/routed/migration.py
@@ -57,7 +57,7 @@
 """An engine with room, and leave to run there."""
 
 
-class Handover:
+class Migration:
     """One run's move.
 
     :param source: the engine that it leaves.
@@ -74,7 +74,7 @@
         source: replicamodels.Replica,
         request_id: str,
         placement: asyncgrantacquirer.PlacementRequest,
-        parts: "HandoverParts",
+        parts: "MigrationDependencies",
     ) -> None:
         self._source = source
         self._request_id = request_id
@@ -273,7 +273,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HandoverParts:
+class MigrationDependencies:
     """What moves work with.
 
     :param engines: calls to engines.
--- a/hornbeamglade/routed/placefinder.py
+++ b/hornbeamglade/routed/placefinder.py
@@ -6,7 +6,14 @@
 from hornbeamglade.exchange import messages
 from hornbeamglade.grants import asyncgrantacquirer
 from hornbeamglade.replicas import models as replicamodels
-from hornbeamglade.routed import attemptlog, callrouter, enginework, handover, runparts, sending
+from hornbeamglade.routed import (
+    attemptlog,
+    callrouter,
+    enginework,
+    migration,
+    rundependencies,
+    sending,
+)
 
 MAX_CONTACTS = 4
 FULL_RETRY_S = 0.5
@@ -37,7 +44,10 @@
     """
 
     def __init__(
-        self, routed: callrouter.RoutedCall, log: attemptlog.AttemptLog, parts: runparts.RunParts
+        self,
+        routed: callrouter.RoutedRequest,
+        log: attemptlog.AttemptLog,
+        parts: rundependencies.RunDependencies,
     ) -> None:
         self._routed = routed
         self._log = log
@@ -112,7 +122,7 @@
         regions = self._routed.allowed_regions
         catalog = self._parts.catalog
         spread = messages.key_hash(self._routed.call.request_id)
-        self._asks += handover.TRIES
+        self._asks += migration.TRIES
         return asyncgrantacquirer.PlacementRequest(
             work=enginework.work(self._routed),
             weight=1.0,
--- a/hornbeamglade/routed/turnqueue.py
+++ b/hornbeamglade/routed/ratelimitqueue.py
@@ -20,7 +20,7 @@
 """A turn that another request did not use after all is seen this soon."""
 
 
-class TurnQueue:
+class RateLimitQueue:
     """The requests of one instance that wait for turns; to be used on an event loop.
 
     :param available: the replicas, and the turns at them.
--- a/hornbeamglade/routed/replicaload.py
+++ b/hornbeamglade/routed/replicaload.py
@@ -108,7 +108,7 @@
         record.failing_at = now
         _tell_trust(replica_id, record)
 
-    def forget(self, present: collections.abc.Container[str]) -> None:
+    def forget_absent(self, present: collections.abc.Container[str]) -> None:
         """Drop what is known of replicas that are gone."""
         for replica_id in list(self._record_by_id):
             if replica_id not in present and not self._record_by_id[replica_id].outstanding:
--- a/hornbeamglade/routed/ownanswers.py
+++ b/hornbeamglade/routed/responses.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """A replica's whole answer, to be passed on.
 
     :param status: its status.
--- a/hornbeamglade/routed/retrybudget.py
+++ b/hornbeamglade/routed/retrybudget.py
@@ -69,8 +69,8 @@
     >>> budgets.share_slack(2)
     >>> [budgets.spend("web", now=1.0) for _ in range(2)]
     [True, False]
-    >>> budgets.requested("web", now=2.0)
-    >>> budgets.requested("web", now=2.0)
+    >>> budgets.record_request("web", now=2.0)
+    >>> budgets.record_request("web", now=2.0)
     >>> budgets.spend("web", now=2.0)
     True
     """
@@ -84,7 +84,7 @@
         self._requests_by_service: dict[str, _Window] = {}
         self._retries_by_service: dict[str, _Window] = {}
 
-    def use(self, settings: BudgetSettings) -> None:
+    def configure(self, settings: BudgetSettings) -> None:
         """Take another bound; what was counted stays."""
         if settings.window_s != self._settings.window_s:
             self._requests_by_service.clear()
@@ -95,11 +95,11 @@
         """Note how many nodes there may be."""
         self._nodes = max(1, nodes)
 
-    def requested(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a request's first attempt."""
         self._window(self._requests_by_service, service).add(1, now)
 
-    def left(self, service: str, now: float) -> float:
+    def remaining(self, service: str, now: float) -> float:
         """Return how many more attempts the budget allows; below 0 when it is overdrawn."""
         settings = self._settings
         retries = self._window(self._retries_by_service, service)
@@ -110,14 +110,14 @@
 
     def spend(self, service: str, now: float) -> bool:
         """Take one more attempt from the budget; return whether there was one."""
-        if self.left(service, now) < 1.0:
+        if self.remaining(service, now) < 1.0:
             self._told(service, "denied")
             return False
         self._told(service, "made")
         self._window(self._retries_by_service, service).add(1, now)
         return True
 
-    def note(self, service: str, now: float) -> None:
+    def record_resumed(self, service: str, now: float) -> None:
         """Count an attempt that is made whether or not the budget allows it.
 
         A run that goes on at another engine is lost otherwise; such attempts are few, and
--- a/hornbeamglade/routed/runparts.py
+++ b/hornbeamglade/routed/rundependencies.py
@@ -9,17 +9,17 @@
 from hornbeamglade.quarantine import crashdetector, requestquarantine
 from hornbeamglade.routed import (
     enginecatalog,
-    handover,
+    migration,
+    ratelimitqueue,
     retrybudget,
     runregistry,
     sending,
-    streampace,
-    turnqueue,
+    tokentimes,
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RunParts:
+class RunDependencies:
     """What streamed answers work with.
 
     :param sender: sends attempts.
@@ -40,13 +40,13 @@
     sender: sending.Sender
     acquirer: asyncgrantacquirer.AsyncGrantAcquirer
     catalog: enginecatalog.EngineCatalog
-    moves: handover.HandoverParts
+    moves: migration.MigrationDependencies
     registry: runregistry.RunRegistry
     budgets: retrybudget.RetryBudgets
     crashes: crashdetector.CrashDetector
     quarantine: requestquarantine.RequestQuarantine
     learn: collections.abc.Callable[[str, str, int, bool], None]
-    pace: streampace.StreamPace
+    pace: tokentimes.TokenTimes
     metrics: metrics.NodeMetrics
-    turns: turnqueue.TurnQueue
+    turns: ratelimitqueue.RateLimitQueue
     clock: clocks.Clock
--- a/hornbeamglade/routed/runregistry.py
+++ b/hornbeamglade/routed/runregistry.py
@@ -9,11 +9,11 @@
     """A stream's run at a replica."""
 
     @abc.abstractmethod
-    def replica_leaves(self) -> None:
+    def on_replica_leaving(self) -> None:
         """Note that its replica is about to stop."""
 
     @abc.abstractmethod
-    def replica_gone(self) -> None:
+    def on_replica_gone(self) -> None:
         """Note that its replica is no more."""
 
 
@@ -40,12 +40,12 @@
         """Return how many of this node's runs are at a replica."""
         return len(self._runs_by_replica.get(replica_id, ()))
 
-    def replica_leaves(self, replica_id: str) -> None:
+    def on_replica_leaving(self, replica_id: str) -> None:
         """Tell a replica's runs that it is about to stop."""
         for run in tuple(self._runs_by_replica.get(replica_id, ())):
-            run.replica_leaves()
+            run.on_replica_leaving()
 
-    def replica_gone(self, replica_id: str) -> None:
+    def on_replica_gone(self, replica_id: str) -> None:
         """Tell a replica's runs that it is no more."""
         for run in tuple(self._runs_by_replica.get(replica_id, ())):
-            run.replica_gone()
+            run.on_replica_gone()
--- a/hornbeamglade/routed/sending.py
+++ b/hornbeamglade/routed/sending.py
@@ -35,7 +35,7 @@
 
     connection: clientside.ServerConnection
     raw: clientside.Head
-    head: calls.AnswerHead
+    head: calls.ResponseHead
 
 
 class Sender:
@@ -55,7 +55,7 @@
 
     async def begin(
         self,
-        routed: callrouter.RoutedCall,
+        routed: callrouter.RoutedRequest,
         replica: models.Replica,
         dispatch: calls.Dispatch,
     ) -> Begun | Failed:
@@ -104,7 +104,7 @@
             raw = await connection.head()
             if isinstance(raw, clientside.Lost):
                 return Failed(raw.code, outcomes.RunStatus.UNKNOWN)
-            head = self._words.answer_head(raw)
+            head = self._words.response_head(raw)
             if _is_for(call, head):
                 return Begun(connection, raw, head)
             if head.request_id is None:
@@ -117,7 +117,7 @@
         return Failed("crossed_answer", outcomes.RunStatus.UNKNOWN)
 
 
-def _is_for(call: calls.Call, head: calls.AnswerHead) -> bool:
+def _is_for(call: calls.Call, head: calls.ResponseHead) -> bool:
     if head.request_id is None:
         # A refusal may bear no id; it gives the caller nothing of another request.
         return head.is_not_run
--- a/hornbeamglade/routed/streamrun.py
+++ b/hornbeamglade/routed/streamrun.py
@@ -13,10 +13,10 @@
     calls,
     enginework,
     eventrelay,
-    handover,
-    ownanswers,
+    migration,
     placefinder,
-    runparts,
+    responses,
+    rundependencies,
     runregistry,
     sending,
 )
@@ -27,19 +27,19 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Streamed:
+class StreamResult:
     """A stream was begun.
 
-    :param is_whole: whether it came to its end.
+    :param is_complete: whether it came to its end.
     :param events: events that were passed on.
-    :param moves: how often its run went on at another engine.
+    :param migrations: how often its run went on at another engine.
     :param first_event_s: seconds to its first event, or None.
     :param longest_gap_s: the longest pause between events.
     """
 
-    is_whole: bool
+    is_complete: bool
     events: int
-    moves: int
+    migrations: int
     first_event_s: float | None
     longest_gap_s: float
 
@@ -51,7 +51,7 @@
     ===========
 
     A request that may not run twice is sent once. When its engine is about to stop, the
-    run is moved (:mod:`hornbeamglade.routed.handover`) and its stream goes on from the
+    run is moved (:mod:`hornbeamglade.routed.migration`) and its stream goes on from the
     copy of its memory: that is the same run, so no event is made anew. Only a request
     that may be repeated is run again after its stream was lost, from the last event that
     its caller has.
@@ -64,10 +64,10 @@
 
     def __init__(
         self,
-        routed: callrouter.RoutedCall,
+        routed: callrouter.RoutedRequest,
         exchange: serverside.Exchange,
         log: attemptlog.AttemptLog,
-        parts: runparts.RunParts,
+        parts: rundependencies.RunDependencies,
     ) -> None:
         self._routed = routed
         self._exchange = exchange
@@ -81,11 +81,11 @@
         self._place: placefinder.Place | None = None
         self._start: eventrelay.AnswerStart | None = None
         self._first_event = asyncio.Event()
-        self._handover: handover.Handover | None = None
+        self._handover: migration.Migration | None = None
         self._handover_task: asyncio.Task[None] | None = None
         self._moves = 0
 
-    async def answer(self) -> outcomes.Refusal | ownanswers.Answer | Streamed:
+    async def answer(self) -> outcomes.Refusal | responses.Response | StreamResult:
         """Answer the request.
 
         :returns: what the caller gets in place of a stream, or what became of it.
@@ -100,19 +100,19 @@
                 return self._places.failure()
             if not is_whole:
                 self._exchange.abort()
-            return self.streamed(is_whole)
+            return self.result(is_whole)
         finally:
             self._end(is_whole)
 
-    def streamed(self, is_whole: bool) -> Streamed:
+    def result(self, is_complete: bool) -> StreamResult:
         """Return what became of the stream so far."""
         relay = self._relay
         first_s = None
         if relay.first_at is not None:
             first_s = relay.first_at - self._routed.call.arrived_at
-        return Streamed(is_whole, relay.count, self._moves, first_s, relay.longest_gap_s)
+        return StreamResult(is_complete, relay.count, self._moves, first_s, relay.longest_gap_s)
 
-    def replica_leaves(self) -> None:
+    def on_replica_leaving(self) -> None:
         """Begin to move to another engine, if the run is worth it."""
         place = self._place
         engine = self._routed.service.engine
@@ -122,13 +122,13 @@
             return
         self._handover_task = asyncio.ensure_future(self._move_away(place))
 
-    def replica_gone(self) -> None:
+    def on_replica_gone(self) -> None:
         """Give up the stream from an engine that has started anew; it may go on elsewhere."""
         place = self._place
         if place is not None and place.begun is not None:
             place.begun.connection.close()
 
-    async def _begin(self) -> sending.Begun | outcomes.Refusal | ownanswers.Answer:
+    async def _begin(self) -> sending.Begun | outcomes.Refusal | responses.Response:
         """Send the request until a replica answers it with a stream."""
         while True:
             place = await self._places.find()
@@ -162,19 +162,19 @@
             self._log.note(place.replica.id, begun.run, begun.code != "not_connected")
             return begun
         place.begun = begun
-        if not begun.head.is_elsewhere:
+        if not begun.head.is_misdirected:
             catalog.answered(place.replica.id, begun.head.limit)
         self._log.answered()
         self._parts.registry.enter(place.replica.id, self)
         if self._start is None or not self._relay.has_begun:
             self._start = eventrelay.AnswerStart(begun.head.status, begun.head.fields)
         if not catalog.is_usable(place.replica.id):
-            self.replica_leaves()
+            self.on_replica_leaving()
         return begun
 
     async def _not_streamed(
         self, begun: sending.Begun | sending.Failed
-    ) -> outcomes.Refusal | ownanswers.Answer | None:
+    ) -> outcomes.Refusal | responses.Response | None:
         """Deal with an attempt that gave no stream; None when another may be made."""
         place = self._place
         self._tell_attempt(begun)
@@ -196,7 +196,7 @@
             return None
         if not begun.head.is_sealed or begun.head.is_encoded:
             return self._places.failure()
-        return ownanswers.Answer(begun.head.status, begun.head.fields, body)
+        return responses.Response(begun.head.status, begun.head.fields, body)
 
     def _tell_attempt(self, begun: sending.Begun | sending.Failed) -> None:
         """Write the line on an attempt that gave no stream."""
@@ -209,7 +209,7 @@
             status=None if is_failed else begun.head.status,
             replica=self._place.replica.id,
             run=begun.run.value if is_failed else "not_run" if begun.head.is_not_run else "ran",
-            budget=round(self._parts.budgets.left(service, self._parts.clock.now()), 1),
+            budget=round(self._parts.budgets.remaining(service, self._parts.clock.now()), 1),
         )
 
     async def _stream(self) -> bool:
@@ -271,7 +271,7 @@
             return False
         return isinstance(await self._begin(), sending.Begun)
 
-    async def _destination(self) -> handover.Destination | None:
+    async def _destination(self) -> migration.Destination | None:
         """Return where the run's memory is, once its move has come to an end."""
         task = self._handover_task
         if task is None or self._handover is None:
@@ -284,11 +284,11 @@
         destination, self._handover.destination = self._handover.destination, None
         return destination
 
-    async def _resume(self, destination: handover.Destination) -> bool:
+    async def _resume(self, destination: migration.Destination) -> bool:
         self._place = placefinder.Place(destination.replica, destination.grant)
         self._handover = None
         self._handover_task = None
-        self._parts.budgets.note(self._routed.service.name, self._parts.clock.now())
+        self._parts.budgets.record_resumed(self._routed.service.name, self._parts.clock.now())
         begun = await self._send_to_place(destination.copy)
         is_resumed = isinstance(begun, sending.Begun) and _is_stream(begun)
         logs.decided(
@@ -312,9 +312,9 @@
         # Memory of a run that has not begun cannot be copied.
         await self._first_event.wait()
         placement = self._places.placement(
-            self._parts.clock.now() + handover.COPY_TIMEOUT_S, frozenset((place.replica.id,))
+            self._parts.clock.now() + migration.COPY_TIMEOUT_S, frozenset((place.replica.id,))
         )
-        self._handover = handover.Handover(
+        self._handover = migration.Migration(
             place.replica, self._routed.call.request_id, placement, self._parts.moves
         )
         await self._handover.run(self._produced())
--- a/hornbeamglade/routed/streampace.py
+++ b/hornbeamglade/routed/tokentimes.py
@@ -7,13 +7,13 @@
 """Of a new stream: some ten streams, a few seconds, decide what is believed."""
 
 
-class StreamPace:
+class TokenTimes:
     """Seconds per token by service, smoothed over streams.
 
     Examples
     ========
 
-    >>> pace = StreamPace()
+    >>> pace = TokenTimes()
     >>> pace.observe("draft", tokens=100, seconds=2.2)
     >>> round(pace.seconds_per_token("draft"), 4)
     0.013
--- a/hornbeamglade/routed/views.py
+++ b/hornbeamglade/routed/views.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Belief:
+class ListStaleness:
     """How far this node's list of replicas can be trusted.
 
     :param list_version: its version.
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Views:
+class CurrentView:
     """What is in force; replaced as a whole, so that a request sees one revision.
 
     :param routes: None until a revision is known.
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -38,7 +38,7 @@
     def __init__(self):
         self.told = []
         self.configured = 0
-        self.views = views.Views()
+        self.views = views.CurrentView()
         self.list = replicalist.ReplicaList()
         self.available = availability.Availability(
             self.list,
--- a/tests/platform/test_requestdialect.py
+++ b/tests/platform/test_requestdialect.py
@@ -119,7 +119,7 @@
 
 
 def head(status, *fields):
-    return WORDS.answer_head(clientside.Head(status, fields))
+    return WORDS.response_head(clientside.Head(status, fields))
 
 
 def test_answer_is_read():
@@ -178,9 +178,9 @@
 def test_named_limit_is_read_and_a_bad_one_stands_for_none_at_all(named, requests_per_s, problem):
     """Guards a server in need against a limit that is misread as a high one."""
     head = clientside.Head(200, tuple((b"Server-Limit", each) for each in named))
-    limit = WORDS.answer_head(head).limit
+    limit = WORDS.response_head(head).limit
     assert (limit.requests_per_s, limit.problem) == (requests_per_s, problem)
 
 
 def test_answer_without_a_limit_names_none():
-    assert WORDS.answer_head(clientside.Head(200, ())).limit is None
+    assert WORDS.response_head(clientside.Head(200, ())).limit is None
--- a/tests/routed/fakes.py
+++ b/tests/routed/fakes.py
@@ -73,7 +73,7 @@
         generation,
         last_event_id,
     )
-    return callrouter.RoutedCall(call, found, service, None, 1)
+    return callrouter.RoutedRequest(call, found, service, None, 1)
 
 
 def routed_call(**changes):
--- a/tests/routed/test_plainexchange.py
+++ b/tests/routed/test_bufferedexchange.py
@@ -13,11 +13,11 @@
 from hornbeamglade.replicas import models as replicamodels
 from hornbeamglade.routed import (
     attemptlog,
-    plainexchange,
+    bufferedexchange,
+    ratelimitqueue,
     replicaload,
     retrybudget,
     sending,
-    turnqueue,
 )
 from hornbeamglade.routes import models
 from hornbeamglade.standins import routed, routedfaults
@@ -57,14 +57,14 @@
             slowstart.Bound(),
             {"a": "r", "b": "s"},
         )
-        self.exchange = plainexchange.PlainExchange(
+        self.exchange = bufferedexchange.BufferedExchange(
             self.available,
             sender,
             loads,
             budgets,
             crashes,
             self.quarantine,
-            turnqueue.TurnQueue(self.available, self.clock),
+            ratelimitqueue.RateLimitQueue(self.available, self.clock),
             self.clock,
         )
 
--- a/tests/routed/test_drainadmission.py
+++ b/tests/routed/test_drainadmission.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hornbeamglade.lengths import lengthmodel
-from hornbeamglade.routed import drainadmission, streampace
+from hornbeamglade.routed import drainadmission, tokentimes
 from tests.routed import fakes
 
 BEGUN_AT = 100.0
@@ -15,7 +15,7 @@
     model = lengthmodel.LengthModel()
     for tokens in lengths:
         model.observe("draft", "clinic", tokens)
-    pace = streampace.StreamPace()
+    pace = tokentimes.TokenTimes()
     return drainadmission.DrainAdmission(
         pace,
         lambda route, team, tokens: model.table(route, team).at(tokens),
--- a/tests/routed/test_enginecatalog.py
+++ b/tests/routed/test_enginecatalog.py
@@ -57,7 +57,7 @@
     report(schedulers, "e0", 8_000)
     report(schedulers, "e1", 1_000)
     report(schedulers, "x0", 0)
-    assert catalog.owned_like("e2", WORK) == ("e1", "e0")
+    assert catalog.owned_alternatives("e2", WORK) == ("e1", "e0")
 
 
 def test_engine_that_leaves_is_not_named():
@@ -65,12 +65,12 @@
     report(schedulers, "e0", 0)
     report(schedulers, "e1", 0)
     schedulers.leave("e1")
-    assert catalog.owned_like("e0", WORK) == ("e0",)
+    assert catalog.owned_alternatives("e0", WORK) == ("e0",)
 
 
 def test_replica_that_this_node_has_not_heard_of_has_no_likes():
     _, _, catalog = make()
-    assert catalog.owned_like("unheard", WORK) == ()
+    assert catalog.owned_alternatives("unheard", WORK) == ()
 
 
 MANY = tuple(f"e{number:03}" for number in range(200))
--- a/tests/routed/test_handover.py
+++ b/tests/routed/test_migration.py
@@ -8,7 +8,7 @@
 from hornbeamglade.engines import control, models
 from hornbeamglade.grants import asyncgrantacquirer, turntaker
 from hornbeamglade.replicas import models as replicamodels
-from hornbeamglade.routed import handover
+from hornbeamglade.routed import migration
 from tests import eventloop
 
 SOURCE = replicamodels.Replica("e0", "llm", "10.0.0.1:1", "a", 8)
@@ -109,22 +109,22 @@
         self.done = []
         self.engines, self.acquirer = Engines(self.done), Seeker(self.done)
         self.turns, self.catalog, clock = Turns(self.done), Book(), clocks.SystemClock()
-        parts = handover.HandoverParts(
+        parts = migration.MigrationDependencies(
             self.engines, self.acquirer, self.turns, self.catalog, clock
         )
         work = outcomes.Work("r1", "draft", "clinic", 1, 500, 100)
         placement = asyncgrantacquirer.PlacementRequest(work, 1.0, clock.now() + limit_s, tuple)
-        self.handover = handover.Handover(SOURCE, "r1", placement, parts)
+        self.migration = migration.Migration(SOURCE, "r1", placement, parts)
 
     async def run(self):
-        await self.handover.run(40)
+        await self.migration.run(40)
 
     async def end_while_copied(self):
         """Let the run end in the middle of its first copy, and the copy come to its end."""
         self.engines.copied.clear()
         task = asyncio.ensure_future(self.run())
         await eventloop.until(lambda: "copy" in self.done)
-        self.handover.run_ended(task)
+        self.migration.run_ended(task)
         await asyncio.sleep(0)
         self.engines.copied.set()
         await asyncio.wait((task,))
@@ -137,7 +137,7 @@
     async def test():
         move = Move()
         await move.run()
-        return move.done, move.handover.outcome, move.acquirer.held
+        return move.done, move.migration.outcome, move.acquirer.held
 
     assert eventloop.run(test()) == (["room", "asks", "turn", "copy", "stop", "done"], "moved", 1)
 
@@ -214,7 +214,7 @@
         move = Move()
         move.engines.answers.append(models.CopyFailed("no_room"))
         await move.run()
-        return move.handover.outcome, move.acquirer.held, move.done.count("room")
+        return move.migration.outcome, move.acquirer.held, move.done.count("room")
 
     assert eventloop.run(test()) == ("moved", 1, 2)
 
@@ -225,7 +225,7 @@
         move = Move()
         move.engines.answers.append(models.CopyFailed(code))
         await move.run()
-        return move.handover.outcome, move.acquirer.held
+        return move.migration.outcome, move.acquirer.held
 
     assert eventloop.run(test()) == (code, 0)
 
@@ -235,7 +235,7 @@
         move = Move(limit_s=0.05)
         move.acquirer.has_room = False
         await move.run()
-        return move.handover.outcome, "asks" in move.done
+        return move.migration.outcome, "asks" in move.done
 
     assert eventloop.run(test()) == ("no_room", False)
 
@@ -245,7 +245,7 @@
         move = Move()
         move.engines.answers += [models.CopyMade("copy-1", 7), models.CopyFailed("no_room", "c2")]
         await move.run()
-        destination = move.handover.destination
+        destination = move.migration.destination
         return destination.replica.id, destination.copy.name, move.acquirer.held
 
     assert eventloop.run(test()) == ("e0", "c2", 0)
@@ -262,7 +262,7 @@
     async def test():
         move = Move()
         await move.end_while_copied()
-        return move.engines.dropped, move.acquirer.held, move.done[-1], move.handover.outcome
+        return move.engines.dropped, move.acquirer.held, move.done[-1], move.migration.outcome
 
     freed = [(SOURCE.address, "copy-1")]
     assert eventloop.run(test()) == (freed, 0, "done", "run_ended")
@@ -285,7 +285,7 @@
         await eventloop.until(lambda: "copy" in move.done)
         move.engines.copied.clear()
         await eventloop.until(lambda: "stop" in move.done)
-        move.handover.run_ended(task)
+        move.migration.run_ended(task)
         move.engines.copied.set()
         await asyncio.wait((task,))
         await asyncio.sleep(0)
--- a/tests/routed/test_turnqueue.py
+++ b/tests/routed/test_ratelimitqueue.py
@@ -4,7 +4,7 @@
 
 from hornbeamglade.core import clocks
 from hornbeamglade.replicas import models, ratelimits
-from hornbeamglade.routed import turnqueue
+from hornbeamglade.routed import ratelimitqueue
 from tests import eventloop
 
 
@@ -43,7 +43,7 @@
     async def main():
         clock = clocks.SystemClock()
         replicas = Limited(clock, list(turns_at), limited)
-        queue = turnqueue.TurnQueue(replicas, clock)
+        queue = ratelimitqueue.RateLimitQueue(replicas, clock)
         served, refused = [], []
         begin = clock.now()
 
@@ -52,7 +52,7 @@
                 replicas.take()
                 served.append(name)
             else:
-                refused.append((name, clock.now() - begin < turnqueue.LOOK_S))
+                refused.append((name, clock.now() - begin < ratelimitqueue.LOOK_S))
 
         await asyncio.gather(*(ask(name, *told) for name, told in requests.items()))
         return served, refused
--- a/tests/routed/test_replicaload.py
+++ b/tests/routed/test_replicaload.py
@@ -62,7 +62,7 @@
 def test_gone_replicas_are_forgotten_once_nothing_is_outstanding():
     choosing = loads()
     choosing.started("i0")
-    choosing.forget({})
+    choosing.forget_absent({})
     choosing.ended("i0", False, None)
-    choosing.forget({})
+    choosing.forget_absent({})
     assert choosing.choose(replicas(1)).id == "i0"
--- a/tests/routed/test_retrybudget.py
+++ b/tests/routed/test_retrybudget.py
@@ -28,7 +28,7 @@
     for what, node, pause_s in steps:
         now += pause_s
         if what == "request":
-            budgets[node].requested("s", now)
+            budgets[node].record_request("s", now)
             requests.append(now)
         elif budgets[node].spend("s", now):
             retries.append(now)
@@ -46,12 +46,12 @@
 def test_moved_runs_are_counted_though_they_are_not_refused():
     budget = retrybudget.RetryBudgets(SETTINGS)
     budget.share_slack(12)
-    budget.note("s", 1.0)
+    budget.record_resumed("s", 1.0)
     assert not budget.spend("s", 1.0)
 
 
 def test_another_bound_is_taken_at_once():
     budget = retrybudget.RetryBudgets(SETTINGS)
     assert budget.spend("s", 1.0)
-    budget.use(retrybudget.BudgetSettings(0.0, 0.0, 10.0))
+    budget.configure(retrybudget.BudgetSettings(0.0, 0.0, 10.0))
     assert not budget.spend("s", 1.0)
