--- a/hornbeamglade/capacity/checks.py
+++ b/hornbeamglade/capacity/checks.py
@@ -116,7 +116,9 @@
         ),
         checkvalues.Check(
             "seconds until two nodes of a team's shard have heard each other",
-            round_s if size.nodes > dissemination.MESH_BOUND else dissemination.MESH_PERIOD_S,
+            round_s
+            if size.nodes > dissemination.FULL_MESH_MAX_NODES
+            else dissemination.MESH_PERIOD_S,
             2 * dissemination.SAMPLED_PERIOD_S,
             "s",
             "teams/shares.py over membership/dissemination.py",
--- a/hornbeamglade/capacity/checkvalues.py
+++ b/hornbeamglade/capacity/checkvalues.py
@@ -66,9 +66,9 @@
     >>> heard_part(6, 5.0), round(heard_part(360, 5.0), 2)
     (1.0, 0.05)
     """
-    if nodes <= dissemination.MESH_BOUND:
+    if nodes <= dissemination.FULL_MESH_MAX_NODES:
         return 1.0
-    heard = dissemination.frames_per_second(nodes) * within_s
+    heard = dissemination.heartbeats_per_second(nodes) * within_s
     return 1 - (1 - 1 / (nodes - 1)) ** heard
 
 
--- a/hornbeamglade/capacity/dutiesshared.py
+++ b/hornbeamglade/capacity/dutiesshared.py
@@ -78,7 +78,7 @@
 
 def membership(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> dutyvalues.Duty:
     """Return the cost of knowing the nodes."""
-    frames = dissemination.frames_per_second(size.nodes)
+    frames = dissemination.heartbeats_per_second(size.nodes)
     owned = size.replicas_per_node
     list_s = dutyvalues.list_period_s(size)
     lists = 1 / list_s
--- a/hornbeamglade/capacity/dutyvalues.py
+++ b/hornbeamglade/capacity/dutyvalues.py
@@ -108,7 +108,7 @@
 
 def list_period_s(size: targetsize.SiteSize) -> float:
     """Return the seconds between two readings of the platform's list at a node."""
-    is_mesh = size.nodes <= dissemination.MESH_BOUND
+    is_mesh = size.nodes <= dissemination.FULL_MESH_MAX_NODES
     return upkeep.LIST_S if is_mesh else upkeep.LONG_LIST_S
 
 
--- a/hornbeamglade/capacity/losses.py
+++ b/hornbeamglade/capacity/losses.py
@@ -77,7 +77,7 @@
         streams_cut=round(nodes * size.streams_per_node) if cut else 0,
         owners_moved=moved,
         update_ms=seventh_us / 1e3 * (moved * left) / scores,
-        rumour_s=batches * rounds * dissemination.NEWS_PERIOD_S,
+        rumour_s=batches * rounds * dissemination.UPDATE_PERIOD_S,
         mechanism="membership/view.py, dissemination.py, ownership.py",
     )
 
--- a/hornbeamglade/capacity/measuringmembership.py
+++ b/hornbeamglade/capacity/measuringmembership.py
@@ -110,13 +110,13 @@
     return mesh
 
 
-def _places(nodes: int) -> tuple[list[ownership.Place], list[ownership.Place]]:
+def _places(nodes: int) -> tuple[list[ownership.Participant], list[ownership.Participant]]:
     replicas = [
-        ownership.Place(samplesite.replica_name(number), samplesite.domain(number))
+        ownership.Participant(samplesite.replica_name(number), samplesite.domain(number))
         for number in range(samplemesh.REPLICAS_PER_NODE * nodes)
     ]
     members = [
-        ownership.Place(samplesite.node_name(number), samplesite.domain(number))
+        ownership.Participant(samplesite.node_name(number), samplesite.domain(number))
         for number in range(nodes)
     ]
     return replicas, members
@@ -126,8 +126,8 @@
     _, members = _places(nodes)
 
     def name() -> None:
-        places = [ownership.Place(member.name) for member in members]
-        ownership.owner(ownership.Place("pool:pool-0"), places)
+        places = [ownership.Participant(member.name) for member in members]
+        ownership.owner(ownership.Participant("pool:pool-0"), places)
 
     return gauges.cpu_us(name)
 
@@ -184,7 +184,9 @@
 
     def take() -> None:
         listed = storebodies.Rows.model_validate_json(body)
-        mesh.peering.heartbeats.listed(registry.instances(row.to_row() for row in listed.rows))
+        mesh.peering.heartbeats.apply_list(
+            registry.parse_instances(row.to_row() for row in listed.rows)
+        )
 
     took = gauges.cpu_us(take)
     mesh.close()
--- a/hornbeamglade/capacity/measuringprocesses.py
+++ b/hornbeamglade/capacity/measuringprocesses.py
@@ -78,7 +78,9 @@
 def _by_nodes() -> collections.abc.Iterator[slopes.Slope]:
     readings = {n: _read_site({"nodes": n, "engines": 2, "services": 1}) for n in _NODE_COUNTS}
     # Above the bound of the mesh the list is read too seldom for one window.
-    meshes = {n: reading for n, reading in readings.items() if n <= dissemination.MESH_BOUND}
+    meshes = {
+        n: reading for n, reading in readings.items() if n <= dissemination.FULL_MESH_MAX_NODES
+    }
     yield from _slopes(
         "nodes, each of which reads the list once a second",
         meshes,
--- a/hornbeamglade/capacity/measuringstatus.py
+++ b/hornbeamglade/capacity/measuringstatus.py
@@ -38,7 +38,7 @@
         mesh.platform,
         mesh.clock,
         random.Random(1),
-        mesh.peering.heartbeats.owners,
+        mesh.peering.heartbeats.owner_candidates,
     )
     made = statuses.Statuses(
         told,
--- a/hornbeamglade/capacity/measuringteams.py
+++ b/hornbeamglade/capacity/measuringteams.py
@@ -72,7 +72,7 @@
     own, *_ = samplesite.instances(1)
     identity = membershipview.Identity(own.name, own.failure_domain, own.address, own.exchange)
     view = membershipview.MembershipView(identity, 1)
-    view.listed(samplesite.instances(nodes))
+    view.apply_list(samplesite.instances(nodes))
     return view.members(0.0)
 
 
--- a/hornbeamglade/capacity/samplemesh.py
+++ b/hornbeamglade/capacity/samplemesh.py
@@ -55,7 +55,7 @@
         )
         listed = samplesite.instances(nodes)
         self._others = listed[1:]
-        self.peering.heartbeats.listed(listed)
+        self.peering.heartbeats.apply_list(listed)
 
     def hear_all(self) -> None:
         """Hear every other node, so that all stay live."""
@@ -63,7 +63,7 @@
         for instance in self._others:
             told = dataclasses.replace(heartbeat(instance, 0), beat=self._beat)
             sender = codec.Sender(instance.name, INCARNATION)
-            self.peering.heartbeats.heard(told, sender, transport.Endpoint("127.0.0.1", 9))
+            self.peering.heartbeats.receive(told, sender, transport.Endpoint("127.0.0.1", 9))
 
     def tick_us(self) -> float:
         """Return one tick's processor time."""
--- a/hornbeamglade/entry/controlhandler.py
+++ b/hornbeamglade/entry/controlhandler.py
@@ -4,7 +4,7 @@
 import http
 
 from hornbeamglade.http1 import serverside
-from hornbeamglade.membership import introduction
+from hornbeamglade.membership import discovery
 from hornbeamglade.platform import directorycalls
 
 JSON = ((b"Content-Type", b"application/json"),)
@@ -68,7 +68,7 @@
             await exchange.answer(ready if self._answers.is_ready() else unready)
         elif target == METRICS_PATH:
             await exchange.answer(200, self._metrics_fields, self._answers.metrics())
-        elif target == introduction.PATH.encode():
+        elif target == discovery.PATH.encode():
             await exchange.answer(200, JSON, self._answers.members())
         elif target == STATUS_PATH:
             await exchange.answer(200, JSON, self._answers.status())
--- a/hornbeamglade/entry/daemon.py
+++ b/hornbeamglade/entry/daemon.py
@@ -192,7 +192,7 @@
             if status.phase is draining.Phase.DONE:
                 break
             await asyncio.sleep(STOP_POLL_S)
-        logs.state_changed("node", "leaving", "stopped", count=status.cut)
+        logs.state_changed("node", "leaving", "stopped", count=status.aborted_requests)
 
 
 def run(path: str) -> int:
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -25,7 +25,7 @@
 from hornbeamglade.grants import asyncgrantacquirer, schedulerset
 from hornbeamglade.http1 import clientpool
 from hornbeamglade.lengths import lengthmodel
-from hornbeamglade.membership import draining, introduction
+from hornbeamglade.membership import discovery, draining
 from hornbeamglade.membership import view as membershipview
 from hornbeamglade.node import digestcache
 from hornbeamglade.observability import logs, metrics
@@ -266,8 +266,8 @@
         """Begin a planned stop, and tell the others; return its course."""
         limit_s = self._told.bounds.stop_s - STOP_MARGIN_S
         now = self._clock.now()
-        self.draining = draining.Draining(ANNOUNCED_S, spread_s=0.0, hard_limit_s=limit_s)
-        self.draining.request(now)
+        self.draining = draining.Draining(ANNOUNCED_S, propagation_s=0.0, hard_limit_s=limit_s)
+        self.draining.begin(now)
         self._drain_admission.begin(now, limit_s)
         self.peering.heartbeats.leave()
         return self.draining
@@ -303,7 +303,7 @@
 
     def members(self) -> bytes:
         """Return the instances that this one knows, for one that starts."""
-        return introduction.page(self.peering.heartbeats.members())
+        return discovery.members_page(self.peering.heartbeats.members())
 
     def status(self) -> bytes:
         """Return the status page as JSON."""
@@ -407,7 +407,7 @@
 
     def on_introduction(self, listed: tuple[contract.Instance, ...]) -> None:
         """Take the instances' own list of themselves."""
-        self.peering.heartbeats.listed(listed)
+        self.peering.heartbeats.apply_list(listed)
         if not self._has_been_introduced:
             # At large sites it would take minutes until each had heard of this one.
             self._has_been_introduced = True
--- a/hornbeamglade/entry/peering.py
+++ b/hornbeamglade/entry/peering.py
@@ -15,7 +15,7 @@
     transport,
 )
 from hornbeamglade.grants import grantacquirer, remotescheduler, schedulerset, turntaker
-from hornbeamglade.membership import heartbeats, membershiplog, ownership, rising
+from hornbeamglade.membership import heartbeats, incarnations, membershiplog, ownership
 from hornbeamglade.membership import view as membershipview
 from hornbeamglade.node import digestcache
 from hornbeamglade.replicas import evacuations as evacuationlib
@@ -99,7 +99,7 @@
         self._quarantine_digest = quarantine_digest
         self._news = news
         self._ownership = ownership.Ownership()
-        self._owners_seen: tuple[list[ownership.Place], dict[str, str]] | None = None
+        self._owners_seen: tuple[list[ownership.Participant], dict[str, str]] | None = None
         self.codec = codec.Codec(identity.name, incarnation, keys, clock)
         self.transport = asyncudp.AsyncUdpTransport(self.codec, self._handle, news.message_failed)
         self.grants = asyncgrantclient.AsyncGrantClient(incarnation, self.transport, clock)
@@ -138,7 +138,7 @@
 
     def unanswered(self, owner: str) -> None:
         """Note that an owner left an ask unanswered."""
-        self.heartbeats.unanswered(owner)
+        self.heartbeats.record_no_reply(owner)
 
     @property
     def is_idle(self) -> bool:
@@ -149,7 +149,7 @@
         """Send what is due and take note of what changed; several times a second."""
         changes = self.heartbeats.tick()
         for change in changes:
-            membershiplog.member_changed(change)
+            membershiplog.log_member_change(change)
             if change.member.state is messages.NodeState.GONE:
                 self._server.holder_gone(change.member.identity.name)
         self._server.tick()
@@ -177,16 +177,17 @@
 
     def update_owners(self) -> None:
         """Share the engines of the list among the instances that live."""
-        members = self.heartbeats.owners()
+        members = self.heartbeats.owner_candidates()
         nodes = [
-            ownership.Place(each.identity.name, each.identity.failure_domain) for each in members
+            ownership.Participant(each.identity.name, each.identity.failure_domain)
+            for each in members
         ]
         service_by_id = {each.id: each.service for each in self._engines()}
         if (nodes, service_by_id) == self._owners_seen:
             return
         self._owners_seen = (nodes, service_by_id)
-        engines = ownership.grouped(
-            (ownership.Place(each.id, each.failure_domain) for each in self._engines()),
+        engines = ownership.assign_groups(
+            (ownership.Participant(each.id, each.failure_domain) for each in self._engines()),
             service_by_id.__getitem__,
         )
         moves = self._ownership.update(engines, nodes)
@@ -219,7 +220,7 @@
         peer = transport.Peer(sender.name, source)
         if isinstance(message, messages.Heartbeat):
             # A heartbeat that was overtaken must not put older figures back.
-            if self.heartbeats.heard(message, sender, source):
+            if self.heartbeats.receive(message, sender, source):
                 self._digests.hear(sender.name, message.replicas)
                 self._hear_leaving(message.replicas)
                 self._news.on_evacuations(message.evacuations)
@@ -237,7 +238,7 @@
             for due in self._documents.on_hint(sender.name, message):
                 self.transport.send(peer, due.message)
         elif isinstance(message, messages.SupersededIncarnation):
-            rising.rise_above(message.incarnation, self.codec, self.grants, self.heartbeats)
+            incarnations.raise_above(message.incarnation, self.codec, self.grants, self.heartbeats)
         elif isinstance(message, messages.ChunkRequest):
             offer = self._documents.asked(message)
             if offer is not None:
--- a/hornbeamglade/entry/registration.py
+++ b/hornbeamglade/entry/registration.py
@@ -4,7 +4,7 @@
 import threading
 
 from hornbeamglade.core import clocks
-from hornbeamglade.membership import dissemination, introduction, registry
+from hornbeamglade.membership import discovery, dissemination, registry
 from hornbeamglade.store import contract
 
 FIRST_S = 0.5
@@ -52,7 +52,7 @@
     ) -> None:
         self._own = own
         self._rows = rows
-        self._seeds = introduction.Seeds(seeds)
+        self._seeds = discovery.Seeds(seeds)
         self._registers_first = is_first_start
         self._introduced = introduced
         self._clock = clock
@@ -69,7 +69,7 @@
         """Stop, and take the row away; on a thread of its own, as the store may be slow."""
         self._stopping.set()
         threading.Thread(
-            target=self._rows.withdraw, args=(self._own.name,), name="withdrawal", daemon=True
+            target=self._rows.deregister, args=(self._own.name,), name="withdrawal", daemon=True
         ).start()
 
     def step(self) -> float:
@@ -79,7 +79,7 @@
         listed = self._rows.list()
         if isinstance(listed, contract.Unavailable):
             self._registers_first = False
-            known = self._seeds.known()
+            known = self._seeds.fetch()
             if known:
                 self._introduced(known)
             return LIST_S if self._is_registered and self._lists_read else FIRST_S
@@ -94,7 +94,7 @@
             return 0.0 if self._is_registered else FIRST_S
         if self._lists_read == 1 and not self._was_listed:
             return AGAIN_S
-        return LONG_LIST_S if len(listed) > dissemination.MESH_BOUND else LIST_S
+        return LONG_LIST_S if len(listed) > dissemination.FULL_MESH_MAX_NODES else LIST_S
 
     def _register(self) -> None:
         outcome = self._rows.register(self._own)
--- a/hornbeamglade/entry/storewatch.py
+++ b/hornbeamglade/entry/storewatch.py
@@ -117,7 +117,7 @@
         return self.is_following and not self._is_chosen
 
     def _choose(self, nodes: tuple[str, ...]) -> None:
-        chosen = followers.chosen(nodes)
+        chosen = followers.select(nodes)
         self._nodes = nodes
         # An instance that leaves is no more among them: nobody tells it anything, and it
         # serves its callers for some seconds yet.
@@ -125,7 +125,7 @@
         self._told = ()
         if self._is_chosen:
             self._told = tuple(
-                node for node in nodes if self._name in followers.tellers(node, chosen)
+                node for node in nodes if self._name in followers.notifiers(node, chosen)
             )
 
     def _decide(self, now: float) -> None:
--- a/hornbeamglade/membership/addresses.py
+++ b/hornbeamglade/membership/addresses.py
@@ -29,7 +29,7 @@
 from hornbeamglade.membership import rendezvous
 from hornbeamglade.membership import view as membership_view
 
-SMALLEST_SHARD = 2
+MIN_SHARD_SIZE = 2
 SHARE_FACTOR = 2.0
 
 _FALLBACK_STATES = (
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AddressAnswer:
+class AddressSelection:
     """What a caller is told.
 
     :param addresses: ``ip:port`` each, best first; empty only if no node is known.
@@ -51,7 +51,7 @@
     ttl_s: int
 
 
-def shard_size(nodes: int, share: float, smallest: int = SMALLEST_SHARD) -> int:
+def shard_size(nodes: int, share: float, min_size: int = MIN_SHARD_SIZE) -> int:
     """Return how many nodes serve a team.
 
     :param nodes: the number of live nodes.
@@ -66,17 +66,17 @@
     [2, 8, 144, 360]
     """
     wanted = math.ceil(nodes * share * SHARE_FACTOR)
-    return min(nodes, max(smallest, wanted))
+    return min(nodes, max(min_size, wanted))
 
 
-def answer(
+def select_addresses(
     team: str,
     members: tuple[membership_view.Member, ...],
     share: float,
-    turn: int,
+    rotation: int,
     ttl_s: int,
-    smallest: int = SMALLEST_SHARD,
-) -> AddressAnswer:
+    min_size: int = MIN_SHARD_SIZE,
+) -> AddressSelection:
     """Return the addresses for one caller of ``team``.
 
     :param team: the team's name.
@@ -87,19 +87,19 @@
         on serving for at least this long.
     :param smallest: the least number of addresses, where there are as many nodes.
     """
-    shard = shard_members(team, members, share, smallest)
+    shard = shard_members(team, members, share, min_size)
     if not shard:
-        return AddressAnswer((), ttl_s)
-    first = turn % len(shard)
+        return AddressSelection((), ttl_s)
+    first = rotation % len(shard)
     ordered = shard[first:] + shard[:first]
-    return AddressAnswer(tuple(member.identity.address for member in ordered), ttl_s)
+    return AddressSelection(tuple(member.identity.address for member in ordered), ttl_s)
 
 
 def shard_members(
     team: str,
     members: tuple[membership_view.Member, ...],
     share: float,
-    smallest: int = SMALLEST_SHARD,
+    min_size: int = MIN_SHARD_SIZE,
 ) -> tuple[membership_view.Member, ...]:
     """Return the nodes that serve a team, the most preferred first."""
     usable = _usable(members)
@@ -108,7 +108,7 @@
         key=lambda member: rendezvous.score(team, member.identity.name),
         reverse=True,
     )
-    return _spread(ranked, shard_size(len(usable), share, smallest))
+    return _spread_over_domains(ranked, shard_size(len(usable), share, min_size))
 
 
 def _usable(
@@ -121,7 +121,9 @@
     return []
 
 
-def _spread(ranked: list[membership_view.Member], size: int) -> tuple[membership_view.Member, ...]:
+def _spread_over_domains(
+    ranked: list[membership_view.Member], size: int
+) -> tuple[membership_view.Member, ...]:
     # The n-th node of its domain competes in round n: one of each domain first.
     seen_by_domain: dict[str, int] = {}
     rounds: list[tuple[int, int]] = []
--- a/hornbeamglade/membership/introduction.py
+++ b/hornbeamglade/membership/discovery.py
@@ -35,7 +35,7 @@
     members: tuple[_Node, ...]
 
 
-def page(members: collections.abc.Iterable[view.Member]) -> bytes:
+def members_page(members: collections.abc.Iterable[view.Member]) -> bytes:
     """Return what a node answers to those that ask whom it knows.
 
     :param members: all known nodes; those that leave or are gone are left out.
@@ -53,7 +53,7 @@
     return _Page(members=nodes).model_dump_json().encode()
 
 
-class Introduction(contract.InstanceList):
+class Discovery(contract.InstanceList):
     """The list in the store, or while it is away that of a node that answers.
 
     :param listed: the list in the store.
@@ -69,7 +69,7 @@
         listed = self._listed.list()
         if not isinstance(listed, contract.Unavailable):
             return listed
-        return self._seeds.known() or listed
+        return self._seeds.fetch() or listed
 
 
 class Seeds:
@@ -82,15 +82,15 @@
         self._addresses = addresses
         self._http = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
 
-    def known(self) -> tuple[contract.Instance, ...]:
+    def fetch(self) -> tuple[contract.Instance, ...]:
         """Return the nodes that the first seed that answers knows; none when none does."""
         for address in self._addresses:
-            known = self._ask(address)
-            if known:
-                return known
+            fetched = self._fetch_from(address)
+            if fetched:
+                return fetched
         return ()
 
-    def _ask(self, seed: str) -> tuple[contract.Instance, ...]:
+    def _fetch_from(self, seed: str) -> tuple[contract.Instance, ...]:
         """Return the nodes that a seed knows; none when it does not answer."""
         try:
             answer = self._http.request("GET", f"http://{seed}{PATH}")
--- a/hornbeamglade/membership/dissemination.py
+++ b/hornbeamglade/membership/dissemination.py
@@ -3,7 +3,7 @@
 Explanation
 ===========
 
-Up to :data:`MESH_BOUND` nodes everyone sends to everyone each half second: every
+Up to :data:`FULL_MESH_MAX_NODES` nodes everyone sends to everyone each half second: every
 node then has every owner's load half a second old, for a few hundred bytes a
 second. Above, the same would grow with the square, so each node sends to
 :data:`FANOUT` sampled peers a second and asks them for a heartbeat in return [1]_. The
@@ -35,18 +35,18 @@
 from hornbeamglade.exchange import messages
 from hornbeamglade.membership import view as membership_view
 
-MESH_BOUND = 16
+FULL_MESH_MAX_NODES = 16
 MESH_PERIOD_S = 0.5
 SAMPLED_PERIOD_S = 1.0
-NEWS_PERIOD_S = 0.5
+UPDATE_PERIOD_S = 0.5
 """While it knows of a change of state, a node sends twice as often: callers are told of a dead
 instance until the last of those they may ask has heard of its death."""
 
 FANOUT = 2
-RETRIES = 2
+RETRIES_PER_ROUND = 2
 SILENT_AFTER_S = 2.5 * MESH_PERIOD_S
 UPDATE_ROUNDS_FACTOR = 3
-GONE_PROBE_EVERY = 5
+GONE_PROBE_ROUNDS = 5
 
 _State = messages.NodeState
 
@@ -79,12 +79,12 @@
         """
         self._rng = rng
         self._pending_by_node: dict[int, _Pending] = {}
-        self._unasked: list[str] = []
+        self._unsampled: list[str] = []
         self._round = 0
         self._next_round_at = 0.0
         self._is_sampled = False
 
-    def note(self, change: membership_view.StateChange, nodes: int) -> None:
+    def add_change(self, change: membership_view.StateChange, nodes: int) -> None:
         """Spread a change of state; a newer one about the same node replaces it."""
         member = change.member
         if member.incarnation == 0:
@@ -101,8 +101,8 @@
 
     def is_due(self, now: float) -> bool:
         """Return whether the next round should begin."""
-        has_news = self._is_sampled and bool(self._pending_by_node)
-        early_s = SAMPLED_PERIOD_S - NEWS_PERIOD_S if has_news else 0.0
+        has_updates = self._is_sampled and bool(self._pending_by_node)
+        early_s = SAMPLED_PERIOD_S - UPDATE_PERIOD_S if has_updates else 0.0
         return now >= self._next_round_at - early_s
 
     def plan(
@@ -114,9 +114,9 @@
         :param now: monotonic seconds.
         """
         self._round += 1
-        self._spend_updates()
+        self._count_down_updates()
         present = [member for member in others if member.state is not _State.GONE]
-        self._is_sampled = len(present) >= MESH_BOUND
+        self._is_sampled = len(present) >= FULL_MESH_MAX_NODES
         if not self._is_sampled:
             self._next_round_at = now + MESH_PERIOD_S
             targets = [Target(member, _is_silent(member, now)) for member in present]
@@ -125,8 +125,8 @@
             chosen = {member.identity.name: member for member in self._sample(present)}
             # Guards against one lost datagram that makes a node suspect: at this size
             # it may be minutes before the next sample meets it again.
-            owing = [member for member in present if member.is_asked]
-            chosen |= {member.identity.name: member for member in owing[:RETRIES]}
+            unanswered = [member for member in present if member.owes_reply]
+            chosen |= {member.identity.name: member for member in unanswered[:RETRIES_PER_ROUND]}
             targets = [Target(member, True) for member in chosen.values()]
         return (*targets, *self._probe_gone(others))
 
@@ -137,7 +137,7 @@
         )
         return tuple(one.update for one in pending[: messages.MAX_MEMBERSHIP_UPDATES])
 
-    def _spend_updates(self) -> None:
+    def _count_down_updates(self) -> None:
         for update in self.updates():
             pending = self._pending_by_node[update.node]
             pending.rounds_left -= 1
@@ -150,10 +150,10 @@
         member_by_name = {member.identity.name: member for member in present}
         chosen: dict[str, membership_view.Member] = {}
         while len(chosen) < FANOUT:
-            if not self._unasked:
-                self._unasked = sorted(member_by_name)
-                self._rng.shuffle(self._unasked)
-            name = self._unasked.pop()
+            if not self._unsampled:
+                self._unsampled = sorted(member_by_name)
+                self._rng.shuffle(self._unsampled)
+            name = self._unsampled.pop()
             if name in member_by_name:
                 chosen[name] = member_by_name[name]
         return list(chosen.values())
@@ -164,26 +164,26 @@
         # Guards against a healed partition that nobody notices: both halves hold
         # each other for gone, and neither would ever speak first.
         gone = [member for member in others if member.state is _State.GONE]
-        if not gone or self._round % GONE_PROBE_EVERY:
+        if not gone or self._round % GONE_PROBE_ROUNDS:
             return ()
         return (Target(self._rng.choice(gone), True),)
 
 
-def frames_per_second(nodes: int) -> float:
+def heartbeats_per_second(nodes: int) -> float:
     """Return the heartbeats that one node sends a second, answers included.
 
     Examples
     ========
 
-    >>> frames_per_second(6)
+    >>> heartbeats_per_second(6)
     10.0
-    >>> frames_per_second(360)
+    >>> heartbeats_per_second(360)
     4.0
     """
-    if nodes <= MESH_BOUND:
+    if nodes <= FULL_MESH_MAX_NODES:
         return (nodes - 1) / MESH_PERIOD_S
     return 2 * FANOUT / SAMPLED_PERIOD_S
 
 
 def _is_silent(member: membership_view.Member, now: float) -> bool:
-    return member.heard_at is None or now - member.heard_at > SILENT_AFTER_S
+    return member.last_seen_at is None or now - member.last_seen_at > SILENT_AFTER_S
--- a/hornbeamglade/membership/draining.py
+++ b/hornbeamglade/membership/draining.py
@@ -38,10 +38,10 @@
     """
 
     phase: Phase
-    cut: int = 0
+    aborted_requests: int = 0
 
     @property
-    def takes_requests(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether new requests are served or passed on."""
         return self.phase in (Phase.SERVING, Phase.LEAVING)
 
@@ -58,7 +58,7 @@
     ========
 
     >>> draining = Draining(address_ttl_s=30)
-    >>> draining.request(now=100.0)
+    >>> draining.begin(now=100.0)
     True
     >>> draining.step(now=129.0, in_flight=0).phase
     <Phase.LEAVING: 'leaving'>
@@ -72,7 +72,7 @@
     """
 
     def __init__(
-        self, address_ttl_s: float, spread_s: float = 5.0, hard_limit_s: float | None = None
+        self, address_ttl_s: float, propagation_s: float = 5.0, hard_limit_s: float | None = None
     ) -> None:
         """Begin as serving.
 
@@ -81,13 +81,13 @@
             leaves, and so stops naming it in its answers.
         :param hard_limit_s: the operator's bound on the whole stop, or None.
         """
-        self._announced_for_s = address_ttl_s + spread_s
+        self._announcement_s = address_ttl_s + propagation_s
         self._hard_limit_s = hard_limit_s
         self._began_at: float | None = None
         self._listener_is_closed = False
         self._status = Status(Phase.SERVING)
 
-    def request(self, now: float) -> bool:
+    def begin(self, now: float) -> bool:
         """Begin to leave; idempotent.
 
         :returns: True the first time, when the stop must be announced.
@@ -118,7 +118,7 @@
             return self._status
         elapsed_s = now - self._began_at
         if self._hard_limit_s is not None and elapsed_s >= self._hard_limit_s:
-            self._status = Status(Phase.DONE, cut=in_flight)
+            self._status = Status(Phase.DONE, aborted_requests=in_flight)
         elif self._status.phase is Phase.LEAVING:
             self._leave(elapsed_s, in_flight)
         elif self._listener_is_closed and in_flight == 0:
@@ -128,5 +128,5 @@
         return self._status
 
     def _leave(self, elapsed_s: float, in_flight: int) -> None:
-        if elapsed_s >= self._announced_for_s and in_flight == 0:
+        if elapsed_s >= self._announcement_s and in_flight == 0:
             self._status = Status(Phase.CLOSING)
--- a/hornbeamglade/membership/heartbeatcosts.py
+++ b/hornbeamglade/membership/heartbeatcosts.py
@@ -27,11 +27,11 @@
     """
     whole = _packet_bytes(replicas_per_node, 0, updates, _IDENTITY)
     plain = whole
-    if nodes <= dissemination.MESH_BOUND:
+    if nodes <= dissemination.FULL_MESH_MAX_NODES:
         plain = _packet_bytes(replicas_per_node, 0, updates, _NO_IDENTITY)
     demands = _packet_bytes(replicas_per_node, teams, updates, _IDENTITY) - whole
     mean = plain + (whole - plain) / messages.IDENTITY_EVERY + demands / messages.DEMANDS_EVERY
-    return dissemination.frames_per_second(nodes) * mean
+    return dissemination.heartbeats_per_second(nodes) * mean
 
 
 def _packet_bytes(replicas: int, teams: int, updates: int, identity: tuple[str, ...]) -> int:
--- a/hornbeamglade/membership/heartbeats.py
+++ b/hornbeamglade/membership/heartbeats.py
@@ -38,7 +38,7 @@
     Explanation
     ===========
 
-    Call :meth:`tick` several times a second and :meth:`heard` for each heartbeat from the
+    Call :meth:`tick` several times a second and :meth:`receive` for each heartbeat from the
     transport. The lock is not held while the transport or ``digest`` is called.
     Reading is cheap, for the path of every request: it returns what the last tick,
     list or :meth:`leave` saw.
@@ -74,19 +74,19 @@
         self._clock = clock
         self._digest = digest
         self._demands = demands
-        self._told_demands: tuple[messages.TeamDemand, ...] = ()
+        self._announced_demands: tuple[messages.TeamDemand, ...] = ()
         self._lock = threading.Lock()
         self._members = self._view.members(clock.now())
         # Members and the live ones among them, in one place: threads may replace both.
         self._live = (self._members, membership_view.live(self._members))
 
-    def listed(self, instances: tuple[contract.Instance, ...]) -> None:
+    def apply_list(self, instances: tuple[contract.Instance, ...]) -> None:
         """Take the platform's list."""
         with self._lock:
-            self._view.listed(instances)
+            self._view.apply_list(instances)
             self._members = self._view.members(self._clock.now())
 
-    def heard(
+    def receive(
         self,
         heartbeat: messages.Heartbeat,
         origin: codec.Sender,
@@ -99,20 +99,20 @@
             was overtaken would put older load figures and shares back.
         """
         with self._lock:
-            is_new = self._view.heard(origin, heartbeat, self._clock.now())
+            is_new = self._view.record_heartbeat(origin, heartbeat, self._clock.now())
         if heartbeat.wants_answer:
             self._send(transport.Peer(origin.name, source), self._heartbeat(False))
         return is_new
 
-    def unanswered(self, name: str) -> None:
+    def record_no_reply(self, name: str) -> None:
         """Note that a node left an ask for a grant unanswered."""
         with self._lock:
-            self._view.asked(name, self._clock.now())
+            self._view.expect_reply(name, self._clock.now())
 
-    def rise_to(self, incarnation: int) -> None:
+    def raise_incarnation(self, incarnation: int) -> None:
         """Go on under another incarnation, and tell everyone."""
         with self._lock:
-            self._view.rise_to(incarnation)
+            self._view.raise_incarnation(incarnation)
             self._members = self._view.members(self._clock.now())
         self.announce()
 
@@ -129,8 +129,8 @@
         """Send a heartbeat to all now, since what it tells cannot wait for its turn."""
         with self._lock:
             # What a second heartbeat of one beat tells is not taken.
-            self._view.beat()
-        self._told_demands = ()
+            self._view.begin_round()
+        self._announced_demands = ()
         heartbeat = self._heartbeat(False)
         for member in self._members:
             self._send_to(member, heartbeat)
@@ -145,12 +145,12 @@
             changes = self._view.changes(now)
             self._members = self._view.members(now)
             for change in changes:
-                self._dissemination.note(change, len(self._members))
+                self._dissemination.add_change(change, len(self._members))
             begins = self._dissemination.is_due(now)
             targets = self._begin_round(now)
             tells = begins and self._view.own_beat % messages.DEMANDS_EVERY == 0
         if tells:
-            self._told_demands = self._demands()[: messages.MAX_DEMANDS]
+            self._announced_demands = self._demands()[: messages.MAX_DEMANDS]
         if targets:
             whole = self._heartbeat(False)
             asking = dataclasses.replace(whole, wants_answer=True)
@@ -177,9 +177,9 @@
             self._live = (members, live)
         return live
 
-    def owners(self) -> tuple[membership_view.Member, ...]:
+    def owner_candidates(self) -> tuple[membership_view.Member, ...]:
         """Return the candidates for owning replicas."""
-        return membership_view.owners(self._members)
+        return membership_view.owner_candidates(self._members)
 
     def peer(self, name: str) -> transport.Peer | None:
         """Return where a node receives messages, or None when that is unknown."""
@@ -190,16 +190,16 @@
     def _begin_round(self, now: float) -> tuple[dissemination.Target, ...]:
         if not self._dissemination.is_due(now):
             return ()
-        self._view.beat()
+        self._view.begin_round()
         # Guards against an answer on another thread that tells the demands of a former
         # beat under this one's number: peers would count one telling of a share as two,
         # and raise theirs on a view that is too old.
-        self._told_demands = ()
+        self._announced_demands = ()
         others = [one for one in self._members if one.identity.name != self._own.name]
         targets = self._dissemination.plan(others, now)
         for target in targets:
             if target.wants_answer:
-                self._view.asked(target.member.identity.name, now)
+                self._view.expect_reply(target.member.identity.name, now)
         return targets
 
     def _heartbeat(self, wants_answer: bool) -> messages.Heartbeat:
@@ -217,7 +217,7 @@
             exchange=self._own.exchange,
             wants_answer=wants_answer,
             replicas=digest.replicas[: messages.MAX_REPLICAS],
-            demands=self._told_demands,
+            demands=self._announced_demands,
             updates=updates,
             list_version=digest.list_version,
             evacuations=digest.evacuations,
--- a/hornbeamglade/membership/rising.py
+++ b/hornbeamglade/membership/incarnations.py
@@ -5,7 +5,7 @@
 from hornbeamglade.observability import logs
 
 
-def rise_above(
+def raise_above(
     incarnation: int,
     frames: codec.Codec,
     asker: grantrequests.GrantRequester,
@@ -19,5 +19,5 @@
     if risen <= incarnation:
         return
     asker.rise_to(risen)
-    beats.rise_to(risen)
+    beats.raise_incarnation(risen)
     logs.state_changed("incarnation", "outrun", "raised", incarnation=risen)
--- a/hornbeamglade/membership/standing.py
+++ b/hornbeamglade/membership/liveness.py
@@ -17,13 +17,13 @@
 SUSPECT_AFTER_S = 2.0
 # Longer than a suspicion and its refutation take to reach hundreds of nodes.
 GONE_AFTER_S = 20.0
-RECENT_S = 1.0
+RECENT_HEARTBEAT_S = 1.0
 
 _State = messages.NodeState
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
+class Liveness:
     """One node's life as one other node knows it; an entity of the view.
 
     :param incarnation: the newest known, 0 when it was never heard of.
@@ -37,36 +37,36 @@
     Examples
     ========
 
-    >>> standing = Standing()
-    >>> standing.ask(now=10.0)
-    >>> standing.state(now=11.0), standing.state(now=12.0)
+    >>> liveness = Liveness()
+    >>> liveness.expect_reply(now=10.0)
+    >>> liveness.state(now=11.0), liveness.state(now=12.0)
     (<NodeState.LIVE: 0>, <NodeState.SUSPECT: 1>)
-    >>> standing.hear(1, beat=1, refutation=0, leaving=False, now=13.0)
+    >>> liveness.record_heartbeat(1, beat=1, refutation=0, leaving=False, now=13.0)
     True
-    >>> standing.state(now=13.0)
+    >>> liveness.state(now=13.0)
     <NodeState.LIVE: 0>
     """
 
     incarnation: int = 0
     beat: int = 0
     refutation: int = 0
-    left_incarnation: int | None = None
-    heard_at: float | None = None
+    leaving_incarnation: int | None = None
+    last_seen_at: float | None = None
     unanswered_since: float | None = None
-    is_asked: bool = False
+    owes_reply: bool = False
 
     def state(self, now: float) -> messages.NodeState:
         """Return what the node is held for."""
         silent_s = 0.0 if self.unanswered_since is None else now - self.unanswered_since
         if silent_s >= GONE_AFTER_S:
             return _State.GONE
-        if self.left_incarnation == self.incarnation:
+        if self.leaving_incarnation == self.incarnation:
             return _State.LEAVING
         if silent_s >= SUSPECT_AFTER_S:
             return _State.SUSPECT
         return _State.LIVE
 
-    def next_turn(self, now: float) -> float:
+    def next_change_at(self, now: float) -> float:
         """Return when silence alone may next change the state; infinite without silence."""
         if self.unanswered_since is None:
             return math.inf
@@ -74,17 +74,17 @@
         bounds = (bound for bound in (SUSPECT_AFTER_S, GONE_AFTER_S) if silent_s < bound)
         return self.unanswered_since + min(bounds, default=math.inf)
 
-    def ask(self, now: float) -> None:
+    def expect_reply(self, now: float) -> None:
         """Note a question; only the first since the last sign counts."""
-        self.is_asked = True
+        self.owes_reply = True
         if self.unanswered_since is None:
             self.unanswered_since = now
 
-    def leave(self) -> None:
+    def mark_leaving(self) -> None:
         """Mark the present incarnation as leaving."""
-        self.left_incarnation = self.incarnation
+        self.leaving_incarnation = self.incarnation
 
-    def hears(self, incarnation: int, now: float) -> bool:
+    def accepts(self, incarnation: int, now: float) -> bool:
         """Return whether a heartbeat of ``incarnation`` counts.
 
         Explanation
@@ -95,7 +95,7 @@
         """
         return incarnation >= self.incarnation or self.state(now) is _State.GONE
 
-    def hear(
+    def record_heartbeat(
         self, incarnation: int, beat: int, refutation: int, leaving: bool, now: float
     ) -> bool:
         """Take a heartbeat that counts.
@@ -103,12 +103,12 @@
         :returns: whether it is the newest one, so that its content counts too.
         """
         if incarnation != self.incarnation:
-            self._begin(incarnation)
+            self._reset(incarnation)
         if leaving:
-            self.leave()
-        self.heard_at = now
+            self.mark_leaving()
+        self.last_seen_at = now
         self.unanswered_since = None
-        self.is_asked = False
+        self.owes_reply = False
         self.refutation = max(self.refutation, refutation)
         if beat < self.beat:
             return False
@@ -120,13 +120,13 @@
         if update.incarnation < self.incarnation:
             return
         if update.incarnation > self.incarnation:
-            self._begin(update.incarnation)
+            self._reset(update.incarnation)
         if update.state is _State.LEAVING:
-            self.leave()
+            self.mark_leaving()
         if update.state in (_State.LIVE, _State.LEAVING):
-            self._refuted(update)
+            self._apply_refutation(update)
         else:
-            self._suspected(update, now)
+            self._apply_suspicion(update, now)
 
     def refute(self, update: messages.MembershipUpdate) -> bool:
         """Raise the refutation number if a rumour holds this node itself for dead.
@@ -141,27 +141,27 @@
         self.refutation = update.refutation + 1
         return True
 
-    def _begin(self, incarnation: int) -> None:
+    def _reset(self, incarnation: int) -> None:
         self.incarnation = incarnation
         self.beat = 0
         self.refutation = 0
-        self.left_incarnation = None
+        self.leaving_incarnation = None
         self.unanswered_since = None
-        self.is_asked = False
+        self.owes_reply = False
 
-    def _refuted(self, update: messages.MembershipUpdate) -> None:
+    def _apply_refutation(self, update: messages.MembershipUpdate) -> None:
         if update.refutation <= self.refutation:
             return
         self.refutation = update.refutation
         # Guards against a node that others reach and this one does not: asked for a
         # grant it would cost each request a time-out, and be live again by hearsay.
-        if not self.is_asked:
+        if not self.owes_reply:
             self.unanswered_since = None
 
-    def _suspected(self, update: messages.MembershipUpdate, now: float) -> None:
+    def _apply_suspicion(self, update: messages.MembershipUpdate, now: float) -> None:
         # Guards against a healthy node that flaps: the suspicion is an echo of one
         # that was refuted, or the node was heard here after its accuser asked it.
-        recent = self.heard_at is not None and now - self.heard_at < RECENT_S
+        recent = self.last_seen_at is not None and now - self.last_seen_at < RECENT_HEARTBEAT_S
         if update.refutation < self.refutation or recent:
             return
         self.refutation = update.refutation
--- a/hornbeamglade/membership/membershiplog.py
+++ b/hornbeamglade/membership/membershiplog.py
@@ -4,7 +4,7 @@
 from hornbeamglade.observability import logs
 
 
-def member_changed(change: view.StateChange) -> None:
+def log_member_change(change: view.StateChange) -> None:
     """Write the line on a change that a node sees in another one, or in itself."""
     logs.state_changed(
         "member",
--- a/hornbeamglade/membership/ownership.py
+++ b/hornbeamglade/membership/ownership.py
@@ -15,7 +15,7 @@
 Replicas that are interchangeable may be given a group, whose replicas have one owner. It
 can then answer an ask with the best of them, which at a size where heartbeats are sampled
 nobody else could: 82 nodes that each own one of 29 engines hear of the others' engines
-once in 20 s. A group has :data:`GROUP_MOST` replicas at most, so the loss of a node leaves no
+once in 20 s. A group has :data:`MAX_GROUP_SIZE` replicas at most, so the loss of a node leaves no
 more of them without an owner than where each had its own.
 
 Weighed against *leases in the table* for owners: exact, but one write each few
@@ -31,13 +31,13 @@
 
 DOMAIN_WEIGHT = 4.0
 
-GROUP_MOST = 12
+MAX_GROUP_SIZE = 12
 """Twelve engines report to their owner some thirty times a second, which is half a percent
 of a core."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class Participant:
     """A replica or a node, and where it stands.
 
     :param name: its name.
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Move:
+class OwnerChange:
     """A replica's owner changed.
 
     :param replica: the replica's name.
@@ -64,24 +64,24 @@
     after: str | None
 
 
-def owner(replica: Place, nodes: collections.abc.Iterable[Place]) -> str | None:
+def owner(replica: Participant, nodes: collections.abc.Iterable[Participant]) -> str | None:
     """Return the owner of ``replica`` among ``nodes``, or None without nodes.
 
     Examples
     ========
 
-    >>> owner(Place("engine-1"), [Place("a")])
+    >>> owner(Participant("engine-1"), [Participant("a")])
     'a'
-    >>> owner(Place("engine-1"), []) is None
+    >>> owner(Participant("engine-1"), []) is None
     True
     """
     ranked = [(_score(replica, node), node.name) for node in nodes]
     return max(ranked)[1] if ranked else None
 
 
-def grouped(
-    replicas: collections.abc.Iterable[Place], pool: collections.abc.Callable[[str], str]
-) -> list[Place]:
+def assign_groups(
+    replicas: collections.abc.Iterable[Participant], pool: collections.abc.Callable[[str], str]
+) -> list[Participant]:
     """Return replicas with their groups: those of one pool in one failure domain.
 
     Explanation
@@ -96,8 +96,8 @@
     Examples
     ========
 
-    >>> places = [Place("e1", "a"), Place("e2", "a"), Place("e3", "b")]
-    >>> [place.group for place in grouped(places, lambda name: "chat")]
+    >>> places = [Participant("e1", "a"), Participant("e2", "a"), Participant("e3", "b")]
+    >>> [place.group for place in assign_groups(places, lambda name: "chat")]
     ['chat/a/0', 'chat/a/0', 'chat/b/0']
     """
     places = list(replicas)
@@ -107,7 +107,7 @@
     return [
         dataclasses.replace(
             place,
-            group=_group(
+            group=_group_name(
                 place, pool(place.name), count_by_pool[pool(place.name), place.failure_domain]
             ),
         )
@@ -128,8 +128,8 @@
     """
 
     def __init__(self) -> None:
-        self._replica_by_name: dict[str, Place] = {}
-        self._node_by_name: dict[str, Place] = {}
+        self._replica_by_name: dict[str, Participant] = {}
+        self._node_by_name: dict[str, Participant] = {}
         self._owner_by_replica: dict[str, str] = {}
 
     def owner(self, replica: str) -> str | None:
@@ -143,9 +143,9 @@
 
     def update(
         self,
-        replicas: collections.abc.Iterable[Place],
-        nodes: collections.abc.Iterable[Place],
-    ) -> tuple[Move, ...]:
+        replicas: collections.abc.Iterable[Participant],
+        nodes: collections.abc.Iterable[Participant],
+    ) -> tuple[OwnerChange, ...]:
         """Take the present replicas and candidates; return what moved, by replica."""
         node_by_name = {node.name: node for node in nodes}
         replica_by_name = {replica.name: replica for replica in replicas}
@@ -163,30 +163,30 @@
             new_owner = owner(replica, contenders)
             if new_owner is not None:
                 owner_by_replica[name] = new_owner
-        moves = _moves(self._owner_by_replica, owner_by_replica)
+        moves = _owner_changes(self._owner_by_replica, owner_by_replica)
         self._node_by_name = node_by_name
         self._replica_by_name = replica_by_name
         self._owner_by_replica = owner_by_replica
         return moves
 
 
-def _score(replica: Place, node: Place) -> float:
+def _score(replica: Participant, node: Participant) -> float:
     near = replica.failure_domain is not None and replica.failure_domain == node.failure_domain
     key = replica.group or replica.name
     return rendezvous.score(key, node.name, DOMAIN_WEIGHT if near else 1.0)
 
 
-def _group(replica: Place, pool: str, count: int) -> str:
+def _group_name(replica: Participant, pool: str, count: int) -> str:
     groups = 1
-    while count > groups * GROUP_MOST:
+    while count > groups * MAX_GROUP_SIZE:
         groups *= 2
     part = messages.key_hash(replica.name) % groups
     return f"{pool}/{replica.failure_domain}/{part}"
 
 
-def _moves(before: dict[str, str], after: dict[str, str]) -> tuple[Move, ...]:
+def _owner_changes(before: dict[str, str], after: dict[str, str]) -> tuple[OwnerChange, ...]:
     return tuple(
-        Move(name, before.get(name), after.get(name))
+        OwnerChange(name, before.get(name), after.get(name))
         for name in sorted(before.keys() | after.keys())
         if before.get(name) != after.get(name)
     )
--- a/hornbeamglade/membership/registry.py
+++ b/hornbeamglade/membership/registry.py
@@ -60,7 +60,7 @@
         if isinstance(rows, contract.Unavailable):
             return rows
         self._on_rows(rows)
-        return instances(rows)
+        return parse_instances(rows)
 
     def register(self, instance: contract.Instance) -> contract.WriteOutcome:
         """Write a node's row, whatever was there."""
@@ -74,14 +74,14 @@
             (), (contract.Put(_key(instance.name), body.model_dump_json()),)
         )
 
-    def withdraw(self, name: str) -> contract.WriteOutcome:
+    def deregister(self, name: str) -> contract.WriteOutcome:
         """Take a node's row away."""
         return self._table.transact((), (contract.Delete(_key(name)),))
 
 
-def instances(rows: collections.abc.Iterable[contract.Row]) -> tuple[contract.Instance, ...]:
+def parse_instances(rows: collections.abc.Iterable[contract.Row]) -> tuple[contract.Instance, ...]:
     """Read the rows of nodes; one that cannot be read is left out."""
-    found = (_instance(row) for row in rows)
+    found = (_parse_instance(row) for row in rows)
     return tuple(instance for instance in found if instance is not None)
 
 
@@ -89,7 +89,7 @@
     return f"{TABLE}/{name}"
 
 
-def _instance(row: contract.Row) -> contract.Instance | None:
+def _parse_instance(row: contract.Row) -> contract.Instance | None:
     try:
         body = _Body.model_validate_json(row.value)
     except pydantic.ValidationError:
--- a/hornbeamglade/membership/teamdemands.py
+++ b/hornbeamglade/membership/teamdemands.py
@@ -5,11 +5,11 @@
 from hornbeamglade.exchange import messages
 from hornbeamglade.teams import teamlimits
 
-UNIT = 10_000
-MOST = 2**16 - 1
+SHARE_UNIT = 10_000
+MAX_UINT16 = 2**16 - 1
 
 
-def told(said: teamlimits.TeamShare) -> messages.TeamDemand:
+def to_message(share: teamlimits.TeamShare) -> messages.TeamDemand:
     """Return the form in which a heartbeat tells a share.
 
     Explanation
@@ -21,19 +21,19 @@
     Examples
     ========
 
-    >>> told(teamlimits.TeamShare("clerks", share=0.12501, demand=1.5)).share
+    >>> to_message(teamlimits.TeamShare("clerks", share=0.12501, demand=1.5)).share
     1251
     """
     return messages.TeamDemand(
-        messages.key_hash(said.team),
-        min(math.ceil(said.share * UNIT), MOST),
-        min(round(said.demand * UNIT), MOST),
+        messages.key_hash(share.team),
+        min(math.ceil(share.share * SHARE_UNIT), MAX_UINT16),
+        min(round(share.demand * SHARE_UNIT), MAX_UINT16),
     )
 
 
-def heard(team: str, demand: messages.TeamDemand) -> teamlimits.TeamShare:
+def from_message(team: str, demand: messages.TeamDemand) -> teamlimits.TeamShare:
     """Return what a heartbeat told of one team.
 
     :param team: the name of the hash in ``demand``.
     """
-    return teamlimits.TeamShare(team, demand.share / UNIT, demand.demand / UNIT)
+    return teamlimits.TeamShare(team, demand.share / SHARE_UNIT, demand.demand / SHARE_UNIT)
--- a/hornbeamglade/membership/view.py
+++ b/hornbeamglade/membership/view.py
@@ -34,7 +34,7 @@
 import math
 
 from hornbeamglade.exchange import codec, messages
-from hornbeamglade.membership import standing
+from hornbeamglade.membership import liveness as livenesslib
 from hornbeamglade.store import contract
 
 FORGET_AFTER_S = 600.0
@@ -81,10 +81,10 @@
     beat: int
     refutation: int
     state: State
-    heard_at: float | None
+    last_seen_at: float | None
     heartbeat: messages.Heartbeat | None
     demands: tuple[messages.TeamDemand, ...] = ()
-    is_asked: bool = False
+    owes_reply: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -102,11 +102,11 @@
 @dataclasses.dataclass(slots=True)
 class _Record:
     identity: Identity
-    known: standing.Standing = dataclasses.field(default_factory=standing.Standing)
-    listed: bool = False
+    liveness: livenesslib.Liveness = dataclasses.field(default_factory=livenesslib.Liveness)
+    is_listed: bool = False
     heartbeat: messages.Heartbeat | None = None
     demands: tuple[messages.TeamDemand, ...] = ()
-    reported: State | None = None
+    reported_state: State | None = None
     gone_since: float | None = None
 
 
@@ -127,8 +127,8 @@
     >>> own = Identity("a", "d1", "10.0.0.1:80", "10.0.0.1:7000")
     >>> view = MembershipView(own, incarnation=1)
     >>> listed = contract.Instance("b", "d2", "10.0.0.2:80", "10.0.0.2:7000", leaving=False)
-    >>> view.listed((listed,))
-    >>> view.asked("b", now=0.0)
+    >>> view.apply_list((listed,))
+    >>> view.expect_reply("b", now=0.0)
     >>> [member.identity.name for member in live(view.members(now=1.0))]
     ['a', 'b']
     >>> [member.identity.name for member in live(view.members(now=3.0))]
@@ -142,62 +142,64 @@
         :param incarnation: this node's incarnation.
         """
         self.own = own
-        self._own = _Record(own, standing.Standing(incarnation))
+        self._own = _Record(own, livenesslib.Liveness(incarnation))
         self._record_by_name = {own.name: self._own}
         self._name_by_hash = {messages.key_hash(own.name): own.name}
         self._names = [own.name]
         self._member_by_name: dict[str, Member] = {}
         self._members: tuple[Member, ...] = ()
-        self._touched = {own.name}
+        self._stale_names = {own.name}
         self._unreported: set[str] = set()
-        self._look_at_all_at = math.inf
+        self._full_refresh_at = math.inf
 
-    def rise_to(self, incarnation: int) -> None:
+    def raise_incarnation(self, incarnation: int) -> None:
         """Give this node another incarnation; a mark of leaving stays."""
-        own = self._own.known
-        is_leaving = own.left_incarnation == own.incarnation
+        own = self._own.liveness
+        is_leaving = own.leaving_incarnation == own.incarnation
         own.incarnation = incarnation
         if is_leaving:
-            own.leave()
-        self._touched.add(self.own.name)
+            own.mark_leaving()
+        self._stale_names.add(self.own.name)
 
-    def listed(self, instances: tuple[contract.Instance, ...]) -> None:
+    def apply_list(self, instances: tuple[contract.Instance, ...]) -> None:
         """Take the platform's list; call it only with a list that was read."""
-        self._touched.update(self._record_by_name)
+        self._stale_names.update(self._record_by_name)
         for record in self._record_by_name.values():
-            record.listed = False
+            record.is_listed = False
         for instance in instances:
             identity = Identity(
                 instance.name, instance.failure_domain, instance.address, instance.exchange
             )
             record = self._record(identity)
-            if record.known.heard_at is None and record is not self._own:
+            if record.liveness.last_seen_at is None and record is not self._own:
                 record.identity = identity
-            record.listed = True
+            record.is_listed = True
             if instance.leaving:
                 # The list may flap; a mark of leaving stays for the incarnation. A
                 # node that was restarted under an old mark clears it by being heard.
-                record.known.leave()
+                record.liveness.mark_leaving()
 
-    def heard(self, sender: codec.Sender, heartbeat: messages.Heartbeat, now: float) -> bool:
+    def record_heartbeat(
+        self, sender: codec.Sender, heartbeat: messages.Heartbeat, now: float
+    ) -> bool:
         """Take a heartbeat and the rumours in it.
 
         :returns: whether it is newer, by (incarnation, beat), than all heard of the
             node before; false for a second one of the same beat.
         """
-        identity = self._told_identity(sender, heartbeat)
+        identity = self._sender_identity(sender, heartbeat)
         if identity is None:
             return False
         record = self._record(identity)
-        if record is self._own or not record.known.hears(sender.incarnation, now):
+        if record is self._own or not record.liveness.accepts(sender.incarnation, now):
             return False
-        self._touched.add(sender.name)
-        begins = sender.incarnation != record.known.incarnation
-        is_new = begins or heartbeat.beat > record.known.beat
-        if begins:
+        self._stale_names.add(sender.name)
+        is_new_incarnation = sender.incarnation != record.liveness.incarnation
+        is_new = is_new_incarnation or heartbeat.beat > record.liveness.beat
+        if is_new_incarnation:
             record.demands = ()
         leaving = heartbeat.state is State.LEAVING
-        newest = record.known.hear(
+        newest = record.liveness.record_heartbeat(
             sender.incarnation, heartbeat.beat, heartbeat.refutation, leaving, now
         )
         if newest:
@@ -209,7 +211,7 @@
             self._apply_update(update, now)
         return is_new
 
-    def asked(self, name: str, now: float) -> None:
+    def expect_reply(self, name: str, now: float) -> None:
         """Note that a node was asked something and has not answered yet.
 
         Explanation
@@ -220,24 +222,24 @@
         """
         record = self._record_by_name.get(name)
         if record is not None and record is not self._own:
-            self._touched.add(name)
-            record.known.ask(now)
+            self._stale_names.add(name)
+            record.liveness.expect_reply(now)
 
     def leave(self) -> None:
         """Mark this node itself as leaving."""
-        self._touched.add(self.own.name)
-        self._own.known.leave()
+        self._stale_names.add(self.own.name)
+        self._own.liveness.mark_leaving()
 
-    def beat(self) -> int:
+    def begin_round(self) -> int:
         """Begin a round of heartbeats and return its number."""
-        self._touched.add(self.own.name)
-        self._own.known.beat += 1
-        return self._own.known.beat
+        self._stale_names.add(self.own.name)
+        self._own.liveness.beat += 1
+        return self._own.liveness.beat
 
     @property
     def own_beat(self) -> int:
         """The number of this node's newest round."""
-        return self._own.known.beat
+        return self._own.liveness.beat
 
     def member(self, name: str, now: float) -> Member | None:
         """Return one node as it is seen now, or None when it is unknown."""
@@ -249,50 +251,50 @@
 
         The same tuple as before when nothing came in since.
         """
-        self._look(now)
+        self._refresh(now)
         return self._members
 
     def changes(self, now: float) -> tuple[StateChange, ...]:
         """Return what changed since the last call, and forget the long gone."""
-        self._look(now)
+        self._refresh(now)
         unreported, self._unreported = sorted(self._unreported), set()
         changes = []
         for name in unreported:
             record = self._record_by_name[name]
-            state = record.known.state(now)
-            if state is not record.reported:
-                changes.append(StateChange(_member(record, now), record.reported))
-                record.reported = state
+            state = record.liveness.state(now)
+            if state is not record.reported_state:
+                changes.append(StateChange(_member(record, now), record.reported_state))
+                record.reported_state = state
                 record.gone_since = now if state is State.GONE else None
-                self._touched.add(name)
+                self._stale_names.add(name)
             if _is_forgettable(record, now):
                 self._forget(name)
         return tuple(changes)
 
-    def _look(self, now: float) -> None:
+    def _refresh(self, now: float) -> None:
         """Bring the members up to date with what came in and with the time."""
-        if now >= self._look_at_all_at:
-            self._look_at_all_at = math.inf
-            self._touched.update(self._record_by_name)
-        if not self._touched:
+        if now >= self._full_refresh_at:
+            self._full_refresh_at = math.inf
+            self._stale_names.update(self._record_by_name)
+        if not self._stale_names:
             return
-        for name in self._touched:
+        for name in self._stale_names:
             record = self._record_by_name[name]
             self._member_by_name[name] = _member(record, now)
-            self._look_at_all_at = min(self._look_at_all_at, _next_turn(record, now))
-        self._unreported |= self._touched
-        self._touched = set()
+            self._full_refresh_at = min(self._full_refresh_at, _next_change_at(record, now))
+        self._unreported |= self._stale_names
+        self._stale_names = set()
         self._members = tuple(self._member_by_name[name] for name in self._names)
 
     def _forget(self, name: str) -> None:
         del self._record_by_name[name]
         del self._name_by_hash[messages.key_hash(name)]
         self._names.remove(name)
-        self._touched.discard(name)
+        self._stale_names.discard(name)
         del self._member_by_name[name]
         self._members = tuple(self._member_by_name[each] for each in self._names)
 
-    def _told_identity(self, sender: codec.Sender, told: messages.Heartbeat) -> Identity | None:
+    def _sender_identity(self, sender: codec.Sender, told: messages.Heartbeat) -> Identity | None:
         if told.exchange:
             return Identity(sender.name, told.failure_domain, told.address, told.exchange)
         # Guards against a node with no address: callers and asks would be sent nowhere.
@@ -305,19 +307,19 @@
         if name is None:
             return
         record = self._record_by_name[name]
-        self._touched.add(name)
+        self._stale_names.add(name)
         if record is not self._own:
-            record.known.apply_update(update, now)
-        elif record.known.refute(update):
+            record.liveness.apply_update(update, now)
+        elif record.liveness.refute(update):
             # Unreported, this node is a change again and so is spread as a rumour.
-            record.reported = None
+            record.reported_state = None
 
     def _record(self, identity: Identity) -> _Record:
         record = self._record_by_name.get(identity.name)
         if record is None:
             record = _Record(identity)
             self._record_by_name[identity.name] = record
-            self._touched.add(identity.name)
+            self._stale_names.add(identity.name)
             bisect.insort(self._names, identity.name)
             self._name_by_hash[messages.key_hash(identity.name)] = identity.name
         return record
@@ -328,7 +330,7 @@
     return tuple(member for member in members if member.state is State.LIVE)
 
 
-def owners(members: tuple[Member, ...]) -> tuple[Member, ...]:
+def owner_candidates(members: tuple[Member, ...]) -> tuple[Member, ...]:
     """Return the candidates for owning replicas among ``members``.
 
     Explanation
@@ -342,24 +344,24 @@
 
 
 def _member(record: _Record, now: float) -> Member:
-    known = record.known
+    liveness = record.liveness
     return Member(
         record.identity,
-        known.incarnation,
-        known.beat,
-        known.refutation,
-        known.state(now),
-        known.heard_at,
+        liveness.incarnation,
+        liveness.beat,
+        liveness.refutation,
+        liveness.state(now),
+        liveness.last_seen_at,
         record.heartbeat,
         record.demands,
-        known.is_asked,
+        liveness.owes_reply,
     )
 
 
-def _next_turn(record: _Record, now: float) -> float:
+def _next_change_at(record: _Record, now: float) -> float:
     """Return when time alone may next change what is believed of a node."""
-    turn = record.known.next_turn(now)
-    if record.gone_since is not None and not record.listed:
+    turn = record.liveness.next_change_at(now)
+    if record.gone_since is not None and not record.is_listed:
         turn = min(turn, record.gone_since + FORGET_AFTER_S)
     return turn - ROUNDING_S
 
@@ -367,6 +369,6 @@
 def _is_forgettable(record: _Record, now: float) -> bool:
     # A gone node stays known while the list names it: forgotten, it would be taken
     # from the lagging list as a new node that is assumed live.
-    if record.listed or record.gone_since is None:
+    if record.is_listed or record.gone_since is None:
         return False
     return now - record.gone_since > FORGET_AFTER_S
--- a/hornbeamglade/node/daemon.py
+++ b/hornbeamglade/node/daemon.py
@@ -13,7 +13,7 @@
 from hornbeamglade.core import clocks, codederrors, outcomes
 from hornbeamglade.grants import grantacquirer, schedulerset
 from hornbeamglade.lengths import lengthmodel
-from hornbeamglade.membership import draining, introduction, membershiplog, registry
+from hornbeamglade.membership import discovery, draining, membershiplog, registry
 from hornbeamglade.node import (
     applying,
     crashchecks,
@@ -91,7 +91,7 @@
             self._config,
             self._in_flight,
             lambda: self._placing.closed(),
-            membershiplog.member_changed,
+            membershiplog.log_member_change,
             self._failed,
         )
         self._placing = placing.Placing(
@@ -100,7 +100,7 @@
             self._platform,
             clock,
             self._rng,
-            self.peering.heartbeats.owners,
+            self.peering.heartbeats.owner_candidates,
         )
         self._claims = claimstore.ClaimStore(
             self._platform,
@@ -159,7 +159,7 @@
             quarantinekeeper.QuarantineKeeper(self._platform, clock).add
         )
         self._registry = registry.Registry(self._platform, self.peering.quarantine.on_rows)
-        listed = introduction.Introduction(self._registry, told.seeds)
+        listed = discovery.Discovery(self._registry, told.seeds)
         self._upkeep = upkeep.Upkeep(self._platform, listed, clock, self._rng, beats, self._config)
         self._draining: draining.Draining | None = None
         self._broken: str | None = None
@@ -223,7 +223,7 @@
         if isinstance(view, siteview.SiteView):
             ttl_s = view.site.addresses.ttl_s
         self._draining = draining.Draining(ttl_s, hard_limit_s=self._told.hard_stop_s)
-        self._draining.request(self._clock.now())
+        self._draining.begin(self._clock.now())
         self.peering.heartbeats.leave()
         self._server.leave()
         self._placing.stop()
@@ -249,7 +249,7 @@
             self._server.close_listener()
             self._draining.listener_closed()
             return False
-        self._cut = status.cut
+        self._cut = status.aborted_requests
         return status.phase is draining.Phase.DONE
 
     def _stop(self) -> int:
@@ -258,7 +258,7 @@
             # The operator's hard limit: what still runs ends with the process.
             return EXIT_CUT
         self._server.stop()
-        self._registry.withdraw(self._told.name)
+        self._registry.deregister(self._told.name)
         for loop in self._loops:
             loop.stop()
         self._poller.stop()
--- a/hornbeamglade/node/pages.py
+++ b/hornbeamglade/node/pages.py
@@ -6,7 +6,7 @@
 
 from hornbeamglade.callers import application, problems
 from hornbeamglade.core import outcomes
-from hornbeamglade.membership import addresses, introduction
+from hornbeamglade.membership import addresses, discovery
 from hornbeamglade.membership import view as membershipview
 from hornbeamglade.node import runtime, siteview
 from hornbeamglade.observability import metricsregistry, statuspage
@@ -50,7 +50,7 @@
         if name == "status":
             return problems.Response(200, (JSON_TYPE,), self._status().model_dump_json().encode())
         if name == "members":
-            body = introduction.page(self._members())
+            body = discovery.members_page(self._members())
             return problems.Response(200, (JSON_TYPE,), body)
         if name == "health":
             return _json({"status": "ok"})
@@ -83,7 +83,7 @@
 
     def _addresses(self, view: siteview.SiteView, team: str) -> problems.Response:
         told = view.site.addresses
-        found = addresses.answer(
+        found = addresses.select_addresses(
             team,
             self._members(),
             view.team_share(team),
--- a/hornbeamglade/node/peering.py
+++ b/hornbeamglade/node/peering.py
@@ -14,7 +14,7 @@
     transport,
 )
 from hornbeamglade.grants import grantacquirer, remotescheduler, schedulerset
-from hornbeamglade.membership import heartbeats, ownership, rising, teamdemands
+from hornbeamglade.membership import heartbeats, incarnations, ownership, teamdemands
 from hornbeamglade.membership import view as membershipview
 from hornbeamglade.node import digestcache, inflight, replicacatalog, settings
 from hornbeamglade.quarantine import requestquarantine
@@ -167,15 +167,15 @@
         self._names.teams.replace(site.team_by_name)
 
     def _update_owners(self) -> None:
-        owners = tuple(member.identity for member in self.heartbeats.owners())
+        owners = tuple(member.identity for member in self.heartbeats.owner_candidates())
         known_by_name = self._catalog.known_by_name
         if owners == self._owners_seen and known_by_name is self._replicas_seen:
             return
         self._owners_seen = owners
         self._replicas_seen = known_by_name
-        nodes = [ownership.Place(each.name, each.failure_domain) for each in owners]
+        nodes = [ownership.Participant(each.name, each.failure_domain) for each in owners]
         replicas = [
-            ownership.Place(known.name, known.replica.failure_domain)
+            ownership.Participant(known.name, known.replica.failure_domain)
             for known in known_by_name.values()
         ]
         moves = self._ownership.update(replicas, nodes)
@@ -213,7 +213,7 @@
 
     def unanswered(self, owner: str) -> None:
         """Note that an owner left an ask unanswered."""
-        self.heartbeats.unanswered(owner)
+        self.heartbeats.record_no_reply(owner)
 
     def _handle(
         self, message: messages.Message, sender: codec.Sender, source: transport.Endpoint
@@ -230,7 +230,7 @@
         if isinstance(message, messages.Heartbeat):
             self._config.hint(message.config_revision, sender.name)
             # A heartbeat that was overtaken must not put older figures back.
-            if self.heartbeats.heard(message, sender, source):
+            if self.heartbeats.receive(message, sender, source):
                 self._digests.hear(sender.name, message.replicas)
                 self._hear_closings(message.replicas)
                 self._hear_demands(sender.name, message.demands)
@@ -248,7 +248,7 @@
         elif isinstance(message, messages.VersionAnnouncement):
             self._config.hint(message.revision, sender.name)
         elif isinstance(message, messages.SupersededIncarnation):
-            rising.rise_above(message.incarnation, self.codec, self.grants, self.heartbeats)
+            incarnations.raise_above(message.incarnation, self.codec, self.grants, self.heartbeats)
         elif isinstance(message, messages.ChunkRequest):
             self._offer_chunk(message, transport.Peer(sender.name, source))
         elif isinstance(message, messages.DocumentChunk):
@@ -279,13 +279,13 @@
 
     def _demands(self) -> tuple[messages.TeamDemand, ...]:
         told = self._in_flight.tell_shares(messages.MAX_DEMANDS)
-        return tuple(teamdemands.told(share) for share in told)
+        return tuple(teamdemands.to_message(share) for share in told)
 
     def _hear_demands(self, node: str, demands: tuple[messages.TeamDemand, ...]) -> None:
         for demand in demands:
             team = self._names.teams.find(demand.team)
             if team is not None:
-                self._in_flight.hear_share(node, teamdemands.heard(team, demand))
+                self._in_flight.hear_share(node, teamdemands.from_message(team, demand))
 
     def _follow_peers(self) -> None:
         """Ask a peer for the newest revision heard of, when the store did not give it."""
--- a/hornbeamglade/node/placing.py
+++ b/hornbeamglade/node/placing.py
@@ -138,8 +138,8 @@
         )
 
     def _is_candidate(self, pool: str) -> bool:
-        nodes = [ownership.Place(member.identity.name) for member in self._owners()]
-        return ownership.owner(ownership.Place(POOL_PREFIX + pool), nodes) == self._node
+        nodes = [ownership.Participant(member.identity.name) for member in self._owners()]
+        return ownership.owner(ownership.Participant(POOL_PREFIX + pool), nodes) == self._node
 
     def _newest_revision(self) -> int | None:
         read = self._table.read(headrecords.HEAD_KEY)
--- a/hornbeamglade/node/upkeep.py
+++ b/hornbeamglade/node/upkeep.py
@@ -53,12 +53,12 @@
         now = self._clock.now()
         if now < self._list_due_at:
             return
-        is_mesh = len(self._beats.members()) <= dissemination.MESH_BOUND
+        is_mesh = len(self._beats.members()) <= dissemination.FULL_MESH_MAX_NODES
         self._list_due_at = now + (LIST_S if is_mesh else LONG_LIST_S)
         listed = self._instances.list()
         if isinstance(listed, contract.Unavailable):
             return
-        self._beats.listed(listed)
+        self._beats.apply_list(listed)
         self._config.list_nodes(frozenset(instance.name for instance in listed))
 
     def sweep_claims(self) -> None:
--- a/hornbeamglade/standins/platform.py
+++ b/hornbeamglade/standins/platform.py
@@ -233,7 +233,7 @@
     listed = nodes.list()
     former = listed if not isinstance(listed, contract.Unavailable) else ()
     for name in {each.name for each in former} - {each.name for each in told}:
-        nodes.withdraw(name)
+        nodes.deregister(name)
     for each in told:
         nodes.register(each)
 
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -49,7 +49,7 @@
     # the mesh is measured with the others. Cause: it reads the list so seldom that its
     # point bends the line below nothing, which counts as nothing.
     slope = measured.slope_by_key["processes.platform_bytes.nodes"]
-    assert all(point.size <= dissemination.MESH_BOUND for point in slope.points)
+    assert all(point.size <= dissemination.FULL_MESH_MAX_NODES for point in slope.points)
     assert slope.fit.slope > 0
 
 
@@ -90,8 +90,8 @@
 def test_a_list_that_is_read_more_seldom_costs_fewer_bytes(measured):
     # The page shows 41 KB/s for a list that is read each 30 s. Cause: the bytes were
     # measured at one reading a second and taken as they were.
-    large = dataclasses.replace(targetsize.TARGET, nodes=dissemination.MESH_BOUND + 1)
-    small = dataclasses.replace(large, nodes=dissemination.MESH_BOUND)
+    large = dataclasses.replace(targetsize.TARGET, nodes=dissemination.FULL_MESH_MAX_NODES + 1)
+    small = dataclasses.replace(large, nodes=dissemination.FULL_MESH_MAX_NODES)
     read = [
         sum(cost.bytes_per_s for cost in dutiesshared.membership(measured, size).costs[2:])
         for size in (small, large)
--- a/tests/entry/test_registration.py
+++ b/tests/entry/test_registration.py
@@ -30,7 +30,7 @@
 
 
 def test_a_large_site_reads_its_long_list_seldom():
-    _, kept, _ = make(others=dissemination.MESH_BOUND)
+    _, kept, _ = make(others=dissemination.FULL_MESH_MAX_NODES)
     kept.step()
     assert kept.step() == registration.LONG_LIST_S
 
@@ -55,7 +55,7 @@
 
     Without a second reading after it has registered, neither would know the other for a minute.
     """
-    platform, kept, told = make(others=dissemination.MESH_BOUND, is_first_start=False)
+    platform, kept, told = make(others=dissemination.FULL_MESH_MAX_NODES, is_first_start=False)
     assert kept.step() == 0.0
     registry.Registry(platform).register(row("other-late"))
     assert kept.step() == registration.LONG_LIST_S
--- a/tests/entry/test_storewatch.py
+++ b/tests/entry/test_storewatch.py
@@ -64,7 +64,7 @@
     large, small = Site(40), Site(6)
     large.run(10)
     small.run(10)
-    assert large.following() == set(followers.chosen(large.names))
+    assert large.following() == set(followers.select(large.names))
     assert small.following() == set(small.names)
 
 
--- a/tests/entry/test_ticks.py
+++ b/tests/entry/test_ticks.py
@@ -63,7 +63,7 @@
     clock = clocks.ManualClock()
     versions = [(0, 0)]
     nodes = tuple(f"n{number:02}" for number in range(60))
-    chosen = followers.chosen(nodes)
+    chosen = followers.select(nodes)
     told = next(node for node in nodes if node not in chosen)
     watch = storewatch.StoreWatch(
         told, lambda: versions[0], evacuations.Evacuations, lambda: True, clock
--- a/tests/membership/test_addresses.py
+++ b/tests/membership/test_addresses.py
@@ -27,21 +27,24 @@
 def test_a_leaving_node_is_left_out():
     # Callers keep the answer; named now, the node would be kept from its end.
     leaving = tuple(member(number, State.LEAVING if number else State.LIVE) for number in range(3))
-    answer = addresses.answer("clerks", leaving, 1.0, turn=0, ttl_s=30)
-    assert answer == addresses.AddressAnswer(("10.0.0.0:80",), 30)
+    select_addresses = addresses.select_addresses("clerks", leaving, 1.0, rotation=0, ttl_s=30)
+    assert select_addresses == addresses.AddressSelection(("10.0.0.0:80",), 30)
 
 
 def test_when_no_node_is_live_the_answer_is_not_empty():
     states = (State.GONE, State.LEAVING, State.SUSPECT)
     members = tuple(member(number, state) for number, state in enumerate(states))
-    assert addresses.answer("clerks", members, 1.0, 0, 30).addresses == ("10.0.0.2:80",)
-    assert addresses.answer("clerks", members[:2], 1.0, 0, 30).addresses == ("10.0.0.1:80",)
-    assert addresses.answer("clerks", members[:1], 1.0, 0, 30).addresses == ()
+    assert addresses.select_addresses("clerks", members, 1.0, 0, 30).addresses == ("10.0.0.2:80",)
+    assert addresses.select_addresses("clerks", members[:2], 1.0, 0, 30).addresses == (
+        "10.0.0.1:80",
+    )
+    assert addresses.select_addresses("clerks", members[:1], 1.0, 0, 30).addresses == ()
 
 
 def test_callers_of_one_team_begin_at_every_node_of_its_shard():
     firsts = collections.Counter(
-        addresses.answer("clerks", MEMBERS, 1 / 6, turn, 30).addresses[0] for turn in range(30)
+        addresses.select_addresses("clerks", MEMBERS, 1 / 6, rotation, 30).addresses[0]
+        for rotation in range(30)
     )
     assert set(firsts.values()) == {10}
 
--- a/tests/membership/test_introduction.py
+++ b/tests/membership/test_discovery.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hornbeamglade.exchange import messages
-from hornbeamglade.membership import introduction, registry, view
+from hornbeamglade.membership import discovery, registry, view
 from hornbeamglade.standins import httpserver
 from hornbeamglade.store import contract, memory
 
@@ -20,9 +20,9 @@
     members = [member("n1"), member("n2", messages.NodeState.GONE)]
 
     def answer(request):
-        if request.path != introduction.PATH:
+        if request.path != discovery.PATH:
             return None
-        return httpserver.Answer(200, introduction.page(members))
+        return httpserver.Answer(200, discovery.members_page(members))
 
     server = httpserver.Server("127.0.0.1:0", answer, threads=2)
     server.start()
@@ -31,7 +31,7 @@
 
 
 def listing(platform, *seeds):
-    return introduction.Introduction(registry.Registry(platform), seeds)
+    return discovery.Discovery(registry.Registry(platform), seeds)
 
 
 def test_list_in_the_store_goes_first(seed):
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -17,7 +17,7 @@
     own = membership_view.Identity("n0", "d", "", "")
     view = membership_view.MembershipView(own, 1)
     names = [f"n{number}" for number in range(nodes)]
-    view.listed(tuple(contract.Instance(n, "d", "", "", False) for n in names))
+    view.apply_list(tuple(contract.Instance(n, "d", "", "", False) for n in names))
     return view
 
 
@@ -49,7 +49,7 @@
     view = make_view(6)
     plan = dissemination.Dissemination(random.Random(1))
     (change,) = [c for c in view.changes(0.0) if c.member.incarnation]
-    plan.note(change, nodes=6)
+    plan.add_change(change, nodes=6)
     spread = 0
     while plan.updates():
         plan.plan(others(view), 3.0)
@@ -77,4 +77,4 @@
         for one in told
     ]
     mean = sum(map(len, frames)) / len(frames) + IP_AND_UDP_HEADER_BYTES
-    assert 2 * dissemination.frames_per_second(nodes) * mean < BUDGET_BYTES_PER_SECOND
+    assert 2 * dissemination.heartbeats_per_second(nodes) * mean < BUDGET_BYTES_PER_SECOND
--- a/tests/membership/test_draining.py
+++ b/tests/membership/test_draining.py
@@ -11,21 +11,21 @@
     # A caller asked for addresses just before the stop and comes 29 s later. A node
     # that closed when it was idle would refuse the connection.
     plan = draining.Draining(TTL_S, SPREAD_S)
-    plan.request(0.0)
-    assert plan.step(29.0, in_flight=0).takes_requests
+    plan.begin(0.0)
+    assert plan.step(29.0, in_flight=0).accepts_requests
 
 
 def test_a_long_stream_is_waited_for():
     plan = draining.Draining(TTL_S, SPREAD_S)
-    plan.request(0.0)
+    plan.begin(0.0)
     assert plan.step(3600.0, in_flight=1).phase is Phase.LEAVING
     assert plan.step(3601.0, in_flight=0).phase is Phase.CLOSING
 
 
 def test_a_second_signal_does_not_cut_streams():
     plan = draining.Draining(TTL_S, SPREAD_S)
-    assert plan.request(0.0)
-    assert not plan.request(1.0)
+    assert plan.begin(0.0)
+    assert not plan.begin(1.0)
     assert plan.step(2.0, in_flight=1) == draining.Status(Phase.LEAVING)
 
 
@@ -33,7 +33,7 @@
     # The count was zero, the decision to close was made, and a connection came in
     # before the listener was closed. Ending at once would cut it off.
     plan = draining.Draining(TTL_S, SPREAD_S)
-    plan.request(0.0)
+    plan.begin(0.0)
     assert plan.step(40.0, in_flight=0).phase is Phase.CLOSING
     assert plan.step(40.1, in_flight=0).phase is Phase.CLOSING
     plan.listener_closed()
@@ -43,9 +43,9 @@
 
 def test_the_operators_hard_limit_ends_the_stop_and_says_what_it_cut():
     plan = draining.Draining(TTL_S, SPREAD_S, hard_limit_s=60.0)
-    plan.request(0.0)
+    plan.begin(0.0)
     assert plan.step(59.0, in_flight=2).phase is Phase.LEAVING
-    assert plan.step(60.0, in_flight=2) == draining.Status(Phase.DONE, cut=2)
+    assert plan.step(60.0, in_flight=2) == draining.Status(Phase.DONE, aborted_requests=2)
 
 
 class DrainingMachine(stateful.RuleBasedStateMachine):
@@ -65,7 +65,7 @@
 
     @stateful.rule()
     def signal(self):
-        if self.plan.request(self.now):
+        if self.plan.begin(self.now):
             assert self.began_at is None
             self.began_at = self.now
 
@@ -88,13 +88,13 @@
     @stateful.invariant()
     def nothing_is_cut_and_old_answers_hold(self):
         status = self.plan.step(self.now, self.in_flight)
-        assert status.cut == 0
+        assert status.aborted_requests == 0
         assert status.closes_connections == (self.began_at is not None)
         if status.phase is Phase.DONE:
             assert self.in_flight == 0
             assert not self.listening
         if self.began_at is None or self.now < self.began_at + TTL_S:
-            assert status.takes_requests
+            assert status.accepts_requests
 
 
 TestDrainingMachine = DrainingMachine.TestCase
--- a/tests/membership/test_followers.py
+++ b/tests/membership/test_followers.py
@@ -12,8 +12,8 @@
 
 
 def test_all_follow_up_to_the_bound_of_the_mesh():
-    nodes = names(dissemination.MESH_BOUND)
-    assert followers.chosen(nodes) == frozenset(nodes)
+    nodes = names(dissemination.FULL_MESH_MAX_NODES)
+    assert followers.select(nodes) == frozenset(nodes)
 
 
 @pytest.mark.parametrize("count", [17, 82, 360])
@@ -23,14 +23,14 @@
     The last of its nodes would still send requests by the former configuration.
     """
     nodes = names(count)
-    chosen = followers.chosen(nodes)
+    selected = followers.select(nodes)
     told = collections.Counter()
     for node in nodes:
-        tellers = followers.tellers(node, chosen)
-        assert len(tellers) == (0 if node in chosen else followers.TELLERS)
-        assert set(tellers) <= chosen
-        told.update(tellers)
-    mean = sum(told.values()) / len(chosen)
+        notifiers = followers.notifiers(node, selected)
+        assert len(notifiers) == (0 if node in selected else followers.NOTIFIERS_PER_NODE)
+        assert set(notifiers) <= selected
+        told.update(notifiers)
+    mean = sum(told.values()) / len(selected)
     assert max(told.values()) < 2.5 * mean
 
 
@@ -42,11 +42,11 @@
     two, or one lost datagram delays it by a second.
     """
     nodes = names(count)
-    chosen = followers.chosen(nodes)
-    assert len(chosen) <= max(followers.LEAST, count / 20)
-    for lost in chosen:
-        left = chosen - {lost}
-        assert all(len(followers.tellers(node, left)) == 2 for node in nodes if node not in left)
+    selected = followers.select(nodes)
+    assert len(selected) <= max(followers.MIN_FOLLOWERS, count / 20)
+    for lost in selected:
+        left = selected - {lost}
+        assert all(len(followers.notifiers(node, left)) == 2 for node in nodes if node not in left)
 
 
 @pytest.mark.parametrize("count", [17, 59, 82])
@@ -55,8 +55,8 @@
 
     Were all followers among them, nobody at the site would learn that an engine leaves.
     """
-    chosen = followers.chosen(names(count))
-    assert (1 / 3) ** len(chosen) < 0.005
+    selected = followers.select(names(count))
+    assert (1 / 3) ** len(selected) < 0.005
 
 
 def test_the_loss_of_a_follower_changes_one_place():
@@ -65,8 +65,8 @@
     Were all chosen anew, all would read the whole tables at once.
     """
     nodes = names(82)
-    before = followers.chosen(nodes)
+    before = followers.select(nodes)
     lost = min(before)
-    after = followers.chosen([node for node in nodes if node != lost])
+    after = followers.select([node for node in nodes if node != lost])
     assert len(after - before) <= 1
     assert before - {lost} <= after
--- a/tests/membership/test_heartbeats.py
+++ b/tests/membership/test_heartbeats.py
@@ -26,13 +26,13 @@
             contract.Instance(name, "d", f"{name}:80", "127.0.0.1:1", False) for name in self.names
         )
         for node in self.node_by_name.values():
-            node.listed(instances)
+            node.apply_list(instances)
 
     def _make(self, name):
         def handle(message, origin, source):
             severed = (name in self.cut) != (origin.name in self.cut)
             if name not in self.silent and not severed:
-                self.node_by_name[name].heard(message, origin, source)
+                self.node_by_name[name].receive(message, origin, source)
 
         own = membership_view.Identity(name, "d", f"{name}:80", "127.0.0.1:1")
         port = self.network.attach(name, handle)
@@ -141,7 +141,7 @@
     # accuser would have to wait for the owner's next heartbeat to come its way.
     site = Site(30)
     site.run(5)
-    site.node_by_name["n2"].unanswered("n1")
+    site.node_by_name["n2"].record_no_reply("n1")
     for _ in range(20):
         site.run(0.25)
         assert site.states_of("n1") == {State.LIVE}
@@ -156,7 +156,7 @@
     beat = messages.Heartbeat(State.LIVE, 6, 1, "d", "", "127.0.0.1:1", updates=(told,))
     origin = codec.Sender("n4", 1)
     for name in site.names[5:25]:
-        site.node_by_name[name].heard(beat, origin, transport.Endpoint("127.0.0.1", 1))
+        site.node_by_name[name].receive(beat, origin, transport.Endpoint("127.0.0.1", 1))
     site.run(0.25)
     assert State.SUSPECT in site.states_of("n1")
     site.run(20)
@@ -167,7 +167,7 @@
     site = Site(2)
     odd = contract.Instance("odd", "d", "", "no address", False)
     good = contract.Instance("n1", "d", "", "127.0.0.1:1", False)
-    site.node_by_name["n0"].listed((odd, good))
+    site.node_by_name["n0"].apply_list((odd, good))
     site.run(2)
     assert site.states_of("n0") == {State.LIVE}
     assert site.node_by_name["n0"].peer("odd") is None
@@ -181,7 +181,7 @@
 
     def hear(beat, sender=origin):
         told = messages.Heartbeat(State.LIVE, beat, 1, "d", "", "127.0.0.1:1")
-        return site.node_by_name["n0"].heard(told, sender, source)
+        return site.node_by_name["n0"].receive(told, sender, source)
 
     assert [hear(beat) for beat in (3, 2, 3, 4)] == [True, False, False, True]
     assert hear(1, codec.Sender("n1", 6))
@@ -206,7 +206,7 @@
     node = heartbeats.Heartbeats(
         own, 1, Wire(), clock, random.Random(1), heartbeats.Digest, demands
     )
-    node.listed((contract.Instance("n1", "d", "", "127.0.0.1:1", False),))
+    node.apply_list((contract.Instance("n1", "d", "", "127.0.0.1:1", False),))
     for _ in range(32):
         clock.advance(0.25)
         node.tick()
@@ -223,9 +223,9 @@
     bare = messages.Heartbeat(State.LIVE, 7, 1, "", "", "")
     source = transport.Endpoint("127.0.0.1", 1)
     node = site.node_by_name["n0"]
-    assert not node.heard(bare, codec.Sender("unknown", 1), source)
+    assert not node.receive(bare, codec.Sender("unknown", 1), source)
     assert node.peer("unknown") is None
-    assert node.heard(bare, codec.Sender("n1", 1), source)
+    assert node.receive(bare, codec.Sender("n1", 1), source)
     site.run(0.25)
     (known,) = [one.identity for one in node.members() if one.identity.name == "n1"]
     assert (known.address, known.exchange) == ("n1:80", "127.0.0.1:1")
@@ -246,12 +246,12 @@
     for beat in range(1, 33):
         clock.advance(0.25)
         peer = messages.Heartbeat(State.LIVE, beat, 1, "d", "n1:80", "127.0.0.1:1")
-        node.heard(peer, codec.Sender("n1", 1), transport.Endpoint("127.0.0.1", 1))
+        node.receive(peer, codec.Sender("n1", 1), transport.Endpoint("127.0.0.1", 1))
         node.tick()
     whole = [beat.beat for beat in told if beat.exchange == own.exchange]
     assert whole == [1, 5, 9, 13]
     assert len(told) == 16
-    node.heard(
+    node.receive(
         messages.Heartbeat(State.LIVE, 40, 1, "d", "", "127.0.0.1:1", wants_answer=True),
         codec.Sender("n1", 1),
         transport.Endpoint("127.0.0.1", 1),
--- a/tests/membership/test_ownership.py
+++ b/tests/membership/test_ownership.py
@@ -5,8 +5,8 @@
 
 from hornbeamglade.membership import ownership
 
-REPLICAS = [ownership.Place(f"engine-{number}", f"d{number % 3}") for number in range(60)]
-NODES = [ownership.Place(f"n{number}", f"d{number % 3}") for number in range(9)]
+REPLICAS = [ownership.Participant(f"engine-{number}", f"d{number % 3}") for number in range(60)]
+NODES = [ownership.Participant(f"n{number}", f"d{number % 3}") for number in range(9)]
 _SUBSETS = strategies.lists(strategies.sampled_from(NODES), unique=True)
 
 
@@ -34,7 +34,7 @@
 def test_a_node_that_moved_to_another_domain_is_ranked_anew():
     kept = ownership.Ownership()
     kept.update(REPLICAS, NODES)
-    moved = [ownership.Place("n0", "d2"), *NODES[1:]]
+    moved = [ownership.Participant("n0", "d2"), *NODES[1:]]
     kept.update(REPLICAS, moved)
     for replica in REPLICAS:
         assert kept.owner(replica.name) == ownership.owner(replica, moved)
@@ -42,7 +42,7 @@
 
 def test_owners_are_mostly_near_and_no_node_holds_far_more_than_its_share():
     kept = ownership.Ownership()
-    replicas = [ownership.Place(f"engine-{n}", f"d{n % 3}") for n in range(900)]
+    replicas = [ownership.Participant(f"engine-{n}", f"d{n % 3}") for n in range(900)]
     kept.update(replicas, NODES)
     domain_by_node = {node.name: node.failure_domain for node in NODES}
     near = sum(domain_by_node[kept.owner(r.name)] == r.failure_domain for r in replicas)
@@ -52,17 +52,17 @@
 
 
 def engines(count, domains=2):
-    return [ownership.Place(f"engine-{n}", f"d{n % domains}") for n in range(count)]
+    return [ownership.Participant(f"engine-{n}", f"d{n % domains}") for n in range(count)]
 
 
-def grouped(places):
-    return ownership.grouped(places, lambda name: "chat")
+def assign_groups(places):
+    return ownership.assign_groups(places, lambda name: "chat")
 
 
 def test_a_group_has_one_owner_also_after_a_loss():
     # Its owner chooses among all of it; cut in two, each half would seem to be all.
     kept = ownership.Ownership()
-    places = grouped(engines(20))
+    places = assign_groups(engines(20))
     for nodes in (NODES, NODES[1:], NODES[2:]):
         kept.update(places, nodes)
         owners_by_group = collections.defaultdict(set)
@@ -72,8 +72,8 @@
 
 
 def test_groups_stay_small_and_one_engine_more_moves_no_other():
-    places = grouped(engines(200))
+    places = assign_groups(engines(200))
     sizes = collections.Counter(place.group for place in places)
-    assert max(sizes.values()) < 2 * ownership.GROUP_MOST
-    more = {place.name: place.group for place in grouped(engines(202))}
+    assert max(sizes.values()) < 2 * ownership.MAX_GROUP_SIZE
+    more = {place.name: place.group for place in assign_groups(engines(202))}
     assert all(more[place.name] == place.group for place in places)
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -12,8 +12,8 @@
     nodes.register(OWN)
     nodes.register(moved)
     assert nodes.list() == (moved,)
-    nodes.withdraw("n1")
-    nodes.withdraw("n1")
+    nodes.deregister("n1")
+    nodes.deregister("n1")
     assert nodes.list() == ()
 
 
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -11,7 +11,7 @@
 
 
 def names_of_owners(watch):
-    return [m.identity.name for m in membership_view.owners(watch.view.members(0.0))]
+    return [m.identity.name for m in membership_view.owner_candidates(watch.view.members(0.0))]
 
 
 def instance(name="b", leaving=False):
@@ -33,10 +33,10 @@
         self.view = membership_view.MembershipView(OWN, incarnation=9)
 
     def hear(self, now, incarnation=5, **content):
-        self.view.heard(codec.Sender("b", incarnation), heartbeat(**content), now)
+        self.view.record_heartbeat(codec.Sender("b", incarnation), heartbeat(**content), now)
 
     def tell(self, told, now):
-        self.view.heard(codec.Sender("c", 1), heartbeat(updates=(told,)), now)
+        self.view.record_heartbeat(codec.Sender("c", 1), heartbeat(updates=(told,)), now)
 
     def state(self, now):
         return self.view.member("b", now).state
@@ -48,9 +48,9 @@
 
 
 def test_a_listed_node_is_live_until_a_question_stays_unanswered(watch):
-    watch.view.listed((instance(),))
+    watch.view.apply_list((instance(),))
     assert watch.state(1000.0) is State.LIVE
-    watch.view.asked("b", 1000.0)
+    watch.view.expect_reply("b", 1000.0)
     assert watch.state(1002.0) is State.SUSPECT
     assert watch.state(1020.0) is State.GONE
 
@@ -62,7 +62,7 @@
 
 
 def test_a_node_that_is_heard_but_not_listed_is_live(watch):
-    watch.view.listed(())
+    watch.view.apply_list(())
     watch.hear(0.0)
     assert watch.state(0.0) is State.LIVE
     assert watch.view.member("b", 0.0).identity.address == "b:80"
@@ -72,9 +72,9 @@
     # A node is reclaimed. The platform's list names it for another minute. Taken at
     # its word, callers would be sent to the dead node again and again.
     watch.hear(0.0)
-    watch.view.asked("b", 0.0)
+    watch.view.expect_reply("b", 0.0)
     watch.view.changes(20.0)
-    watch.view.listed((instance(),))
+    watch.view.apply_list((instance(),))
     assert watch.state(21.0) is State.GONE
     watch.view.changes(2000.0)
     assert watch.state(2000.0) is State.GONE
@@ -84,14 +84,14 @@
     # A node drains; the lagging list still has it as live. Named to callers, it
     # would never come to its end.
     watch.hear(0.0, state=State.LEAVING)
-    watch.view.listed((instance(leaving=False),))
+    watch.view.apply_list((instance(leaving=False),))
     assert watch.state(1.0) is State.LEAVING
 
 
 def test_a_listed_leaving_stays_when_the_list_flaps(watch):
     watch.hear(0.0)
-    watch.view.listed((instance(leaving=True),))
-    watch.view.listed((instance(leaving=False),))
+    watch.view.apply_list((instance(leaving=True),))
+    watch.view.apply_list((instance(leaving=False),))
     assert watch.state(2.0) is State.LEAVING
 
 
@@ -112,7 +112,7 @@
 def test_a_node_held_for_gone_is_live_once_it_is_heard(watch):
     # A partition heals. Both sides held each other for dead.
     watch.hear(0.0)
-    watch.view.asked("b", 0.0)
+    watch.view.expect_reply("b", 0.0)
     assert watch.state(20.0) is State.GONE
     watch.hear(20.0, beat=2)
     assert watch.state(20.0) is State.LIVE
@@ -120,7 +120,7 @@
 
 def test_a_replaced_node_with_a_lower_incarnation_is_heard_after_the_former_is_gone(watch):
     watch.hear(0.0)
-    watch.view.asked("b", 0.0)
+    watch.view.expect_reply("b", 0.0)
     watch.hear(100.0, incarnation=4)
     assert watch.state(100.0) is State.LIVE
 
@@ -159,7 +159,7 @@
     # The link from here to the node stalls, others reach it. Live by hearsay, it would
     # be asked for grants in vain, and each request would wait out the time-out.
     watch.hear(0.0)
-    watch.view.asked("b", 1.0)
+    watch.view.expect_reply("b", 1.0)
     watch.tell(update(State.LIVE, refutation=1), 4.0)
     assert watch.state(4.0) is State.SUSPECT
 
@@ -191,7 +191,7 @@
 
 def test_a_node_long_gone_and_not_listed_is_forgotten(watch):
     watch.hear(0.0)
-    watch.view.asked("b", 0.0)
+    watch.view.expect_reply("b", 0.0)
     watch.view.changes(20.0)
     watch.view.changes(21.0 + membership_view.FORGET_AFTER_S)
     assert watch.view.member("b", 700.0) is None
@@ -206,7 +206,7 @@
 def test_silence_alone_changes_the_members_kept(watch):
     """A node stops without a word: nothing comes in, and yet it must become suspect."""
     watch.hear(0.1)
-    watch.view.asked("b", 0.25)
+    watch.view.expect_reply("b", 0.25)
     states = [watch.view.members(now)[1].state for now in (2.2, 2.25, 20.2, 20.25)]
     assert states == [State.LIVE, State.SUSPECT, State.SUSPECT, State.GONE]
 
@@ -234,7 +234,7 @@
     @stateful.rule(present=strategies.booleans(), leaving=strategies.booleans())
     def list_is_read(self, present, leaving):
         before = self.current()
-        self.watch.view.listed((instance(leaving=leaving),) if present else ())
+        self.watch.view.apply_list((instance(leaving=leaving),) if present else ())
         if before and before.state in (State.LEAVING, State.GONE):
             assert self.current().state in (State.LEAVING, State.GONE)
         if present and leaving:
@@ -242,7 +242,7 @@
 
     @stateful.rule()
     def ask(self):
-        self.watch.view.asked("b", self.now)
+        self.watch.view.expect_reply("b", self.now)
 
     @stateful.rule(leaving=strategies.booleans())
     def hear(self, leaving):
