--- a/hornbeamglade/node/generationsource.py
+++ b/hornbeamglade/node/generationsource.py
@@ -93,7 +93,7 @@
 
     def _resume(self) -> bool:
         target = self.target
-        if self._state.lost(target.generation) is not generationstream.RecoveryAction.RESUME:
+        if self._state.lost(target.generation) is not generationstream.AfterLoss.RESUME:
             return False
         # An engine that holds the stream answers at once: waiting as long as for a first
         # token would add a stall of that length to each try over a dead link.
--- a/hornbeamglade/streams/__init__.py
+++ b/hornbeamglade/streams/__init__.py
@@ -1,9 +1,9 @@
 """One generation's way to its caller: each token once, in order, from one generation."""
 
 from hornbeamglade.streams.generationstream import (
+    AfterLoss,
     GenerationStream,
     Phase,
-    RecoveryAction,
 )
 
-__all__ = ["RecoveryAction", "GenerationStream", "Phase"]
+__all__ = ["AfterLoss", "GenerationStream", "Phase"]
--- a/hornbeamglade/streams/generationstream.py
+++ b/hornbeamglade/streams/generationstream.py
@@ -27,7 +27,7 @@
     ENDED = "ended"
 
 
-class RecoveryAction(enum.Enum):
+class AfterLoss(enum.Enum):
     """What may follow when a generation's connection was lost.
 
     ``RUN_AGAIN`` starts another generation; ``RESUME`` continues the same one
@@ -51,12 +51,12 @@
     >>> stream = GenerationStream(repeatable=True, resumable=False)
     >>> stream.begin("g1")
     >>> stream.lost("g1")
-    <RecoveryAction.RUN_AGAIN: 'run_again'>
+    <AfterLoss.RUN_AGAIN: 'run_again'>
     >>> stream.begin("g2")
     >>> stream.accept("g1", 0), stream.accept("g2", 0), stream.accept("g2", 0)
     (False, True, False)
     >>> stream.lost("g2")
-    <RecoveryAction.END: 'end'>
+    <AfterLoss.END: 'end'>
     """
 
     __slots__ = ("_generation", "_repeatable", "_resumable", "next_offset", "phase")
@@ -102,13 +102,13 @@
         self.phase = Phase.DELIVERING
         return True
 
-    def lost(self, generation: str) -> RecoveryAction:
+    def lost(self, generation: str) -> AfterLoss:
         """Decide what may follow the loss of a generation's connection."""
         if generation != self._generation or self.phase is Phase.ENDED:
-            return RecoveryAction.END
+            return AfterLoss.END
         if self.next_offset == 0 and self._repeatable:
-            return RecoveryAction.RUN_AGAIN
-        return RecoveryAction.RESUME if self._resumable else RecoveryAction.END
+            return AfterLoss.RUN_AGAIN
+        return AfterLoss.RESUME if self._resumable else AfterLoss.END
 
     def end(self) -> bool:
         """Claim the right to give the final answer; true exactly once."""
