--- a/hornbeamglade/backends/eventparser.py
+++ b/hornbeamglade/backends/eventparser.py
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LinkLost:
+class ConnectionLost:
     """The connection ended before the generation did."""
 
     reason: str
@@ -79,7 +79,7 @@
     silent_s: float
 
 
-Event = Token | KeepAlive | Finished | Failed | LinkLost | Stalled
+Event = Token | KeepAlive | Finished | Failed | ConnectionLost | Stalled
 _KEEP_ALIVE = KeepAlive()
 
 
--- a/hornbeamglade/backends/generations.py
+++ b/hornbeamglade/backends/generations.py
@@ -19,7 +19,7 @@
     Explanation
     ===========
 
-    The iteration ends after ``Finished``, ``Failed``, ``LinkLost`` or ``Stalled``.
+    The iteration ends after ``Finished``, ``Failed``, ``ConnectionLost`` or ``Stalled``.
     After the last two the connection is reset, so that the engine holds the
     stream for :func:`resume`; else it is closed in order. It is never reused.
 
@@ -57,20 +57,20 @@
         """Close the connection at once, from any thread; the engine cancels."""
         self._link.cancellation.cancel()
 
-    def _read(self) -> bytes | eventparser.LinkLost | eventparser.Stalled:
+    def _read(self) -> bytes | eventparser.ConnectionLost | eventparser.Stalled:
         try:
             data = self._link.read1(_READ_BYTES)
         except links.ANSWER_ERRORS as error:
             return self._lost(repr(error))
         return data or self._lost("the answer ended early")
 
-    def _lost(self, reason: str) -> eventparser.LinkLost | eventparser.Stalled:
+    def _lost(self, reason: str) -> eventparser.ConnectionLost | eventparser.Stalled:
         # A link that stalls shows as silence, and so does a slow engine without its
         # keep-alives; these come each second, so silence for longer is a stall, while a
         # queued or preempted stream goes on waiting.
         if self._link.silent:
             return eventparser.Stalled(self._progress_s)
-        return eventparser.LinkLost(reason)
+        return eventparser.ConnectionLost(reason)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -80,9 +80,15 @@
     stream: Stream
 
 
-OpenOutcome = Opened | outcomes.NotRun | outcomes.Lost | outcomes.CrossedAnswer | outcomes.Rejected
+OpenOutcome = (
+    Opened | outcomes.NotRun | outcomes.Lost | outcomes.MismatchedResponse | outcomes.Rejected
+)
 ResumeOutcome = (
-    Opened | outcomes.StreamGone | outcomes.PortClosed | outcomes.Lost | outcomes.CrossedAnswer
+    Opened
+    | outcomes.StreamGone
+    | outcomes.PortClosed
+    | outcomes.Lost
+    | outcomes.MismatchedResponse
 )
 
 
@@ -137,7 +143,7 @@
     fields = urllib3.HTTPHeaderDict({"Last-Event-ID": str(last_offset)})
     offer = links.Offer("GET", _stream_path(request_id), fields, None, request_id)
     link = links.offer(address, offer, timeouts, cancellation or links.Cancellation())
-    if isinstance(link, outcomes.CrossedAnswer):
+    if isinstance(link, outcomes.MismatchedResponse):
         return link
     if not isinstance(link, links.Link):
         if isinstance(link, outcomes.NotRun) and link.port_closed:
--- a/hornbeamglade/backends/links.py
+++ b/hornbeamglade/backends/links.py
@@ -36,13 +36,13 @@
     """Bounds on waiting, in seconds.
 
     :param connect_s: until the connection stands.
-    :param answer_s: without a byte, until the answer's head.
+    :param response_s: without a byte, until the answer's head.
     :param progress_s: without a byte, within the answer's body; longer than the
         engines' time between keep-alives.
     """
 
     connect_s: float = 1.0
-    answer_s: float = 10.0
+    response_s: float = 10.0
     progress_s: float = 4.0
 
 
@@ -158,7 +158,7 @@
 
 def offer(
     address: str, request: Offer, timeouts: Timeouts, cancellation: Cancellation
-) -> Link | outcomes.NotRun | outcomes.Lost | outcomes.CrossedAnswer:
+) -> Link | outcomes.NotRun | outcomes.Lost | outcomes.MismatchedResponse:
     """Offer a request and wait for the head of its answer.
 
     :param address: the backend server's ``ip:port``.
@@ -205,7 +205,7 @@
 def _send(
     connection: _Connection, request: Offer, timeouts: Timeouts
 ) -> urllib3.HTTPResponse | outcomes.NotRun | outcomes.Lost:
-    connection.timeout = timeouts.answer_s
+    connection.timeout = timeouts.response_s
     headers = request.headers.copy()
     headers[REQUEST_ID] = request.request_id
     try:
@@ -231,13 +231,13 @@
 
 def _check_head(
     link: Link, request_id: str
-) -> Link | outcomes.NotRun | outcomes.Lost | outcomes.CrossedAnswer:
+) -> Link | outcomes.NotRun | outcomes.Lost | outcomes.MismatchedResponse:
     response = link.response
     found = response.headers.get(REQUEST_ID)
     if found != request_id:
         # A server or a middle box that mixes up answers gives one caller another's
         # text, or another's "not run". Only the id that was sent is accepted back.
-        return outcomes.CrossedAnswer(found)
+        return outcomes.MismatchedResponse(found)
     if response.status == 503 and response.headers.get(_NOT_RUN, "").lower() == "true":
         return outcomes.NotRun("refused by the backend server", True)
     return link
--- a/hornbeamglade/backends/orders.py
+++ b/hornbeamglade/backends/orders.py
@@ -51,7 +51,7 @@
     role: str = ""
 
     @classmethod
-    def wanted(cls, wanted: models.Wanted) -> "EngineState":
+    def from_configuration(cls, wanted: models.Wanted) -> "EngineState":
         """Return what a pool's configuration wants."""
         return cls(frozenset(wanted.models), frozenset(wanted.adapters), wanted.role)
 
@@ -150,12 +150,12 @@
     """Bounds on one call, in seconds.
 
     :param connect_s: until the connection stands.
-    :param answer_s: from then until the whole answer is read; each wait for bytes
+    :param response_s: from then until the whole answer is read; each wait for bytes
         is bounded by it too, so a call takes at most twice as long.
     """
 
     connect_s: float = 1.0
-    answer_s: float = 3.0
+    response_s: float = 3.0
 
 
 class OrderClient:
@@ -212,9 +212,9 @@
     def _exchange(
         self, connection: urllib3.connection.HTTPConnection, method: str, body: bytes | None
     ) -> OrderOutcome:
-        connection.timeout = self._timeouts.answer_s
-        connection.sock.settimeout(self._timeouts.answer_s)
-        deadline = self._clock.now() + self._timeouts.answer_s
+        connection.timeout = self._timeouts.response_s
+        connection.sock.settimeout(self._timeouts.response_s)
+        deadline = self._clock.now() + self._timeouts.response_s
         try:
             connection.request(
                 method,
--- a/hornbeamglade/backends/outcomes.py
+++ b/hornbeamglade/backends/outcomes.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CrossedAnswer:
+class MismatchedResponse:
     """The answer bears another request's id; nothing of it may be used.
 
     :param found: the id that the answer bears, or None.
--- a/hornbeamglade/backends/plaincalls.py
+++ b/hornbeamglade/backends/plaincalls.py
@@ -8,7 +8,7 @@
 from hornbeamglade.backends import links, outcomes
 from hornbeamglade.core import outcomes as core_outcomes
 
-DEFAULT_MAX_ANSWER_BYTES = 8 << 20
+DEFAULT_MAX_RESPONSE_BYTES = 8 << 20
 
 Headers = tuple[tuple[str, str], ...]
 
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered:
+class PlainResponse:
     """The service's whole answer, whatever its status."""
 
     status: int
@@ -55,7 +55,7 @@
     body: bytes
 
 
-CallOutcome = Answered | outcomes.NotRun | outcomes.Lost | outcomes.CrossedAnswer
+CallOutcome = PlainResponse | outcomes.NotRun | outcomes.Lost | outcomes.MismatchedResponse
 
 
 def call(
@@ -63,7 +63,7 @@
     plain: PlainCall,
     request_id: str,
     timeouts: links.Timeouts,
-    max_answer_bytes: int = DEFAULT_MAX_ANSWER_BYTES,
+    max_response_bytes: int = DEFAULT_MAX_RESPONSE_BYTES,
     cancellation: links.Cancellation | None = None,
 ) -> CallOutcome:
     """Pass one call to a service and wait for its whole answer.
@@ -80,7 +80,7 @@
     if not isinstance(link, links.Link):
         return link
     try:
-        return _answer(link, max_answer_bytes)
+        return _answer(link, max_response_bytes)
     finally:
         link.close()
 
@@ -105,7 +105,7 @@
     return tuple((name, value) for name, value in pairs if name.lower() not in dropped)
 
 
-def _answer(link: links.Link, limit: int) -> Answered | outcomes.Lost:
+def _answer(link: links.Link, limit: int) -> PlainResponse | outcomes.Lost:
     ran = core_outcomes.RunStatus.RAN
     try:
         body = links.read_body(link, limit)
@@ -114,4 +114,4 @@
     if body is None:
         return outcomes.Lost(f"the answer is longer than {limit} bytes", ran)
     response = link.response
-    return Answered(response.status, end_to_end(response.headers.items()), body)
+    return PlainResponse(response.status, end_to_end(response.headers.items()), body)
--- a/hornbeamglade/capacity/measuringconfiguration.py
+++ b/hornbeamglade/capacity/measuringconfiguration.py
@@ -112,7 +112,9 @@
         text = documentdelta.apply(before, delta)
         revision = documents.Revision(2, documents.digest(text), "c2", text)
         revision.verify()
-        view = siteview.derive(following.InForce(revision, revision.effective(samplesite.SITE)))
+        view = siteview.derive(
+            following.ActiveRevision(revision, revision.effective(samplesite.SITE))
+        )
         catalog.configure(view.site.pool_by_name)
         schedulers.configure({name: samplesite.scheduler_spec() for name in catalog.known_by_name})
         team_limits.configure(view.team_limits())
--- a/hornbeamglade/capacity/samplesite.py
+++ b/hornbeamglade/capacity/samplesite.py
@@ -67,11 +67,11 @@
     return documents.effective(document(counts).text, SITE)
 
 
-def in_force(counts: Counts) -> following.InForce:
+def in_force(counts: Counts) -> following.ActiveRevision:
     """Return a site's configuration as a node holds it."""
     made = document(counts)
     revision = documents.Revision(1, made.digest, "c1", made.text)
-    return following.InForce(revision, documents.effective(made.text, SITE))
+    return following.ActiveRevision(revision, documents.effective(made.text, SITE))
 
 
 def overlay() -> documentyaml.SourceFile:
--- a/hornbeamglade/cli/config.py
+++ b/hornbeamglade/cli/config.py
@@ -170,7 +170,7 @@
         text = "\n".join(f"wrote {name}" for name in names)
         _print({"revision": found.number, "files": list(names)}, as_json, text)
     elif site is not None:
-        written = documentsites.as_written(found.effective(site))
+        written = documentsites.to_yaml_values(found.effective(site))
         text = f"# revision {found.number}, site {site}\n{configfiles.as_yaml(written)}"
         _print({"revision": found.number, "effective": written}, as_json, text)
     else:
--- a/hornbeamglade/configuration/documentchecks.py
+++ b/hornbeamglade/configuration/documentchecks.py
@@ -82,7 +82,7 @@
     for pool_name, pool in site.pool_by_name.items():
         for name, replica in pool.replica_by_name.items():
             path = ("pools", pool_name, "replicas", name, "address")
-            place = documentyaml.shown_key(path[:-1])
+            place = documentyaml.dotted_key(path[:-1])
             first = first_by_address.setdefault(replica.address, place)
             if first != place:
                 detail = f"{first} has the same address {replica.address}"
@@ -120,4 +120,4 @@
             if key_hash in first_by_key_hash:
                 detail = f"{first_by_key_hash[key_hash]} has the same key"
                 yield Finding("config_duplicate_key_hash", path, detail)
-            first_by_key_hash.setdefault(key_hash, documentyaml.shown_key(path))
+            first_by_key_hash.setdefault(key_hash, documentyaml.dotted_key(path))
--- a/hornbeamglade/configuration/documentdiff.py
+++ b/hornbeamglade/configuration/documentdiff.py
@@ -46,7 +46,9 @@
     after_by_path = _leaves(after)
     paths = sorted(before_by_path.keys() | after_by_path.keys())
     return tuple(
-        Difference(documentyaml.shown_key(path), before_by_path.get(path), after_by_path.get(path))
+        Difference(
+            documentyaml.dotted_key(path), before_by_path.get(path), after_by_path.get(path)
+        )
         for path in paths
         if before_by_path.get(path) != after_by_path.get(path)
     )
--- a/hornbeamglade/configuration/documents.py
+++ b/hornbeamglade/configuration/documents.py
@@ -161,7 +161,7 @@
     raise documentyaml.ConfigurationError(
         tuple(
             documentyaml.Problem(
-                found.code, "", 0, documentyaml.shown_key(found.path), found.detail
+                found.code, "", 0, documentyaml.dotted_key(found.path), found.detail
             )
             for found in checked
         )
@@ -212,7 +212,7 @@
 def _refusal_at(
     tree: documentyaml.Tree, code: str, path: documentyaml.Path, detail: str
 ) -> documentyaml.ConfigurationError:
-    key = documentyaml.shown_key(path)
+    key = documentyaml.dotted_key(path)
     problem = documentyaml.Problem(code, tree.file, tree.line(path), key, detail)
     return documentyaml.ConfigurationError((problem,))
 
@@ -234,8 +234,8 @@
         for tree in (overlay, base):
             prefix = found.path[:length]
             if prefix and prefix in tree.line_by_path:
-                key = documentyaml.shown_key(found.path)
+                key = documentyaml.dotted_key(found.path)
                 line = tree.line_by_path[prefix]
                 return documentyaml.Problem(found.code, tree.file, line, key, found.detail)
-    key = documentyaml.shown_key(found.path)
+    key = documentyaml.dotted_key(found.path)
     return documentyaml.Problem(found.code, base.file, 1, key, found.detail)
--- a/hornbeamglade/configuration/documentsites.py
+++ b/hornbeamglade/configuration/documentsites.py
@@ -114,6 +114,6 @@
     return isinstance(value, list) and isinstance(part, int) and part < len(value)
 
 
-def as_written(site: models.SiteConfiguration) -> dict[str, object]:
+def to_yaml_values(site: models.SiteConfiguration) -> dict[str, object]:
     """Return a site's configuration as the YAML files would write it, defaults included."""
     return _SITE_ADAPTER.dump_python(site, mode="json", by_alias=True)
--- a/hornbeamglade/configuration/documentyaml.py
+++ b/hornbeamglade/configuration/documentyaml.py
@@ -30,13 +30,13 @@
 _FLOAT = re.compile(r"^[-+]?(\.[0-9]+|[0-9]+(\.[0-9]*)?)([eE][-+]?[0-9]+)?$")
 
 
-def shown_key(path: Path) -> str:
+def dotted_key(path: Path) -> str:
     """Return a path as operators read it.
 
     Examples
     ========
 
-    >>> shown_key(("teams", "notary", "key_hashes", 0))
+    >>> dotted_key(("teams", "notary", "key_hashes", 0))
     'teams.notary.key_hashes.0'
     """
     return ".".join(str(part) for part in path)
@@ -160,7 +160,7 @@
         self.line_by_path: dict[Path, int] = {}
 
     def refusal(self, code: str, line: int, path: Path, detail: str) -> ConfigurationError:
-        return ConfigurationError((Problem(code, self._file, line, shown_key(path), detail),))
+        return ConfigurationError((Problem(code, self._file, line, dotted_key(path), detail),))
 
     def document(self, events: collections.abc.Iterator[yaml.Event]) -> object:
         next(events)  # the start of the stream
--- a/hornbeamglade/configuration/follower.py
+++ b/hornbeamglade/configuration/follower.py
@@ -5,7 +5,7 @@
 
 Polling reads one row; the content is fetched only when the number has grown.
 A hint from a peer makes the next poll come at once. All decisions are those of
-:class:`hornbeamglade.configuration.following.Following`; here are the calls to
+:class:`hornbeamglade.configuration.following.RevisionTracker`; here are the calls to
 the platform, the thread, and one lock around the decisions. The lock is never
 held over a call to the platform.
 """
@@ -57,7 +57,7 @@
         self._content = headcontent.HeadContent(objects, clock)
         self._clock = clock
         self._poll_s = poll_s
-        self._following = following.Following(site, node)
+        self._following = following.RevisionTracker(site, node)
         self._lock = threading.Lock()
         self._wake = threading.Event()
         self._stopping = False
@@ -69,9 +69,9 @@
         """Return the revision in force at this node; never a lower one than before."""
         return self._following.current
 
-    def in_force(self) -> following.InForce | None:
+    def active(self) -> following.ActiveRevision | None:
         """Return the revision with the site's configuration that it gives, as one value."""
-        return self._following.in_force
+        return self._following.active
 
     @property
     def provisional(self) -> bool:
@@ -93,29 +93,29 @@
         """Return the code of what keeps the newest revision out, if anything does."""
         return self._following.problem
 
-    def hint(self, revision: int, peer: str | None = None) -> None:
+    def on_version_announcement(self, revision: int, peer: str | None = None) -> None:
         """Note that a peer holds ``revision`` (0 for none); poll at once if it is news.
 
         :param peer: the peer's name; needed for starting during an outage.
         """
         with self._lock:
-            news = self._following.hear(revision, self._clock.now(), peer)
+            news = self._following.on_version_announcement(revision, self._clock.now(), peer)
         if news:
             self._wake.set()
 
-    def list_nodes(self, names: frozenset[str]) -> None:
+    def set_listed_nodes(self, names: frozenset[str]) -> None:
         """Take the names of the site's nodes, for starting during an outage."""
         with self._lock:
-            self._following.list_nodes(names, self._clock.now())
+            self._following.set_listed_nodes(names, self._clock.now())
 
-    def document_for_peers(self) -> documents.Revision | None:
+    def revision_for_peers(self) -> documents.Revision | None:
         """Return what to give a peer that asks, or None."""
         return self._following.current
 
-    def offer(self, revision: documents.Revision) -> bool:
+    def consider(self, revision: documents.Revision) -> bool:
         """Consider a revision that a peer gave; return whether it is now in force."""
         with self._lock:
-            adopted = self._following.offer(revision, self._clock.now())
+            adopted = self._following.consider(revision, self._clock.now())
         if adopted:
             self._tell_adopted()
         return adopted
--- a/hornbeamglade/configuration/following.py
+++ b/hornbeamglade/configuration/following.py
@@ -23,7 +23,7 @@
 has heard of from anyone, within the last seconds. If fewer answer, it stays unready with a code.
 
 Why it cannot revert: let a revision be in force at more than half of the
-listed nodes for longer than ``HEARD_FRESH_S``; a node with nothing uses neither
+listed nodes for longer than ``ANNOUNCEMENT_FRESH_S``; a node with nothing uses neither
 hearsay nor an answer of the store that is older. The nodes with an older
 revision are then fewer than half. A node never
 goes lower, and a new node adopts an older one only if more than half of the
@@ -42,7 +42,7 @@
 
 from hornbeamglade.configuration import documents, documentyaml, headrecords, models
 
-HEARD_FRESH_S = 5.0
+ANNOUNCEMENT_FRESH_S = 5.0
 
 
 class Readiness(enum.Enum):
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InForce:
+class ActiveRevision:
     """A revision and what it says for the node's site.
 
     :param revision: the whole revision.
@@ -69,12 +69,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Heard:
+class _Announcement:
     number: int
     at: float
 
 
-class Following:
+class RevisionTracker:
     """The revision that one node holds, and what it has heard of newer ones.
 
     :param site: the node's site.
@@ -83,7 +83,7 @@
     Examples
     ========
 
-    >>> following = Following("krakow", "node-1")
+    >>> following = RevisionTracker("krakow", "node-1")
     >>> following.readiness.value
     'config_not_read'
     """
@@ -92,19 +92,19 @@
         self._site = site
         self._node = node
         self._listed: frozenset[str] = frozenset()
-        self._heard_by_peer: dict[str, _Heard] = {}
+        self._heard_by_peer: dict[str, _Announcement] = {}
         self._candidate: documents.Revision | None = None
         self._refused_digest = ""
         self._newest_at: float | None = None
-        self.in_force: InForce | None = None
+        self.active: ActiveRevision | None = None
         self.provisional = False
-        self.highest_heard = 0
+        self.highest_announced = 0
         self.problem: str | None = None
 
     @property
     def current(self) -> documents.Revision | None:
         """Return the revision held."""
-        return self.in_force.revision if self.in_force else None
+        return self.active.revision if self.active else None
 
     @property
     def number(self) -> int:
@@ -120,7 +120,7 @@
             return Readiness.NO_HEAD
         if self._candidate is None:
             return Readiness.REFUSED if self.problem else Readiness.NOT_READ
-        if self._candidate.number < self.highest_heard:
+        if self._candidate.number < self.highest_announced:
             return Readiness.BEHIND_PEERS
         return Readiness.FEW_PEERS
 
@@ -128,21 +128,21 @@
         """Return seconds since the revision held was seen to be the newest."""
         return None if self._newest_at is None else now - self._newest_at
 
-    def list_nodes(self, names: frozenset[str], now: float) -> None:
+    def set_listed_nodes(self, names: frozenset[str], now: float) -> None:
         """Take the site's list of nodes, by name."""
         self._listed = names | {self._node}
         self._start_from_peers(now)
 
-    def hear(self, number: int, now: float, peer: str | None = None) -> bool:
+    def on_version_announcement(self, number: int, now: float, peer: str | None = None) -> bool:
         """Note a revision that a peer holds; return whether it is news.
 
         :param number: the revision; 0 for a peer that holds none.
         :param peer: the peer's name, where it is known.
         """
         if peer is not None and peer != self._node:
-            self._heard_by_peer[peer] = _Heard(number, now)
-        news = number > max(self.number, self.highest_heard)
-        self.highest_heard = max(self.highest_heard, number)
+            self._heard_by_peer[peer] = _Announcement(number, now)
+        news = number > max(self.number, self.highest_announced)
+        self.highest_announced = max(self.highest_announced, number)
         self._start_from_peers(now)
         return news
 
@@ -192,9 +192,9 @@
         there if the store goes down. Such an answer is as stale as hearsay.
         A node that holds a revision can only gain by the answer.
         """
-        return self.current is None and now - asked_at > HEARD_FRESH_S
+        return self.current is None and now - asked_at > ANNOUNCEMENT_FRESH_S
 
-    def offer(self, revision: documents.Revision, now: float) -> bool:
+    def consider(self, revision: documents.Revision, now: float) -> bool:
         """Consider what a peer holds; return whether it was adopted."""
         before = self.number
         try:
@@ -202,7 +202,7 @@
         except documentyaml.ConfigurationError as error:
             self.problem = error.code
             return False
-        self.highest_heard = max(self.highest_heard, revision.number)
+        self.highest_announced = max(self.highest_announced, revision.number)
         if self.current is not None:
             self._adopt_from_peer(revision)
         elif self._candidate is None or revision.number > self._candidate.number:
@@ -211,14 +211,14 @@
         return self.number > before
 
     def _floor(self) -> int:
-        return self.number if self.current else self.highest_heard
+        return self.number if self.current else self.highest_announced
 
     def _start_from_peers(self, now: float) -> None:
         """Adopt the candidate once the quorum of the module's explanation is there."""
         candidate = self._candidate
         if self.current is not None or candidate is None or not self._listed:
             return
-        if candidate.number < self.highest_heard:
+        if candidate.number < self.highest_announced:
             return
         holders = sum(1 for name in self._listed if self._holds_one(name, now))
         if holders > len(self._listed) // 2:
@@ -228,7 +228,7 @@
         # Failure: what was heard long ago says nothing of what came into force
         # since; the quorum must hold now.
         heard = self._heard_by_peer.get(peer)
-        return heard is not None and heard.number > 0 and now - heard.at <= HEARD_FRESH_S
+        return heard is not None and heard.number > 0 and now - heard.at <= ANNOUNCEMENT_FRESH_S
 
     def _adopt_from_peer(self, revision: documents.Revision) -> None:
         if self._adopt(revision):
@@ -246,7 +246,7 @@
             self.problem = Readiness.REFUSED.value
             self._refused_digest = revision.digest
             return False
-        self.in_force = InForce(revision, effective)
+        self.active = ActiveRevision(revision, effective)
         self.problem = None
         self._candidate = None
         return True
--- a/hornbeamglade/engines/control.py
+++ b/hornbeamglade/engines/control.py
@@ -16,9 +16,9 @@
         """
 
     @abc.abstractmethod
-    async def copy_run(
+    async def copy_kv_cache(
         self, address: str, request_id: str, to: str, *, is_last: bool, timeout_s: float
-    ) -> models.CopyMade | models.CopyFailed:
+    ) -> models.CopySucceeded | models.CopyFailed:
         """Copy a run's memory to another engine; a second call copies what is new.
 
         :param address: ``ip:port`` of the engine that runs it.
--- a/hornbeamglade/engines/models.py
+++ b/hornbeamglade/engines/models.py
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CopyMade:
+class CopySucceeded:
     """A run's memory is at another engine.
 
     :param name: what the copy is called.
--- a/hornbeamglade/engines/reportpoller.py
+++ b/hornbeamglade/engines/reportpoller.py
@@ -16,11 +16,13 @@
 without a word for more than a second is better left alone."""
 
 
-class Lost:
+class EngineLost:
     """An engine cannot be reached: nothing listens there, or it is silent."""
 
 
-Told = collections.abc.Callable[[replicamodels.Replica, models.EngineReport | Lost | None], None]
+Told = collections.abc.Callable[
+    [replicamodels.Replica, models.EngineReport | EngineLost | None], None
+]
 Owned = collections.abc.Callable[[], collections.abc.Iterable[replicamodels.Replica]]
 
 
@@ -33,7 +35,7 @@
     :param engines: the calls.
     :param owned: returns the engines to read.
     :param told: called with each report, with None for one that did not come, and with
-        :class:`Lost` for an engine that cannot be reached.
+        :class:`EngineLost` for an engine that cannot be reached.
     :param clock: monotonic time.
     """
 
@@ -79,16 +81,16 @@
 
     def _judged(
         self, replica: replicamodels.Replica, report: models.EngineReport | models.ReportFailed
-    ) -> models.EngineReport | Lost | None:
+    ) -> models.EngineReport | EngineLost | None:
         """Return what a report says of the start that was asked for."""
         if isinstance(report, models.EngineReport):
             if replica.started_ms and report.started_ms < replica.started_ms:
                 return None
             # Its server has started anew: what the list names is no more.
             if report.started_ms > replica.started_ms > 0:
-                return Lost()
+                return EngineLost()
             self._missing_by_replica.pop(replica.id, None)
             return report
         missing = self._missing_by_replica.get(replica.id, 0) + 1
         self._missing_by_replica[replica.id] = missing
-        return Lost() if report.is_refused or missing >= LOST_AFTER else None
+        return EngineLost() if report.is_refused or missing >= LOST_AFTER else None
--- a/hornbeamglade/entry/enginewatch.py
+++ b/hornbeamglade/entry/enginewatch.py
@@ -60,12 +60,12 @@
     def reported(
         self,
         replica: replicamodels.Replica,
-        report: enginemodels.EngineReport | reportpoller.Lost | None,
+        report: enginemodels.EngineReport | reportpoller.EngineLost | None,
     ) -> None:
         """Take what an owned engine says of itself."""
         if report is None:
             return
-        if isinstance(report, reportpoller.Lost):
+        if isinstance(report, reportpoller.EngineLost):
             if self._schedulers.lost(replica.id):
                 logs.state_changed("engine", "reached", "unreached", replica=replica.id)
                 self._announce()
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -435,7 +435,7 @@
     def _engine_reported(
         self,
         replica: replicamodels.Replica,
-        report: enginemodels.EngineReport | reportpoller.Lost | None,
+        report: enginemodels.EngineReport | reportpoller.EngineLost | None,
     ) -> None:
         # Whether reports name limits is not said, so one without a limit lifts none.
         if isinstance(report, enginemodels.EngineReport) and report.limit is not None:
--- a/hornbeamglade/node/generationhandler.py
+++ b/hornbeamglade/node/generationhandler.py
@@ -266,7 +266,7 @@
             refusal = outcomes.Refusal("backend_rejected", outcome.status, detail)
             return attempts.Failed(refusal, may_repeat=False)
         self._parts.catalog.failed(target.replica)
-        if isinstance(outcome, backendoutcomes.CrossedAnswer):
+        if isinstance(outcome, backendoutcomes.MismatchedResponse):
             return self._maybe_ran("answer_crossed", "the answer carried another request's id")
         self._scope.run_lost(target.replica, target.address)
         return self._maybe_ran("backend_lost", outcome.reason)
--- a/hornbeamglade/node/generationsource.py
+++ b/hornbeamglade/node/generationsource.py
@@ -69,7 +69,7 @@
         self._tries = 0
 
     def __iter__(self) -> collections.abc.Iterator[eventparser.Event]:
-        """Yield events; the last is ``Finished``, ``Failed``, ``LinkLost`` or ``Stalled``."""
+        """Yield events up to ``Finished``, ``Failed``, ``ConnectionLost`` or ``Stalled``."""
         while True:
             lost = None
             for event in self._stream:
@@ -97,7 +97,7 @@
             return False
         # An engine that holds the stream answers at once: waiting as long as for a first
         # token would add a stall of that length to each try over a dead link.
-        timeouts = dataclasses.replace(target.timeouts, answer_s=target.timeouts.progress_s)
+        timeouts = dataclasses.replace(target.timeouts, response_s=target.timeouts.progress_s)
         # An engine that takes each resume and drops it at once would be asked for ever:
         # only a token that came since the last resume earns new tries.
         if self._state.next_offset != self._resumed_at:
@@ -139,4 +139,4 @@
 
 
 def _is_lost(event: eventparser.Event) -> bool:
-    return isinstance(event, eventparser.LinkLost | eventparser.Stalled)
+    return isinstance(event, eventparser.ConnectionLost | eventparser.Stalled)
--- a/hornbeamglade/node/peering.py
+++ b/hornbeamglade/node/peering.py
@@ -156,7 +156,7 @@
             self.transport.send(peer, message)
 
     def _update_names(self) -> None:
-        in_force = self._config.in_force()
+        in_force = self._config.active()
         if in_force is None or in_force.revision.number == self._named_revision:
             return
         self._named_revision = in_force.revision.number
@@ -228,7 +228,7 @@
         self, message: messages.Message, sender: codec.Sender, source: transport.Endpoint
     ) -> None:
         if isinstance(message, messages.Heartbeat):
-            self._config.hint(message.config_revision, sender.name)
+            self._config.on_version_announcement(message.config_revision, sender.name)
             # A heartbeat that was overtaken must not put older figures back.
             if self.heartbeats.receive(message, sender, source):
                 self._digests.hear(sender.name, message.replicas)
@@ -246,7 +246,7 @@
         elif isinstance(message, messages.QuarantineNotice):
             self.quarantine.on_notice(message)
         elif isinstance(message, messages.VersionAnnouncement):
-            self._config.hint(message.revision, sender.name)
+            self._config.on_version_announcement(message.revision, sender.name)
         elif isinstance(message, messages.SupersededIncarnation):
             incarnations.raise_above(message.incarnation, self.codec, self.grants, self.heartbeats)
         elif isinstance(message, messages.ChunkRequest):
@@ -255,7 +255,7 @@
             self._take_chunk(message, transport.Peer(sender.name, source))
 
     def _offer_chunk(self, ask: messages.ChunkRequest, peer: transport.Peer) -> None:
-        revision = self._config.document_for_peers()
+        revision = self._config.revision_for_peers()
         if revision is None or revision.number != ask.revision:
             return
         offers = configchunks.split(revision.number, revision.document.encode())
@@ -321,7 +321,9 @@
         document = assembly.add(offer)
         if document is not None:
             digest = DIGEST_PREFIX + offer.digest.hex()
-            self._config.offer(documents.Revision(offer.revision, digest, "", document.decode()))
+            self._config.consider(
+                documents.Revision(offer.revision, digest, "", document.decode())
+            )
             return
         ask = assembly.next_request()
         if ask is not None:
--- a/hornbeamglade/node/placing.py
+++ b/hornbeamglade/node/placing.py
@@ -105,16 +105,16 @@
         placed = self._placed_by_pool.get(name)
         if placed is not None and placed.revision == revision:
             return
-        wanted = orders.EngineState.wanted(pool.wanted)
-        goal = placement.Goal(revision, wanted, pool.replica_by_name)
+        wanted = orders.EngineState.from_configuration(pool.wanted)
+        goal = placement.DesiredState(revision, wanted, pool.replica_by_name)
         if placed is None:
             placer = self._placer(name, goal)
         else:
             placer = placed.placer
-            placer.want(goal)
+            placer.set_desired(goal)
         self._placed_by_pool[name] = _Placed(revision, placer)
 
-    def _placer(self, name: str, goal: placement.Goal) -> placement.Placer:
+    def _placer(self, name: str, goal: placement.DesiredState) -> placement.Placer:
         settings = placement.PlacerSettings()
         lease = leases.LeaseHolder(
             self._table, self._clock, name, self._holder, settings.term_s, settings.flight_s
@@ -129,7 +129,7 @@
         return placement.Placer(
             lease,
             rollout,
-            placement.HttpEngines(self._clock),
+            placement.HttpEngineClient(self._clock),
             lambda: self._is_candidate(name),
             self._newest_revision,
             settings,
--- a/hornbeamglade/node/plainhandler.py
+++ b/hornbeamglade/node/plainhandler.py
@@ -184,7 +184,7 @@
             links.Timeouts(CONNECT_S, service.first_token_s, service.progress_s),
             cancellation=cancellation,
         )
-        if isinstance(outcome, plaincalls.Answered):
+        if isinstance(outcome, plaincalls.PlainResponse):
             self._parts.catalog.succeeded(known.name, self._parts.clock.now() - started)
             answer = problems.Response(outcome.status, outcome.headers, outcome.body)
             self._scope.dispatch.answered(answer)
@@ -197,7 +197,7 @@
                 attempts.unanswered_refusal("backend_refused", outcome.reason), may_repeat=True
             )
         self._parts.catalog.failed(known.name)
-        if isinstance(outcome, backendoutcomes.CrossedAnswer):
+        if isinstance(outcome, backendoutcomes.MismatchedResponse):
             return self._maybe_ran("answer_crossed", "the answer carried another request's id")
         self._note_run(outcome.run)
         self._scope.run_lost(known.name, known.replica.address)
--- a/hornbeamglade/node/runtime.py
+++ b/hornbeamglade/node/runtime.py
@@ -44,7 +44,7 @@
 
     def unpublished(self) -> siteview.SiteView | None:
         """Derive the view of a revision that is newer than the published one, if any."""
-        in_force = self._source.in_force()
+        in_force = self._source.active()
         if in_force is None:
             return None
         if self._view is not None and self._view.revision >= in_force.revision.number:
--- a/hornbeamglade/node/siteview.py
+++ b/hornbeamglade/node/siteview.py
@@ -54,7 +54,7 @@
         return found
 
 
-def derive(in_force: following.InForce) -> SiteView:
+def derive(in_force: following.ActiveRevision) -> SiteView:
     """Derive the view of a revision.
 
     :param in_force: the revision and the site's configuration by it.
--- a/hornbeamglade/node/upkeep.py
+++ b/hornbeamglade/node/upkeep.py
@@ -59,7 +59,7 @@
         if isinstance(listed, contract.Unavailable):
             return
         self._beats.apply_list(listed)
-        self._config.list_nodes(frozenset(instance.name for instance in listed))
+        self._config.set_listed_nodes(frozenset(instance.name for instance in listed))
 
     def sweep_claims(self) -> None:
         """Delete expired claims of one part of all digests.
--- a/hornbeamglade/placement/__init__.py
+++ b/hornbeamglade/placement/__init__.py
@@ -1,13 +1,13 @@
 """Placement: the models, adapters and roles of a pool's engines, as the configuration wants."""
 
-from hornbeamglade.placement.engines import Engines, HttpEngines, Streams
+from hornbeamglade.placement.engines import EngineClient, HttpEngineClient, StreamCount
 from hornbeamglade.placement.placementsettings import (
     PaceSettings,
     PlacementSettings,
     PlacerSettings,
 )
 from hornbeamglade.placement.placementvalues import (
-    Goal,
+    DesiredState,
     Order,
     PlacementCondition,
     PlacementStatus,
@@ -17,9 +17,9 @@
 from hornbeamglade.placement.rollout import Rollout
 
 __all__ = [
-    "Engines",
-    "Goal",
-    "HttpEngines",
+    "DesiredState",
+    "EngineClient",
+    "HttpEngineClient",
     "Order",
     "PaceSettings",
     "PlacementCondition",
@@ -29,5 +29,5 @@
     "PlacerSettings",
     "Reason",
     "Rollout",
-    "Streams",
+    "StreamCount",
 ]
--- a/hornbeamglade/placement/engines.py
+++ b/hornbeamglade/placement/engines.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Streams:
+class StreamCount:
     """How many streams a replica has.
 
     :param count: running and waiting.
@@ -21,7 +21,7 @@
     observed_at: float
 
 
-class Engines(abc.ABC):
+class EngineClient(abc.ABC):
     """Calls to the engines of one pool, each bounded in time."""
 
     @abc.abstractmethod
@@ -39,11 +39,11 @@
         """Order what is wanted; ``may_send`` is asked right before the first byte."""
 
     @abc.abstractmethod
-    def streams(self, replica: models.Replica) -> Streams | None:
+    def streams(self, replica: models.Replica) -> StreamCount | None:
         """Read the number of streams, or None when there is no report."""
 
 
-class HttpEngines(Engines):
+class HttpEngineClient(EngineClient):
     """Engines reached by the protocol of ``docs/PROTOCOLS.md``.
 
     :param clock: monotonic time.
@@ -67,17 +67,17 @@
         """Order what is wanted."""
         return self._client(replica).send(fencing, wanted, may_send)
 
-    def streams(self, replica: models.Replica) -> Streams | None:
+    def streams(self, replica: models.Replica) -> StreamCount | None:
         """Read the load report; its age is taken off, and so is the time it took."""
         asked_at = self._clock.now()
-        reader = loadreports.ReportReader(replica.address, self._timeouts.answer_s, self._clock)
+        reader = loadreports.ReportReader(replica.address, self._timeouts.response_s, self._clock)
         try:
             report = reader.load()
         finally:
             reader.close()
         if isinstance(report, loadreports.Unreadable):
             return None
-        return Streams(report.running + report.waiting, asked_at - report.age_s)
+        return StreamCount(report.running + report.waiting, asked_at - report.age_s)
 
     def _client(self, replica: models.Replica) -> orders.OrderClient:
         return orders.OrderClient(replica.address, self._clock, self._timeouts)
--- a/hornbeamglade/placement/placementvalues.py
+++ b/hornbeamglade/placement/placementvalues.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Goal:
+class DesiredState:
     """What one revision of the configuration wants of a pool.
 
     :param revision: the configuration's revision; a larger one replaces the goal.
--- a/hornbeamglade/placement/placer.py
+++ b/hornbeamglade/placement/placer.py
@@ -49,7 +49,7 @@
         self,
         lease: leases.LeaseHolder,
         rollout: rolloutlib.Rollout,
-        engines: enginelib.Engines,
+        engines: enginelib.EngineClient,
         is_candidate: collections.abc.Callable[[], bool],
         newest_revision: collections.abc.Callable[[], int | None],
         settings: placementsettings.PlacerSettings,
@@ -74,9 +74,9 @@
         self._owes_round = True
         self._barrier: _Reason | None = _Reason.LEASE_NOT_ASKED
 
-    def want(self, goal: placementvalues.Goal) -> None:
+    def set_desired(self, goal: placementvalues.DesiredState) -> None:
         """Take what a newer revision wants; between steps, in the same thread."""
-        self._rollout.want(goal)
+        self._rollout.set_desired(goal)
 
     def closed(self) -> frozenset[str]:
         """Name the replicas that no node may send new work to.
@@ -217,7 +217,7 @@
             if streams is not None:
                 self._rollout.had_load(name, streams.count, streams.observed_at)
 
-    def _streams(self, name: str) -> enginelib.Streams | None:
+    def _streams(self, name: str) -> enginelib.StreamCount | None:
         return self._engines.streams(self._rollout.goal.replica_by_name[name])
 
     def _order(self) -> None:
--- a/hornbeamglade/placement/rollout.py
+++ b/hornbeamglade/placement/rollout.py
@@ -55,7 +55,7 @@
     >>> from hornbeamglade.configuration import models
     >>> engine = models.Replica(address="192.0.2.1:8000", failure_domain="z1")
     >>> wanted = orders.EngineState(frozenset({"draft@2"}), role="mixed")
-    >>> goal = placementvalues.Goal(1, wanted, {"engine-1": engine})
+    >>> goal = placementvalues.DesiredState(1, wanted, {"engine-1": engine})
     >>> settings = placementsettings.PlacementSettings()
     >>> rollout = Rollout(goal, settings, 10.0, random.Random(1), now=0.0)
     >>> rollout.was_read("engine-1", orders.EngineState(frozenset()), now=1.0)
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        goal: placementvalues.Goal,
+        goal: placementvalues.DesiredState,
         settings: placementsettings.PlacementSettings,
         flight_s: float,
         rng: random.Random,
@@ -81,7 +81,7 @@
         self.goal = goal
         self.roster = roster.Roster(goal)
 
-    def want(self, goal: placementvalues.Goal) -> None:
+    def set_desired(self, goal: placementvalues.DesiredState) -> None:
         """Replace the goal at once by that of a newer revision."""
         # Guard: a late answer of the store must not bring back an older goal.
         if goal.revision <= self.goal.revision:
--- a/hornbeamglade/placement/rolloutrun.py
+++ b/hornbeamglade/placement/rolloutrun.py
@@ -107,10 +107,10 @@
         """Tell whether every engine has just this."""
         return all(engine.present == state for engine in self.engine_by_name.values())
 
-    def goal(self, revision: int, wanted: orders.EngineState) -> placementvalues.Goal:
+    def goal(self, revision: int, wanted: orders.EngineState) -> placementvalues.DesiredState:
         """Return what a revision wants of the pool."""
         replica_by_name = {name: engine.replica for name, engine in self.engine_by_name.items()}
-        return placementvalues.Goal(revision, wanted, replica_by_name)
+        return placementvalues.DesiredState(revision, wanted, replica_by_name)
 
     def _left_s(self) -> float:
         median = MEDIAN_TOKENS * math.exp(SIGMA**2)
@@ -150,7 +150,7 @@
     last = NEW if second is None else NEWER
     while not pool.has(last):
         if second is not None and second.is_due(pool.clock.now(), pool.has(NEW)):
-            placing.want(pool.goal(2, NEWER))
+            placing.set_desired(pool.goal(2, NEWER))
         serving = pool.turn(placing.closed())
         fewest = min(fewest, serving)
         missing_s += count - serving
@@ -172,7 +172,7 @@
         pool.goal(1, NEW), settings, own.flight_s, random.Random(seed), 0.0
     )
     lease = leases.LeaseHolder(table, pool.clock, "pool", "n1", own.term_s, own.flight_s)
-    reach = virtualengines.VirtualEngines(pool.clock, pool.engine_by_name.values())
+    reach = virtualengines.VirtualEngineClient(pool.clock, pool.engine_by_name.values())
     return placer.Placer(lease, decisions, reach, lambda: True, lambda: 1, own, pool.clock)
 
 
--- a/hornbeamglade/placement/roster.py
+++ b/hornbeamglade/placement/roster.py
@@ -13,7 +13,7 @@
     :param goal: names the replicas.
     """
 
-    def __init__(self, goal: placementvalues.Goal) -> None:
+    def __init__(self, goal: placementvalues.DesiredState) -> None:
         self._progress_by_name: dict[str, replicaprogress.ReplicaProgress] = {}
         self.take(goal)
 
@@ -24,7 +24,7 @@
         """Return what is known of a replica, or None when it is none of the pool's."""
         return self._progress_by_name.get(name)
 
-    def take(self, goal: placementvalues.Goal) -> None:
+    def take(self, goal: placementvalues.DesiredState) -> None:
         """Take the replicas of a goal; what is known of those that stay is kept."""
         kept = self._progress_by_name
         progress_by_name = {}
@@ -82,7 +82,7 @@
         )
 
 
-def _spread_over_domains(goal: placementvalues.Goal) -> tuple[str, ...]:
+def _spread_over_domains(goal: placementvalues.DesiredState) -> tuple[str, ...]:
     """Return the replicas in an order that takes the failure domains in turn.
 
     It is the same for each holder: a new one begins with the replicas that the
--- a/hornbeamglade/placement/virtualengines.py
+++ b/hornbeamglade/placement/virtualengines.py
@@ -96,7 +96,7 @@
         return orders.Accepted(self.present)
 
 
-class VirtualEngines(engines.Engines):
+class VirtualEngineClient(engines.EngineClient):
     """Reaches virtual engines.
 
     :param clock: virtual time.
@@ -153,12 +153,12 @@
         outcome = engine.take(fencing, wanted, now, now - sent_at > LATE_S)
         return orders.Lost("its answer") if engine.fault is Fault.LOSES_ANSWER else outcome
 
-    def streams(self, replica: models.Replica) -> engines.Streams | None:
+    def streams(self, replica: models.Replica) -> engines.StreamCount | None:
         """Read the number of streams."""
         engine = self._engine_by_address[replica.address]
         if engine.fault is Fault.DOWN:
             return None
-        return engines.Streams(engine.streams, self._clock.now())
+        return engines.StreamCount(engine.streams, self._clock.now())
 
     def deliver(self, is_due: collections.abc.Callable[[DelayedOrder], bool]) -> None:
         """Let delayed orders arrive."""
--- a/hornbeamglade/platform/enginecalls.py
+++ b/hornbeamglade/platform/enginecalls.py
@@ -86,9 +86,9 @@
             limit=answer.limit,
         )
 
-    async def copy_run(
+    async def copy_kv_cache(
         self, address: str, request_id: str, to: str, *, is_last: bool, timeout_s: float
-    ) -> models.CopyMade | models.CopyFailed:
+    ) -> models.CopySucceeded | models.CopyFailed:
         """Copy a run's memory to another engine."""
         body = json.dumps({"id": request_id, "to": to, "last": is_last}).encode()
         answer = await self._call(address, b"POST", b"/v1/kv-move", body, timeout_s)
@@ -96,7 +96,7 @@
             return models.CopyFailed("no_answer")
         copy = _copy(answer.content)
         if answer.status == 200 and copy is not None:
-            return models.CopyMade(copy.handle, copy.created)
+            return models.CopySucceeded(copy.handle, copy.created)
         code = _CODE_BY_STATUS.get(answer.status, "no_answer")
         return models.CopyFailed(code, None if copy is None else copy.handle)
 
--- a/hornbeamglade/platform/manifest.py
+++ b/hornbeamglade/platform/manifest.py
@@ -154,10 +154,10 @@
         memory_tokens=engine.kv_capacity_tokens,
         token_bytes=engine.kv_bytes,
         link_bytes_per_s=engine.link_mbps * _MEGA / _BITS,
-        can_move=engine.moves,
+        can_migrate=engine.moves,
         can_back_up=engine.backups,
         tokens_per_event=engine.stride,
-        copy_life_s=engine.handle_s,
+        copy_ttl_s=engine.handle_s,
     )
     slow_start = None
     if service.cold_per_s:
@@ -169,10 +169,10 @@
 
 def _limits(limits: _Limits) -> models.CallerLimits:
     return models.CallerLimits(
-        head_bytes=limits.max_header_bytes,
-        body_bytes=limits.max_body_bytes,
-        head_s=limits.header_timeout_ms / _MS,
-        idle_s=limits.idle_timeout_ms / _MS,
+        max_head_bytes=limits.max_header_bytes,
+        max_body_bytes=limits.max_body_bytes,
+        head_timeout_s=limits.header_timeout_ms / _MS,
+        idle_timeout_s=limits.idle_timeout_ms / _MS,
     )
 
 
--- a/hornbeamglade/replicas/availability.py
+++ b/hornbeamglade/replicas/availability.py
@@ -180,7 +180,7 @@
         if service is None or service.slow_start is None:
             return
         if lasts_s is None:
-            lasts_s = service.slow_start.lasts_s
+            lasts_s = service.slow_start.duration_s
         bound_per_s = self._bound.per_s(service.slow_start.requests_per_s)
         if service.engine is not None:
             interval_s = slowstart.owned_interval_s(bound_per_s)
--- a/hornbeamglade/routed/callrouter.py
+++ b/hornbeamglade/routed/callrouter.py
@@ -69,9 +69,9 @@
     if found is None:
         return outcomes.Refusal("no_route", 404, "no route begins this host and path")
     team = view.keys.identify(call.authorization)
-    if team is None and view.keys.is_needed and not found.is_public:
+    if team is None and view.keys.is_required and not found.is_public:
         return outcomes.Refusal("key_unknown", 401, "no team holds this key")
-    service = view.configuration.service_by_name[splits.service(found, call.request_id)]
+    service = view.configuration.service_by_name[splits.choose_service(found, call.request_id)]
     return RoutedRequest(call, found, service, team, view.revision, _fingerprint(call, team))
 
 
--- a/hornbeamglade/routed/migration.py
+++ b/hornbeamglade/routed/migration.py
@@ -209,7 +209,7 @@
             self.abandon()
             self.outcome = "run_ended"
             return True
-        if isinstance(made, models.CopyMade):
+        if isinstance(made, models.CopySucceeded):
             self.has_stopped_run = True
             self.outcome = "moved"
             return True
@@ -257,11 +257,11 @@
 
     async def _copy(
         self, to: replicamodels.Replica, *, is_last: bool
-    ) -> models.CopyMade | models.CopyFailed:
+    ) -> models.CopySucceeded | models.CopyFailed:
         timeout_s = LAST_COPY_TIMEOUT_S if is_last else COPY_TIMEOUT_S
         self._is_copying = True
         try:
-            return await self._parts.engines.copy_run(
+            return await self._parts.engines.copy_kv_cache(
                 self._source.address,
                 self._request_id,
                 to.address,
--- a/hornbeamglade/routed/streamrun.py
+++ b/hornbeamglade/routed/streamrun.py
@@ -116,7 +116,7 @@
         """Begin to move to another engine, if the run is worth it."""
         place = self._place
         engine = self._routed.service.engine
-        if place is None or engine is None or not engine.can_move:
+        if place is None or engine is None or not engine.can_migrate:
             return
         if self._handover_task is not None and not self._handover_task.done():
             return
--- a/hornbeamglade/routed/views.py
+++ b/hornbeamglade/routed/views.py
@@ -19,7 +19,10 @@
         self.keys = teamkeys.TeamKeys(configuration.teams)
         limits = configuration.limits
         self.limits = serverside.ConnectionLimits(
-            limits.head_bytes, limits.body_bytes, limits.head_s, limits.idle_s
+            limits.max_head_bytes,
+            limits.max_body_bytes,
+            limits.head_timeout_s,
+            limits.idle_timeout_s,
         )
 
 
--- a/hornbeamglade/routes/models.py
+++ b/hornbeamglade/routes/models.py
@@ -75,20 +75,20 @@
     :param memory_tokens: tokens that running requests and cached prompts share.
     :param token_bytes: bytes of one token's memory when it is copied.
     :param link_bytes_per_s: speed at which an engine's memory is copied to another.
-    :param can_move: whether a run's memory may be moved to another engine.
+    :param can_migrate: whether a run's memory may be moved to another engine.
     :param can_back_up: whether a run's memory may be kept at a second engine.
     :param tokens_per_event: tokens that one event of a stream holds.
-    :param copy_life_s: how long a copy is kept that is not renewed.
+    :param copy_ttl_s: how long a copy is kept that is not renewed.
     """
 
     slots: int
     memory_tokens: int
     token_bytes: int
     link_bytes_per_s: float
-    can_move: bool
+    can_migrate: bool
     can_back_up: bool
     tokens_per_event: int
-    copy_life_s: float
+    copy_ttl_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -96,11 +96,11 @@
     """What a replica bears that has just started.
 
     :param requests_per_s: from all callers together.
-    :param lasts_s: for so long after its start.
+    :param duration_s: for so long after its start.
     """
 
     requests_per_s: float
-    lasts_s: float
+    duration_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -141,16 +141,16 @@
 class CallerLimits:
     """What callers may send, and how long they may take.
 
-    :param head_bytes: longest head of a request.
-    :param body_bytes: longest body.
-    :param head_s: seconds for a head.
-    :param idle_s: seconds of silence on an open connection.
+    :param max_head_bytes: longest head of a request.
+    :param max_body_bytes: longest body.
+    :param head_timeout_s: seconds for a head.
+    :param idle_timeout_s: seconds of silence on an open connection.
     """
 
-    head_bytes: int
-    body_bytes: int
-    head_s: float
-    idle_s: float
+    max_head_bytes: int
+    max_body_bytes: int
+    head_timeout_s: float
+    idle_timeout_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/hornbeamglade/routes/splits.py
+++ b/hornbeamglade/routes/splits.py
@@ -8,7 +8,7 @@
 _HASH_RANGE = 2 ** (8 * _HASH_BYTES)
 
 
-def service(route: models.Route, request_id: str) -> str:
+def choose_service(route: models.Route, request_id: str) -> str:
     """Return the service for a request; the same request always goes to the same one.
 
     Examples
@@ -17,7 +17,7 @@
     >>> splits = (models.Split("old", 90), models.Split("new", 10))
     >>> kind = models.RouteKind.IDEMPOTENT
     >>> route = models.Route("r", "a.example", "/", kind, splits, 1.0, 0.5, 0, 1)
-    >>> chosen = [service(route, str(number)) for number in range(1000)]
+    >>> chosen = [choose_service(route, str(number)) for number in range(1000)]
     >>> 870 < chosen.count("old") < 930
     True
     """
--- a/hornbeamglade/routes/teamkeys.py
+++ b/hornbeamglade/routes/teamkeys.py
@@ -25,15 +25,15 @@
     def __init__(self, teams: collections.abc.Iterable[models.Team]) -> None:
         known = tuple(teams)
         self._team_by_key = {key: team for team in known for key in team.keys}
-        self._is_needed = bool(known)
+        self._is_required = bool(known)
 
     @property
-    def is_needed(self) -> bool:
+    def is_required(self) -> bool:
         """Whether requests to routes that are not public need a key.
 
         A revision whose teams hold no key at all lets nobody in.
         """
-        return self._is_needed
+        return self._is_required
 
     def identify(self, authorization: str | None) -> models.Team | None:
         """Return the team of an ``Authorization`` value, or None when nobody holds the key."""
--- a/tests/backends/test_generations.py
+++ b/tests/backends/test_generations.py
@@ -12,9 +12,9 @@
 from tests.backends import scripted
 
 UNKNOWN = core_outcomes.RunStatus.UNKNOWN
-PATIENT = links.Timeouts(connect_s=5.0, answer_s=10.0, progress_s=10.0)
-BRIEF_HEAD = links.Timeouts(connect_s=5.0, answer_s=0.4, progress_s=600.0)
-BRIEF_PROGRESS = links.Timeouts(connect_s=5.0, answer_s=600.0, progress_s=0.4)
+PATIENT = links.Timeouts(connect_s=5.0, response_s=10.0, progress_s=10.0)
+BRIEF_HEAD = links.Timeouts(connect_s=5.0, response_s=0.4, progress_s=600.0)
+BRIEF_PROGRESS = links.Timeouts(connect_s=5.0, response_s=600.0, progress_s=0.4)
 
 
 def open_stream(address, tokens=20, timeouts=PATIENT, headers=None, cancellation=None, **body):
@@ -103,12 +103,12 @@
     # was sent. The engine mixes up two answers; each bears the other's request id.
     backend = start_engine()
     backend.faults(wrong_request_id=True, refuse=refuse)
-    assert open_stream(backend.address) == outcomes.CrossedAnswer("crossed-r1")
+    assert open_stream(backend.address) == outcomes.MismatchedResponse("crossed-r1")
 
 
 def test_an_answer_without_an_id_is_crossed():
     with scripted.server(b"HTTP/1.1 200 OK\r\n\r\n") as address:
-        assert open_stream(address) == outcomes.CrossedAnswer(None)
+        assert open_stream(address) == outcomes.MismatchedResponse(None)
 
 
 def test_a_wrong_request_is_rejected(start_engine):
@@ -124,13 +124,13 @@
     backend.faults(die_after_tokens=after)
     events = read(open_stream(backend.address))
     assert offsets(events) == list(range(after))
-    assert isinstance(events[-1], eventparser.LinkLost)
+    assert isinstance(events[-1], eventparser.ConnectionLost)
 
 
 def test_an_orderly_end_without_a_finish_is_a_lost_link():
     with scripted.server(scripted.HEAD + b"id: 0\ndata: {}\n\n") as address:
         events = read(open_stream(address))
-    assert offsets(events) == [0] and isinstance(events[-1], eventparser.LinkLost)
+    assert offsets(events) == [0] and isinstance(events[-1], eventparser.ConnectionLost)
 
 
 def test_a_stalled_link_is_told_and_its_stream_can_be_resumed(start_engine):
@@ -177,7 +177,7 @@
     timer = threading.Timer(0.1, stream.cancel)
     timer.start()
     events = list(stream)
-    assert isinstance(events[-1], eventparser.LinkLost)
+    assert isinstance(events[-1], eventparser.ConnectionLost)
     backend.wait_for_state("cancelled")
 
 
@@ -246,6 +246,6 @@
         outcome = open_stream(address)
         if isinstance(outcome, generations.Opened):
             last = list(outcome.stream)[-1]
-            assert isinstance(last, eventparser.LinkLost | eventparser.Failed)
+            assert isinstance(last, eventparser.ConnectionLost | eventparser.Failed)
         else:
-            assert isinstance(outcome, outcomes.Lost | outcomes.CrossedAnswer)
+            assert isinstance(outcome, outcomes.Lost | outcomes.MismatchedResponse)
--- a/tests/backends/test_orders.py
+++ b/tests/backends/test_orders.py
@@ -10,8 +10,8 @@
 from tests.backends import scripted
 
 WANTED = orders.EngineState(frozenset({"draft@2", "tags"}), frozenset({"clinic"}), "mixed")
-PATIENT = orders.OrderTimeouts(connect_s=10.0, answer_s=10.0)
-IMPATIENT = orders.OrderTimeouts(connect_s=10.0, answer_s=0.2)
+PATIENT = orders.OrderTimeouts(connect_s=10.0, response_s=10.0)
+IMPATIENT = orders.OrderTimeouts(connect_s=10.0, response_s=0.2)
 
 
 def client(address, timeouts=PATIENT, clock=None):
@@ -91,4 +91,4 @@
 
 def test_wanted_of_the_configuration():
     wanted = models.Wanted(models=("tags", "draft@2"), adapters=("clinic",))
-    assert orders.EngineState.wanted(wanted) == WANTED
+    assert orders.EngineState.from_configuration(wanted) == WANTED
--- a/tests/backends/test_plaincalls.py
+++ b/tests/backends/test_plaincalls.py
@@ -6,7 +6,7 @@
 from hornbeamglade.core import outcomes as core_outcomes
 from tests.backends import scripted
 
-TIMEOUTS = links.Timeouts(connect_s=5.0, answer_s=10.0, progress_s=10.0)
+TIMEOUTS = links.Timeouts(connect_s=5.0, response_s=10.0, progress_s=10.0)
 CALL = plaincalls.PlainCall(
     "PATCH",
     "/holds/a%2Fb",
@@ -45,7 +45,7 @@
 
 def test_an_answer_of_another_call_is_not_used(plain):
     plain.faults(wrong_request_id=True)
-    assert call(plain.address) == outcomes.CrossedAnswer("crossed-r1")
+    assert call(plain.address) == outcomes.MismatchedResponse("crossed-r1")
 
 
 def test_a_redirect_is_handed_on_and_not_followed():
@@ -59,5 +59,5 @@
 def test_an_answer_that_breaks_off_or_is_too_long_has_run(limit, reason):
     answer = scripted.HEAD[:-2] + b"Content-Length: 50\r\n\r\n" + b"x" * 49
     with scripted.server(answer) as address:
-        outcome = call(address, max_answer_bytes=limit)
+        outcome = call(address, max_response_bytes=limit)
     assert outcome.run is core_outcomes.RunStatus.RAN and reason in outcome.reason
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -36,10 +36,10 @@
     assert adopted.wait(BOUND_S)
     adopted.clear()
     apply_number(platform, 2)
-    node.hint(2)
+    node.on_version_announcement(2)
     assert adopted.wait(BOUND_S)
     node.stop()
-    assert node.in_force().site.node.max_streams == 2
+    assert node.active().site.node.max_streams == 2
 
 
 def test_an_outage_leaves_the_revision_in_force(platform):
@@ -55,7 +55,7 @@
     clock = clocks.ManualClock()
     slow = memory.MemoryPlatform(clock)
     apply_number(slow, 1)
-    slow.set_faults(memory.Faults(delay_s=following.HEARD_FRESH_S * 2 / 3))
+    slow.set_faults(memory.Faults(delay_s=following.ANNOUNCEMENT_FRESH_S * 2 / 3))
     node = follower.Follower(slow, slow, clock, "krakow", "n1")
     node.poll()
     assert (node.current(), node.problem) == (None, "config_read_late")
@@ -130,12 +130,12 @@
         holder.poll()
     platform.set_faults(memory.Faults(down=True))
     late = follower_of(platform)
-    late.list_nodes(frozenset({"n1", "n2", "n3"}))
+    late.set_listed_nodes(frozenset({"n1", "n2", "n3"}))
     late.poll()
     assert late.readiness.value == "config_not_read"
     for name, holder in zip(("n2", "n3"), holders, strict=True):
-        late.hint(holder.current().number, name)
-        late.offer(holder.document_for_peers())
+        late.on_version_announcement(holder.current().number, name)
+        late.consider(holder.revision_for_peers())
     assert (late.current(), late.provisional) == (holders[0].current(), True)
     platform.set_faults(memory.Faults())
     late.poll()
--- a/tests/configuration/test_following.py
+++ b/tests/configuration/test_following.py
@@ -11,7 +11,7 @@
 PEERS = strategies.sets(NODE).map(sorted)
 LAST = 4
 REVISION_BY_NUMBER = {number: samples.revision(number) for number in range(1, LAST + 1)}
-STALE_S = 2 * following.HEARD_FRESH_S
+STALE_S = 2 * following.ANNOUNCEMENT_FRESH_S
 
 
 def head_of(number: int) -> headrecords.Head:
@@ -19,13 +19,13 @@
     return headrecords.Head(number, revision.digest, revision.change_id)
 
 
-def fresh(*nodes: str) -> following.Following:
-    node = following.Following("krakow", "n1")
-    node.list_nodes(frozenset(nodes or NODES), 0.0)
+def fresh(*nodes: str) -> following.RevisionTracker:
+    node = following.RevisionTracker("krakow", "n1")
+    node.set_listed_nodes(frozenset(nodes or NODES), 0.0)
     return node
 
 
-def read_head(node: following.Following, number: int, now: float = 0.0) -> bool:
+def read_head(node: following.RevisionTracker, number: int, now: float = 0.0) -> bool:
     node.see_head(head_of(number), now)
     return node.wants(head_of(number)) and node.take_head(REVISION_BY_NUMBER[number], now, now)
 
@@ -43,15 +43,15 @@
         self.in_force_since = [(0.0, 1)]
         self.coming_by_name: dict[str, tuple[int, float]] = {}
 
-    def started(self, name: str) -> following.Following:
-        node = following.Following("krakow", name)
-        node.list_nodes(frozenset(NODES), self.now)
+    def started(self, name: str) -> following.RevisionTracker:
+        node = following.RevisionTracker("krakow", name)
+        node.set_listed_nodes(frozenset(NODES), self.now)
         return node
 
     def check(self, name: str, before: int) -> None:
         number = self.node_by_name[name].number
         assert number >= before
-        recently = self.now - following.HEARD_FRESH_S
+        recently = self.now - following.ANNOUNCEMENT_FRESH_S
         floor = max([held for since, held in self.in_force_since if since < recently], default=0)
         assert before or not number or number >= floor
         held = sorted(node.number for node in self.node_by_name.values())
@@ -79,15 +79,15 @@
     def node_hears_peers(self, name, peers, offers):
         node, before = self.node_by_name[name], self.node_by_name[name].number
         for peer in peers:
-            node.hear(self.node_by_name[peer].number, self.now, peer)
+            node.on_version_announcement(self.node_by_name[peer].number, self.now, peer)
             if offers and (held := self.node_by_name[peer].current):
-                node.offer(held, self.now)
+                node.consider(held, self.now)
         self.check(name, before)
 
     @stateful.rule(name=NODE, number=strategies.integers(1, LAST))
     def a_document_comes_late(self, name, number):
         before = self.node_by_name[name].number
-        self.node_by_name[name].offer(REVISION_BY_NUMBER[min(number, self.head)], self.now)
+        self.node_by_name[name].consider(REVISION_BY_NUMBER[min(number, self.head)], self.now)
         self.check(name, before)
 
     @stateful.rule(name=NODE, peers=PEERS, offers=strategies.booleans())
@@ -111,7 +111,7 @@
     node = fresh()
     assert read_head(node, 3)
     assert not node.take_head(REVISION_BY_NUMBER[2], 0.0, 0.0)
-    assert not node.offer(REVISION_BY_NUMBER[2], 0.0)
+    assert not node.consider(REVISION_BY_NUMBER[2], 0.0)
     assert read_head(node, 4)
     assert node.number == 4
 
@@ -120,32 +120,32 @@
     # A site answers by an older configuration. One peer was cut off from the store
     # at revision 1; the nodes that held 2 were replaced while the store was down.
     node = fresh(*NODES, "n4", "n5")
-    node.hear(1, 0.0, "n2")
-    node.offer(REVISION_BY_NUMBER[1], 0.0)
-    node.hear(0, 0.0, "n3")
-    node.hear(0, 0.0, "n4")
-    node.hear(1, 0.0, "n5")
+    node.on_version_announcement(1, 0.0, "n2")
+    node.consider(REVISION_BY_NUMBER[1], 0.0)
+    node.on_version_announcement(0, 0.0, "n3")
+    node.on_version_announcement(0, 0.0, "n4")
+    node.on_version_announcement(1, 0.0, "n5")
     assert (node.current, node.readiness) == (None, following.Readiness.FEW_PEERS)
 
 
 def test_a_majority_lets_a_node_start_by_the_newest():
     node = fresh()
-    node.hear(2, 0.0, "n3")
-    node.offer(REVISION_BY_NUMBER[1], 0.0)
-    node.hear(1, 0.0, "n2")
+    node.on_version_announcement(2, 0.0, "n3")
+    node.consider(REVISION_BY_NUMBER[1], 0.0)
+    node.on_version_announcement(1, 0.0, "n2")
     assert node.readiness is following.Readiness.BEHIND_PEERS
-    node.offer(REVISION_BY_NUMBER[2], 0.0)
+    node.consider(REVISION_BY_NUMBER[2], 0.0)
     assert (node.number, node.provisional) == (2, True)
-    assert node.in_force.site.node.max_streams == 2
+    assert node.active.site.node.max_streams == 2
 
 
 def test_what_was_heard_long_ago_does_not_count():
     # A new node serves an older configuration. It heard of revision 1 from a peer,
     # then 2 came into force, and only later did it hear from another straggler.
     node = fresh()
-    node.offer(REVISION_BY_NUMBER[1], 0.0)
-    node.hear(1, 0.0, "n2")
-    node.hear(1, STALE_S, "n3")
+    node.consider(REVISION_BY_NUMBER[1], 0.0)
+    node.on_version_announcement(1, 0.0, "n2")
+    node.on_version_announcement(1, STALE_S, "n3")
     assert node.current is None
 
 
@@ -153,7 +153,7 @@
     # After the store was put back to a backup, replaced nodes judge by an older
     # configuration than their neighbours.
     node = fresh()
-    node.hear(3, 0.0)
+    node.on_version_announcement(3, 0.0)
     assert not read_head(node, 2)
     assert (node.current, node.problem) == (None, "config_head_behind")
 
@@ -168,9 +168,9 @@
 
 def test_the_head_confirms_a_provisional_revision():
     node = fresh()
-    node.offer(REVISION_BY_NUMBER[1], 0.0)
-    node.hear(1, 0.0, "n2")
-    node.hear(1, 0.0, "n3")
+    node.consider(REVISION_BY_NUMBER[1], 0.0)
+    node.on_version_announcement(1, 0.0, "n2")
+    node.on_version_announcement(1, 0.0, "n3")
     assert (node.provisional, node.age_s(4.0)) == (True, None)
     node.see_head(head_of(1), 3.0)
     assert (node.provisional, node.age_s(4.0)) == (False, 1.0)
@@ -189,7 +189,7 @@
     node = fresh()
     read_head(node, 1)
     text = REVISION_BY_NUMBER[3].document
-    assert not node.offer(dataclasses.replace(REVISION_BY_NUMBER[2], document=text), 0.0)
+    assert not node.consider(dataclasses.replace(REVISION_BY_NUMBER[2], document=text), 0.0)
     assert (node.number, node.problem) == (1, "config_digest_differs")
 
 
--- a/tests/engines/test_reportpoller.py
+++ b/tests/engines/test_reportpoller.py
@@ -23,7 +23,7 @@
     async def report(self, address):
         return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
 
-    async def copy_run(self, address, request_id, to, *, is_last, timeout_s):
+    async def copy_kv_cache(self, address, request_id, to, *, is_last, timeout_s):
         raise NotImplementedError
 
     async def drop_copy(self, address, name):
@@ -48,7 +48,8 @@
 
     eventloop.run(main())
     return [
-        "lost" if isinstance(each, reportpoller.Lost) else each for each in heard[: len(answers)]
+        "lost" if isinstance(each, reportpoller.EngineLost) else each
+        for each in heard[: len(answers)]
     ]
 
 
--- a/tests/node/fakeparts.py
+++ b/tests/node/fakeparts.py
@@ -17,7 +17,7 @@
 FINGERPRINT = 7
 Finished = eventparser.Finished
 KeepAlive = eventparser.KeepAlive
-Lost = eventparser.LinkLost
+Lost = eventparser.ConnectionLost
 
 
 def token(offset):
--- a/tests/placement/fakes.py
+++ b/tests/placement/fakes.py
@@ -20,4 +20,4 @@
 
 def goal(revision, wanted, engine_by_name):
     replica_by_name = {name: engine.replica for name, engine in engine_by_name.items()}
-    return placementvalues.Goal(revision, wanted, replica_by_name)
+    return placementvalues.DesiredState(revision, wanted, replica_by_name)
--- a/tests/placement/test_engines.py
+++ b/tests/placement/test_engines.py
@@ -45,11 +45,11 @@
         )
         for number, server in enumerate(servers)
     }
-    goal = placementvalues.Goal(1, WANTED, replica_by_name)
+    goal = placementvalues.DesiredState(1, WANTED, replica_by_name)
     decisions = placement.Rollout(goal, ROLLOUT, PLACER.flight_s, random.Random(1), clock.now())
     table = memory.MemoryPlatform(clock)
     lease = leases.LeaseHolder(table, clock, "pool", "n1", PLACER.term_s, PLACER.flight_s)
-    engines = placement.HttpEngines(clock)
+    engines = placement.HttpEngineClient(clock)
     return placement.Placer(lease, decisions, engines, lambda: True, lambda: 1, PLACER, clock)
 
 
@@ -101,14 +101,14 @@
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
     with scripted.server(head + body) as address:
         replica = models.Replica(address=address, failure_domain="z1")
-        streams = placement.HttpEngines(clocks.ManualClock(100.0)).streams(replica)
-    assert streams == placement.Streams(3, 97.0)
+        streams = placement.HttpEngineClient(clocks.ManualClock(100.0)).streams(replica)
+    assert streams == placement.StreamCount(3, 97.0)
 
 
 def test_unreachable_engine_has_no_streams_to_tell(servers):
     address = servers[0].address
     servers[0].stop()
     replica = models.Replica(address=address, failure_domain="z1")
-    engines = placement.HttpEngines(clocks.SystemClock())
+    engines = placement.HttpEngineClient(clocks.SystemClock())
     assert engines.streams(replica) is None
     assert isinstance(engines.read(replica), orders.NotSent)
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -23,7 +23,7 @@
         self.clock = clocks.ManualClock(1000.0)
         self.platform = memory.MemoryPlatform(self.clock)
         self.engines = {f"e{n}": fakes.engine(n, present, checks) for n in range(count)}
-        self.reach = virtualengines.VirtualEngines(self.clock, self.engines.values())
+        self.reach = virtualengines.VirtualEngineClient(self.clock, self.engines.values())
         self.head = 1
         self.candidates = {"n1"}
         self.placers = {name: self.placer(name) for name in ("n1", "n2")}
@@ -46,10 +46,10 @@
             self.clock,
         )
 
-    def want(self, revision, wanted, names=("n1", "n2")):
+    def set_desired(self, revision, wanted, names=("n1", "n2")):
         self.head = revision
         for name in names:
-            self.placers[name].want(fakes.goal(revision, wanted, self.engines))
+            self.placers[name].set_desired(fakes.goal(revision, wanted, self.engines))
 
     def break_engines(self, fault):
         for engine in self.engines.values():
@@ -128,7 +128,7 @@
 def _pause_and_let_others_go_on(site):
     site.reach.before_read = site.reach.before_check = lambda: None
     site.candidates = {"n1", "n2"}
-    site.want(2, NEWER, ["n2"])
+    site.set_desired(2, NEWER, ["n2"])
     site.steps_until(lambda: site.present() == [NEWER] * 3, "n2")
 
 
@@ -177,7 +177,7 @@
     site.steps_until(lambda: site.reach.delayed, "n1")
     site.break_engines(fakes.Fault.NONE)
     site.steps(20 if is_repeated else 0, "n1")
-    site.want(2, NEWER)
+    site.set_desired(2, NEWER)
     site.steps_until(lambda: site.present() == [NEWER] * 3, "n1")
     site.reach.deliver(lambda _: True)
     assert site.present() == [NEWER] * 3
@@ -199,7 +199,7 @@
         engine.restart(NEWER)
         engine.fault = fakes.Fault.NONE
     site.candidates = {"n2"}
-    site.want(2, NEWER, ["n2"])
+    site.set_desired(2, NEWER, ["n2"])
     site.steps(90, "n2")
     site.reach.deliver(lambda _: True)
     assert site.present() == [NEWER] * 3
@@ -247,7 +247,7 @@
     site.steps(60, "n1")
     assert site.reasons() == {placement.Reason.CONFIGURATION_BEHIND}
     assert site.present() == [OLD] * 3
-    site.want(2, NEWER)
+    site.set_desired(2, NEWER)
     site.steps(60, "n1")
     assert site.present() == [NEWER] * 3
 
@@ -255,7 +255,7 @@
 def test_node_that_held_the_lease_before_looks_at_the_newest_configuration_again(site):
     site.steps(90)
     site.candidates = {"n2"}
-    site.want(2, NEWER, ["n2"])
+    site.set_desired(2, NEWER, ["n2"])
     site.steps(90)
     site.candidates = {"n1"}
     site.steps(90)
--- a/tests/placement/test_placer_machine.py
+++ b/tests/placement/test_placer_machine.py
@@ -40,7 +40,7 @@
             name: fakes.engine(number, first, name != UNCHECKED, 7.0)
             for number, name in enumerate(ENGINES)
         }
-        self.reach = virtualengines.VirtualEngines(self.clock, self.engines.values())
+        self.reach = virtualengines.VirtualEngineClient(self.clock, self.engines.values())
         self.reach.before_read = lambda: self.interrupt(None)
         self.reach.before_check = lambda: self.interrupt(None)
         self.reach.after_check = self.interrupt
@@ -142,7 +142,7 @@
 
     @stateful.rule(node=st.sampled_from(NODES))
     def follow(self, node):
-        self.placer_by_node[node].want(self.head)
+        self.placer_by_node[node].set_desired(self.head)
 
     @stateful.rule(candidates=st.sampled_from([{"n1"}, {"n2"}, {"n1", "n2"}, set()]))
     def choose(self, candidates):
--- a/tests/placement/test_rollout.py
+++ b/tests/placement/test_rollout.py
@@ -28,8 +28,8 @@
         for name in self.engines:
             self.rollout.was_read(name, present, self.now)
 
-    def want(self, revision, wanted):
-        self.rollout.want(fakes.goal(revision, wanted, self.engines))
+    def set_desired(self, revision, wanted):
+        self.rollout.set_desired(fakes.goal(revision, wanted, self.engines))
 
     def plan(self, after_s=0.0, idle=(), fencing=1):
         self.now += after_s
@@ -176,10 +176,10 @@
     driver = Driver(count=3)
     (order,) = driver.closed_and_idle()
     driver.answer(order, orders.Accepted(fakes.state()))
-    driver.want(2, NEWER)
+    driver.set_desired(2, NEWER)
     (order,) = driver.plan(after_s=1, idle=driver.rollout.closed())
     assert (order.replica, order.wanted) == ("e0", NEWER)
-    driver.want(1, OLD)
+    driver.set_desired(1, OLD)
     assert driver.rollout.goal.wanted == NEWER
 
 
@@ -187,7 +187,7 @@
     driver = Driver(count=3)
     driver.plan(after_s=200)
     assert driver.rollout.closed() == {"e0"}
-    driver.want(2, OLD)
+    driver.set_desired(2, OLD)
     driver.plan()
     assert not driver.rollout.closed()
 
@@ -200,7 +200,7 @@
     driver = Driver(count=3, present=OLD, wanted=fakes.state("draft@1", "tags@1"))
     first, *_ = driver.plan(after_s=200)
     driver.answer(first, orders.Accepted(OLD))
-    driver.want(2, OLD)
+    driver.set_desired(2, OLD)
     assert driver.rollout.roster.has_work(OLD)
     driver.plan()
     assert driver.rollout.closed() == {first.replica}
@@ -261,7 +261,7 @@
     first, *_ = driver.plan(after_s=200)
     driver.answer(first, orders.Lost("timeout"))
     driver.rollout.restart(driver.now)
-    driver.want(2, OLD)
+    driver.set_desired(2, OLD)
     driver.rollout.was_read(first.replica, OLD, driver.now)
     assert driver.rollout.roster.has_work(OLD)
     driver.rollout.was_read("e1", OLD, driver.now)
@@ -289,7 +289,7 @@
     driver = Driver(count=1, present=fakes.state(), checks=False)
     (order,) = driver.plan(after_s=200)
     driver.answer(order, orders.Lost("timeout"))
-    driver.want(2, NEWER)
+    driver.set_desired(2, NEWER)
     assert driver.plan(after_s=9) == ()
     assert driver.reason() is placement.Reason.OLD_ORDERS_UNDER_WAY
     assert driver.plan(after_s=2) == ()
--- a/tests/platform/test_enginecalls.py
+++ b/tests/platform/test_enginecalls.py
@@ -31,7 +31,9 @@
 
 
 def copy(source, target, control, *, is_last):
-    return control.copy_run(source.address, "r1", target.address, is_last=is_last, timeout_s=5.0)
+    return control.copy_kv_cache(
+        source.address, "r1", target.address, is_last=is_last, timeout_s=5.0
+    )
 
 
 def test_report_tells_memory_and_runs():
@@ -52,7 +54,7 @@
         last = await copy(source, target, control, is_last=True)
         return first, goes_on, last, source.run_by_id["r1"].is_stopped
 
-    made = models.CopyMade("copy-r1", 4)
+    made = models.CopySucceeded("copy-r1", 4)
     assert with_engines(test) == (made, True, made, True)
 
 
--- a/tests/replicas/test_availability.py
+++ b/tests/replicas/test_availability.py
@@ -65,7 +65,7 @@
 def cold_site(engine):
     """Return replicas of a service that bear ten requests a second after their start."""
     known = available()
-    start = routemodels.SlowStart(requests_per_s=10.0, lasts_s=3.0)
+    start = routemodels.SlowStart(requests_per_s=10.0, duration_s=3.0)
     known.configure({"llm": routemodels.Service("llm", "/h", 50, engine, start)})
     return known
 
--- a/tests/routed/test_bufferedexchange.py
+++ b/tests/routed/test_bufferedexchange.py
@@ -70,7 +70,7 @@
 
     def make_cold(self, replica_id):
         """Have a replica bear one request in a minute."""
-        start = models.SlowStart(requests_per_s=0.25, lasts_s=60.0)
+        start = models.SlowStart(requests_per_s=0.25, duration_s=60.0)
         self.available.configure({"s": models.Service("s", "/h", 50, None, start)})
         replica = dataclasses.replace(self.list.by_id[replica_id], warm_in_s=60.0)
         changes = self.list.update([replica], [], self.list.version + 1)
--- a/tests/routed/test_migration.py
+++ b/tests/routed/test_migration.py
@@ -29,12 +29,12 @@
     async def report(self, address):
         return None
 
-    async def copy_run(self, address, request_id, to, *, is_last, timeout_s):
+    async def copy_kv_cache(self, address, request_id, to, *, is_last, timeout_s):
         self._done.append("stop" if is_last else "copy")
         await self.copied.wait()
         if self.answers:
             return self.answers.pop(0)
-        return models.CopyMade("copy-1", 7)
+        return models.CopySucceeded("copy-1", 7)
 
     async def drop_copy(self, address, name):
         if self.is_source_gone and address == SOURCE.address:
@@ -243,7 +243,10 @@
 def test_stopped_run_whose_rest_was_not_copied_goes_on_where_it_was():
     async def test():
         move = Move()
-        move.engines.answers += [models.CopyMade("copy-1", 7), models.CopyFailed("no_room", "c2")]
+        move.engines.answers += [
+            models.CopySucceeded("copy-1", 7),
+            models.CopyFailed("no_room", "c2"),
+        ]
         await move.run()
         destination = move.migration.destination
         return destination.replica.id, destination.copy.name, move.acquirer.held
--- a/tests/routes/test_teamkeys.py
+++ b/tests/routes/test_teamkeys.py
@@ -22,5 +22,5 @@
 
     Taken for a deployment without keys, the routes would be open to everyone.
     """
-    assert teamkeys.TeamKeys((models.Team("clinic", frozenset()),)).is_needed
-    assert not teamkeys.TeamKeys(()).is_needed
+    assert teamkeys.TeamKeys((models.Team("clinic", frozenset()),)).is_required
+    assert not teamkeys.TeamKeys(()).is_required
