--- a/hornbeamglade/capacity/measuringclaims.py
+++ b/hornbeamglade/capacity/measuringclaims.py
@@ -86,7 +86,7 @@
 def _scan_bytes(requests: int) -> float:
     platform = memory.MemoryPlatform()
     _serve(platform, requests)
-    rows = tuple(map(storebodies.Row.of_row, platform.scan(claimvalues.ROW_PREFIX)))
+    rows = tuple(map(storebodies.Row.from_row, platform.scan(claimvalues.ROW_PREFIX)))
     return float(len(storebodies.Rows(rows=rows, ver=requests).model_dump_json()))
 
 
--- a/hornbeamglade/capacity/measuringmembership.py
+++ b/hornbeamglade/capacity/measuringmembership.py
@@ -169,12 +169,12 @@
 
 
 def _list_body(nodes: int) -> bytes:
-    table = memory.MemoryPlatform(counts_together=True)
+    table = memory.MemoryPlatform(shared_version_counter=True)
     nodes_list = registry.Registry(table)
     for instance in samplesite.instances(nodes):
         nodes_list.register(instance)
     listed = table.snapshot(registry.TABLE)
-    rows = tuple(map(storebodies.Row.of_row, listed.rows))
+    rows = tuple(map(storebodies.Row.from_row, listed.rows))
     return storebodies.Rows(rows=rows, ver=listed.version).model_dump_json().encode()
 
 
--- a/hornbeamglade/capacity/sweeppage.py
+++ b/hornbeamglade/capacity/sweeppage.py
@@ -61,10 +61,10 @@
 
 def _cells(quantity: sweeptables.Quantity, sizes: list[int]) -> list[str]:
     figures = (quantity.by_size[size] for size in sizes)
-    shown = [f"{each.middle:g} / {each.most:g}" for each in figures]
-    return [quantity.name, *shown, f"{quantity.power:g}", f"{quantity.carried:g}"]
+    shown = [f"{each.median:g} / {each.maximum:g}" for each in figures]
+    return [quantity.name, *shown, f"{quantity.power:g}", f"{quantity.extrapolated:g}"]
 
 
 def _judged(bound: Bound, quantity: sweeptables.Quantity) -> tuple[str, ...]:
-    verdict = "carried" if quantity.carried <= bound.most else "**not carried**"
-    return (verdict, quantity.name, f"{quantity.carried:g}", f"{bound.most:g}", bound.remark)
+    verdict = "carried" if quantity.extrapolated <= bound.most else "**not carried**"
+    return (verdict, quantity.name, f"{quantity.extrapolated:g}", f"{bound.most:g}", bound.remark)
--- a/hornbeamglade/claims/__init__.py
+++ b/hornbeamglade/claims/__init__.py
@@ -2,7 +2,7 @@
 
 from hornbeamglade.claims.claimsettings import ClaimSettings
 from hornbeamglade.claims.claimstore import ClaimStore
-from hornbeamglade.claims.claimsweep import random_part, sweep
+from hornbeamglade.claims.claimsweep import random_digest_prefix, sweep
 from hornbeamglade.claims.claimvalues import (
     Claim,
     ClaimKey,
@@ -27,6 +27,6 @@
     "OutcomeUnknown",
     "Recorded",
     "RecordedAnswer",
-    "random_part",
+    "random_digest_prefix",
     "sweep",
 ]
--- a/hornbeamglade/claims/claimsettings.py
+++ b/hornbeamglade/claims/claimsettings.py
@@ -17,7 +17,7 @@
     :param retention_s: seconds for which a key is remembered. It must exceed
         the other times by more than the nodes' wall clocks may differ.
     :param inline_bytes: larger answers go to the object store.
-    :param unsettled_limit: the most endings kept while the table is down.
+    :param pending_write_limit: the most endings kept while the table is down.
     """
 
     dispatch_within_s: float = 5.0
@@ -25,7 +25,7 @@
     retry_after_s: float = 2.0
     retention_s: float = 86400.0
     inline_bytes: int = 4096
-    unsettled_limit: int = 1000
+    pending_write_limit: int = 1000
 
     def __post_init__(self) -> None:
         if self.retention_s <= self.in_progress_s + self.dispatch_within_s:
--- a/hornbeamglade/claims/claimstore.py
+++ b/hornbeamglade/claims/claimstore.py
@@ -40,9 +40,9 @@
     claimprogress,
     claimrecords,
     claimsettings,
-    claimsettlement,
     claimvalues,
     groupcommit,
+    pendingwrites,
 )
 from hornbeamglade.core import clocks
 from hornbeamglade.store import contract
@@ -93,13 +93,15 @@
         self._attempt_prefix = f"{node_name}/{incarnation or uuid.uuid4().hex}"
         self._attempt_numbers = itertools.count(1)
         self._commits = groupcommit.GroupCommit(table)
-        self._settlement = claimsettlement.Settlement(table, objects, settings.unsettled_limit)
+        self._pending_writes = pendingwrites.PendingWrites(
+            table, objects, settings.pending_write_limit
+        )
         self._open = claimprogress.OpenClaims(clock, settings.dispatch_within_s)
 
     @property
-    def unsettled_count(self) -> int:
+    def pending_write_count(self) -> int:
         """Endings that the table does not know of yet."""
-        return len(self._settlement)
+        return len(self._pending_writes)
 
     def claim(self, key: claimvalues.ClaimKey, fingerprint: str) -> claimvalues.ClaimOutcome:
         """Claim the key for a new attempt, or say what is known of earlier ones.
@@ -177,12 +179,12 @@
         """
         return self._end(claim, claimrecords.ClaimState.UNKNOWN)
 
-    def settle(self) -> int:
+    def write_pending(self) -> int:
         """Bring in endings that the table could not take; to be called each second or so.
 
         :return: how many were settled.
         """
-        return self._settlement.settle()
+        return self._pending_writes.write_pending()
 
     def _write_claim(self, claim: claimvalues.Claim) -> contract.WriteOutcome:
         record = self._record(claim, claimrecords.ClaimState.CLAIMED)
@@ -218,7 +220,7 @@
         # An attempt of this process that ended as not run, which the row does not
         # say yet. Never free: an attempt of another process, which may dispatch.
         claimed = record.state is claimrecords.ClaimState.CLAIMED
-        return claimed and self._settlement.is_released(record.attempt)
+        return claimed and self._pending_writes.is_released(record.attempt)
 
     def _known_outcome(
         self, record: claimrecords.ClaimRecord, fingerprint: str
@@ -254,7 +256,7 @@
         this attempt, so it never dispatches and "not run" is true for good.
         """
         record = self._record(claim, claimrecords.ClaimState.RELEASED)
-        self._settlement.add(claimsettlement.Ending(claim, record, claimed=False))
+        self._pending_writes.add(pendingwrites.TerminalWrite(claim, record, claimed=False))
 
     def _end(
         self,
@@ -268,7 +270,7 @@
         if not self._open.close(claim):
             return True  # only the first ending of a claim counts
         record = self._record(claim, state, answer)
-        ending = claimsettlement.Ending(claim, record, claimed=True, object_text=object_text)
+        ending = pendingwrites.TerminalWrite(claim, record, claimed=True, object_text=object_text)
         # The row of a claim this old may have been swept and be another attempt's,
         # at the same version; the settlement reads it before it writes.
         recent = self._clock.now() - claim.started_at < self._settings.in_progress_s
@@ -276,7 +278,7 @@
             written = self._commits.submit(ending.unit(claim.version))
             if isinstance(written, contract.Committed):
                 return True
-        self._settlement.add(ending)
+        self._pending_writes.add(ending)
         return False
 
     def _record(
--- a/hornbeamglade/claims/claimsweep.py
+++ b/hornbeamglade/claims/claimsweep.py
@@ -19,13 +19,13 @@
 HEX_DIGITS = "0123456789abcdef"
 
 
-def random_part(rng: random.Random) -> str:
+def random_digest_prefix(rng: random.Random) -> str:
     """Return a leading part of the digests.
 
     Examples
     ========
 
-    >>> len(random_part(random.Random(1)))
+    >>> len(random_digest_prefix(random.Random(1)))
     3
     """
     return "".join(rng.choices(HEX_DIGITS, k=PART_DIGITS))
@@ -35,21 +35,21 @@
     table: contract.Table,
     wall_s: float,
     settings: claimsettings.ClaimSettings,
-    part: str = "",
+    digest_prefix: str = "",
 ) -> int:
-    """Delete the expired claims whose digest begins with ``part``.
+    """Delete the expired claims whose digest begins with ``digest_prefix``.
 
     :param table: the platform's table.
     :param wall_s: now, in seconds since the epoch.
     :param settings: says how long a key is remembered.
-    :param part: leading hex digits of the digests to look at.
+    :param digest_prefix: leading hex digits of the digests to look at.
     :return: how many rows were deleted.
     """
-    rows = table.scan(claimvalues.ROW_PREFIX + part, SCAN_LIMIT)
+    rows = table.scan(claimvalues.ROW_PREFIX + digest_prefix, SCAN_LIMIT)
     if isinstance(rows, contract.Unavailable):
         return 0
     if len(rows) == SCAN_LIMIT:  # there may be more than the scan shows
-        return sum(sweep(table, wall_s, settings, part + digit) for digit in HEX_DIGITS)
+        return sum(sweep(table, wall_s, settings, digest_prefix + digit) for digit in HEX_DIGITS)
     oldest_kept = wall_s - settings.retention_s
     units = tuple(_deletion(row) for row in rows if _is_expired(row, oldest_kept))
     deleted = 0
--- a/hornbeamglade/claims/claimsettlement.py
+++ b/hornbeamglade/claims/pendingwrites.py
@@ -5,7 +5,7 @@
 
 The end of an attempt (released, done, unknown) is written when it is known. If
 the table is down just then, or the answer is lost, the end waits here until
-:meth:`Settlement.settle` can bring it in.
+:meth:`PendingWrites.write_pending` can bring it in.
 
 An attempt that was told "not run" because its claim's write got no answer is
 brought in as ``RELEASED`` too. Its write may have taken effect, or may still do
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ending:
+class TerminalWrite:
     """How one attempt ended.
 
     :param claim: the attempt; ``version`` is the one that its last unanswered
@@ -59,7 +59,7 @@
     OVER = enum.auto()
 
 
-class Settlement:
+class PendingWrites:
     """The endings that wait for the table; bounded, thread-safe.
 
     :param table: the platform's table.
@@ -73,13 +73,13 @@
         self._objects = objects
         self._limit = limit
         self._lock = threading.Lock()
-        self._ending_by_attempt: dict[str, Ending] = {}
+        self._ending_by_attempt: dict[str, TerminalWrite] = {}
         self.dropped_count = 0
 
     def __len__(self) -> int:
         return len(self._ending_by_attempt)
 
-    def add(self, ending: Ending) -> None:
+    def add(self, ending: TerminalWrite) -> None:
         """Keep an ending until the table can take it."""
         with self._lock:
             if len(self._ending_by_attempt) >= self._limit:
@@ -93,7 +93,7 @@
             ending = self._ending_by_attempt.get(attempt)
         return ending is not None and ending.record.state is claimrecords.ClaimState.RELEASED
 
-    def settle(self, limit: int = groupcommit.DEFAULT_MAX_UNITS) -> int:
+    def write_pending(self, limit: int = groupcommit.DEFAULT_MAX_UNITS) -> int:
         """Bring in some endings, oldest first.
 
         :param limit: the most endings tried.
@@ -101,7 +101,7 @@
         """
         with self._lock:
             endings = list(self._ending_by_attempt.values())[:limit]
-        ending_by_key: dict[str, Ending] = {}
+        ending_by_key: dict[str, TerminalWrite] = {}
         units = []
         settled = []
         for ending in endings:
@@ -120,7 +120,7 @@
         self._forget(settled)
         return len(settled)
 
-    def _plan(self, ending: Ending) -> groupcommit.Unit | _Over | None:
+    def _plan(self, ending: TerminalWrite) -> groupcommit.Unit | _Over | None:
         if not ending.store_object(self._objects):
             return None
         claim = ending.claim
@@ -143,7 +143,7 @@
             return ending.unit(version)
         return _Over.OVER
 
-    def _forget(self, endings: list[Ending]) -> None:
+    def _forget(self, endings: list[TerminalWrite]) -> None:
         with self._lock:
             for ending in endings:
                 self._ending_by_attempt.pop(ending.claim.attempt, None)
--- a/hornbeamglade/cli/benchdays.py
+++ b/hornbeamglade/cli/benchdays.py
@@ -93,7 +93,7 @@
     root = pathlib.Path.cwd()
     folder_by_variant = {name: kept / name for name in variant_by_name}
     for name, chosen in variant_by_name.items():
-        text = policysettings.as_template(chosen)
+        text = policysettings.as_settings_section(chosen)
         trialfolders.prepare(root, folder_by_variant[name], text, TEMPLATE)
     player = trialfolders.FolderPlayer(
         trial.program, trial.site, folder_by_variant, trial.why, trial.options
--- a/hornbeamglade/entry/following.py
+++ b/hornbeamglade/entry/following.py
@@ -131,7 +131,7 @@
         if not self._note_reachability(tables.CONFIGURATION, outcome):
             return
         self._take_evacuation_rows(outcome)
-        rows = outcome.rows if isinstance(outcome, contract.Snapshot) else outcome.present
+        rows = outcome.rows if isinstance(outcome, contract.Snapshot) else outcome.written_rows
         row = tables.configuration_row(rows)
         if row is not None:
             self._take_configuration(row.value.encode(), STORE)
@@ -175,8 +175,8 @@
             state = evacuationlib.Evacuations(outcome.version, domains)
         else:
             state = self._available.evacuations.updated(
-                tables.evacuated_domains(row.key for row in outcome.present),
-                tables.evacuated_domains(outcome.gone),
+                tables.evacuated_domains(row.key for row in outcome.written_rows),
+                tables.evacuated_domains(outcome.deleted_keys),
                 outcome.newest,
             )
         self.take_evacuations(state, STORE)
@@ -253,14 +253,14 @@
 
     def _take_changes(self, changes: contract.Changes, source: str) -> None:
         self._history.add(changes)
-        for row in changes.present:
+        for row in changes.written_rows:
             self._row_by_key[row.key] = row
-        for key in changes.gone:
+        for key in changes.deleted_keys:
             self._row_by_key.pop(key, None)
             self._decoded_by_key.pop(key, None)
             self._problem_by_key.pop(key, None)
-        replicas, unread = self._decoded(changes.present)
-        gone = [replicarows.server_name(key) for key in changes.gone]
+        replicas, unread = self._decoded(changes.written_rows)
+        gone = [replicarows.server_name(key) for key in changes.deleted_keys]
         made = self._replicas.update(replicas, gone, changes.newest, unread)
         self._report(made, source)
 
--- a/hornbeamglade/entry/listhistory.py
+++ b/hornbeamglade/entry/listhistory.py
@@ -36,7 +36,7 @@
     >>> history.add(contract.Changes((contract.Row("a", "1", 6),), ("b",), 7, 7))
     >>> history.since(3) is None
     True
-    >>> decode(history.since(4)).gone, decode(history.since(7)).gone
+    >>> decode(history.since(4)).deleted_keys, decode(history.since(7)).deleted_keys
     (('b',), ())
     """
 
@@ -53,8 +53,8 @@
     def add(self, changes: contract.Changes) -> None:
         """Take changes that follow on those before."""
         at = changes.newest
-        self._changes += [_Change(at, row.key, row) for row in changes.present]
-        self._changes += [_Change(at, key, None) for key in changes.gone]
+        self._changes += [_Change(at, row.key, row) for row in changes.written_rows]
+        self._changes += [_Change(at, key, None) for key in changes.deleted_keys]
         self._newest = at
         while len(self._changes) > MOST_CHANGES:
             self._complete_from = self._changes.popleft().at
@@ -86,9 +86,9 @@
     changes: contract.Changes
 
     @property
-    def gone(self) -> tuple[str, ...]:
+    def deleted_keys(self) -> tuple[str, ...]:
         """Keys of rows that were deleted."""
-        return self.changes.gone
+        return self.changes.deleted_keys
 
 
 def whole(rows: collections.abc.Iterable[contract.Row]) -> bytes:
--- a/hornbeamglade/entry/policysettings.py
+++ b/hornbeamglade/entry/policysettings.py
@@ -73,15 +73,15 @@
         raise codederrors.CodedError(VARIANT_INVALID, detail) from error
 
 
-def as_template(policy: Policy) -> str:
+def as_settings_section(policy: Policy) -> str:
     r"""Return what a policy adds to the settings: the fields that differ; often nothing.
 
     Examples
     ========
 
-    >>> as_template(Policy(placement_s=0.5))
+    >>> as_settings_section(Policy(placement_s=0.5))
     'policy: {"placement_s": 0.5}\n'
-    >>> as_template(Policy())
+    >>> as_settings_section(Policy())
     ''
     """
     fields = policy.model_dump(mode="json", exclude_defaults=True)
--- a/hornbeamglade/node/daemon.py
+++ b/hornbeamglade/node/daemon.py
@@ -280,7 +280,7 @@
     def _report(self) -> None:
         self._register()
         self._parts.acquirer.report()
-        self._claims.settle()
+        self._claims.write_pending()
         self._senders.sweep()
         self._parts.deadlines.sweep()
         self.peering.quarantine.tidy()
--- a/hornbeamglade/node/upkeep.py
+++ b/hornbeamglade/node/upkeep.py
@@ -71,5 +71,5 @@
             return
         nodes = len(self._beats.members())
         self._sweep_due_at = now + SWEEP_S * max(1.0, nodes / SWEEP_NODES)
-        part = claimsweep.random_part(self._rng)
+        part = claimsweep.random_digest_prefix(self._rng)
         claimsweep.sweep(self._platform, self._clock.wall(), CLAIM_SETTINGS, part)
--- a/hornbeamglade/platform/storebodies.py
+++ b/hornbeamglade/platform/storebodies.py
@@ -13,7 +13,7 @@
     model_config = pydantic.ConfigDict(extra="ignore", frozen=True)
 
 
-class Name(_Body):
+class RowName(_Body):
     """Where a row lies: three texts of at most 200 bytes each."""
 
     table: str
@@ -21,24 +21,24 @@
     key: str
 
     @classmethod
-    def of(cls, key: str) -> "Name":
+    def from_key(cls, key: str) -> "RowName":
         """Return the place of one of our keys: its first segment is the table.
 
         Examples
         ========
 
-        >>> Name.of("leases/pool:drafts")
-        Name(table='leases', part='', key='pool:drafts')
+        >>> RowName.from_key("leases/pool:drafts")
+        RowName(table='leases', part='', key='pool:drafts')
         """
         table, _, rest = key.partition("/")
         return cls(table=table, key=rest)
 
-    def whole(self) -> str:
+    def full_key(self) -> str:
         """Return our key."""
         return f"{self.table}/{self.key}" if self.key else self.table
 
 
-class Row(Name):
+class Row(RowName):
     """A row as it is read."""
 
     # Absent in a feed's row that is marked as deleted.
@@ -48,10 +48,10 @@
     deleted: bool = False
 
     @classmethod
-    def of_row(cls, row: contract.Row) -> "Row":
+    def from_row(cls, row: contract.Row) -> "Row":
         """Return the body for a row of the contract."""
         version = positions.version(row.version)
-        return cls(**dict(Name.of(row.key)), value=coded(row.value), ver=version)
+        return cls(**dict(RowName.from_key(row.key)), value=encode_value(row.value), ver=version)
 
     def to_row(self, era: int) -> contract.Row:
         """Return the row as a value of the contract.
@@ -63,9 +63,9 @@
         """
         at = positions.position(era, self.ver)
         try:
-            return contract.Row(self.whole(), text(self.value), at)
+            return contract.Row(self.full_key(), decode_value(self.value), at)
         except ValueError as error:
-            return contract.Row(self.whole(), "", at, str(error))
+            return contract.Row(self.full_key(), "", at, str(error))
 
 
 class Rows(_Body):
@@ -77,13 +77,13 @@
     truncated: bool = False
 
 
-class Expected(Name):
+class Expected(RowName):
     """A row that must be at a version; 0 means that it does not exist."""
 
     ver: int
 
 
-class Write(Name):
+class Write(RowName):
     """A row to write."""
 
     value: str
@@ -94,10 +94,10 @@
 
     expected: tuple[Expected, ...]
     writes: tuple[Write, ...]
-    remove: tuple[Name, ...]
+    remove: tuple[RowName, ...]
 
     @classmethod
-    def of(
+    def from_writes(
         cls,
         conditions: tuple[contract.Condition, ...],
         writes: tuple[contract.Put | contract.Delete, ...],
@@ -107,11 +107,14 @@
         deletes = [write for write in writes if isinstance(write, contract.Delete)]
         return cls(
             expected=tuple(
-                Expected(**dict(Name.of(each.key)), ver=positions.version(each.version))
+                Expected(**dict(RowName.from_key(each.key)), ver=positions.version(each.version))
                 for each in conditions
             ),
-            writes=tuple(Write(**dict(Name.of(put.key)), value=coded(put.value)) for put in puts),
-            remove=tuple(Name.of(delete.key) for delete in deletes),
+            writes=tuple(
+                Write(**dict(RowName.from_key(put.key)), value=encode_value(put.value))
+                for put in puts
+            ),
+            remove=tuple(RowName.from_key(delete.key) for delete in deletes),
         )
 
 
@@ -127,12 +130,12 @@
     rows: tuple[Row, ...] = ()
 
 
-def coded(value: str) -> str:
+def encode_value(value: str) -> str:
     """Return a text as the store keeps it."""
     return base64.b64encode(value.encode()).decode()
 
 
-def text(value: str) -> str:
+def decode_value(value: str) -> str:
     """Return a text that the store keeps.
 
     :raises ValueError: when it is not base64 of a text.
--- a/hornbeamglade/platform/storeclient.py
+++ b/hornbeamglade/platform/storeclient.py
@@ -100,13 +100,13 @@
 
     def read(self, key: str) -> contract.ReadOutcome:
         """Read one row at its newest version."""
-        name = storebodies.Name.of(key)
+        name = storebodies.RowName.from_key(key)
         read = self._rows(name.table, name.part, name.key, None, 1)
         if isinstance(read, contract.Unavailable):
             return read
         answer, era = read
         for row in answer.rows:
-            if row.whole() == key:
+            if row.full_key() == key:
                 return _found(row, era)
         return contract.Missing(key)
 
@@ -114,7 +114,7 @@
         self, prefix: str, limit: int = 1000
     ) -> tuple[contract.Row, ...] | contract.Unavailable:
         """Read rows whose key begins with ``prefix``, in order of key."""
-        start = storebodies.Name.of(prefix)
+        start = storebodies.RowName.from_key(prefix)
         end = start.key + _LAST_CHARACTER
         found: list[contract.Row] = []
         first = start.key
@@ -169,7 +169,7 @@
         for condition in conditions:
             if condition.version and positions.era(condition.version) != era:
                 return contract.Conflict(condition.key)
-        body = storebodies.Transaction.of(conditions, writes).model_dump_json()
+        body = storebodies.Transaction.from_writes(conditions, writes).model_dump_json()
         answer = self._exchange("POST", "/v1/rows-tx", body.encode())
         if not isinstance(answer, _Answer):
             return answer
@@ -287,11 +287,11 @@
 
 def _changes(body: storebodies.Rows, era: int) -> contract.Changes:
     # A row that changed twice is named twice; only its newest state holds.
-    newest_by_key = {row.whole(): row for row in sorted(body.rows, key=lambda row: row.ver)}
-    present = tuple(row.to_row(era) for row in newest_by_key.values() if not row.deleted)
-    gone = tuple(key for key, row in newest_by_key.items() if row.deleted)
+    newest_by_key = {row.full_key(): row for row in sorted(body.rows, key=lambda row: row.ver)}
+    written_rows = tuple(row.to_row(era) for row in newest_by_key.values() if not row.deleted)
+    deleted_keys = tuple(key for key, row in newest_by_key.items() if row.deleted)
     newest = max((positions.position(era, row.ver) for row in body.rows), default=0)
-    return contract.Changes(present, gone, positions.position(era, body.ver), newest)
+    return contract.Changes(written_rows, deleted_keys, positions.position(era, body.ver), newest)
 
 
 def _conflict(
@@ -300,7 +300,7 @@
     """Name the first condition that did not hold, from the rows as they are."""
     if body is None:
         return contract.Unknown("malformed answer to a failed condition")
-    version_by_key = {row.whole(): 0 if row.deleted else row.ver for row in body.rows}
+    version_by_key = {row.full_key(): 0 if row.deleted else row.ver for row in body.rows}
     for condition in conditions:
         if version_by_key.get(condition.key, 0) != positions.version(condition.version):
             return contract.Conflict(condition.key)
--- a/hornbeamglade/platform/sweeptables.py
+++ b/hornbeamglade/platform/sweeptables.py
@@ -17,12 +17,12 @@
 class Figures:
     """A quantity at one size.
 
-    :param middle: of the middle machine, or the middle one of its times.
-    :param most: of the busiest machine, or the longest of its times.
+    :param median: of the middle machine, or the middle one of its times.
+    :param maximum: of the busiest machine, or the longest of its times.
     """
 
-    middle: float
-    most: float
+    median: float
+    maximum: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,13 +32,13 @@
     :param name: what it is, with its unit.
     :param by_size: its figures, by the number of machines.
     :param power: the power of the number of machines to which its most grows.
-    :param carried: its most at the size of the target, by that power.
+    :param extrapolated: its most at the size of the target, by that power.
     """
 
     name: str
     by_size: dict[int, Figures]
     power: float
-    carried: float
+    extrapolated: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -81,8 +81,8 @@
     if len(pairs) != len(sizes) or None in pairs:
         raise codederrors.CodedError(SWEEP_INVALID, f"row {line.strip()!r:.80}")
     try:
-        power, carried = float(columns[-2]), float(columns[-1])
+        power, extrapolated = float(columns[-2]), float(columns[-1])
     except ValueError as error:
         raise codederrors.CodedError(SWEEP_INVALID, f"row {line.strip()!r:.80}") from error
     figures = (Figures(float(pair[1]), float(pair[2])) for pair in pairs)
-    return Quantity(name, dict(zip(sizes, figures, strict=True)), power, carried)
+    return Quantity(name, dict(zip(sizes, figures, strict=True)), power, extrapolated)
--- a/hornbeamglade/standins/platform.py
+++ b/hornbeamglade/standins/platform.py
@@ -90,7 +90,7 @@
 
     def __init__(self, platform: memory.MemoryPlatform) -> None:
         self._platform = platform
-        self._copied = platform.copy()
+        self._copied = platform.backup()
         self._call_by_route: dict[tuple[str, str], _Call] = {
             ("GET", "/v1/rows-get"): self._rows,
             ("GET", "/v1/rows-feed"): self._feed,
@@ -129,7 +129,7 @@
         first, end = asked.get("from", ""), asked.get("to")
         rows = [
             row
-            for row in map(storebodies.Row.of_row, table.rows)
+            for row in map(storebodies.Row.from_row, table.rows)
             if row.part == asked["part"] and row.key >= first and (end is None or row.key < end)
         ]
         shown = tuple(rows[:limit])
@@ -146,13 +146,13 @@
             return _GONE
         gone = tuple(
             storebodies.Row(
-                **dict(storebodies.Name.of(key)),
+                **dict(storebodies.RowName.from_key(key)),
                 ver=positions.version(changes.newest),
                 deleted=True,
             )
-            for key in changes.gone
+            for key in changes.deleted_keys
         )
-        present = tuple(map(storebodies.Row.of_row, changes.present))
+        present = tuple(map(storebodies.Row.from_row, changes.written_rows))
         version = positions.version(changes.version)
         return _json(storebodies.Rows(rows=present + gone, ver=version))
 
@@ -160,16 +160,16 @@
         transaction = storebodies.Transaction.model_validate_json(body)
         conditions = tuple(
             contract.Condition(
-                each.whole(),
+                each.full_key(),
                 positions.position(self._platform.era, each.ver) if each.ver else 0,
             )
             for each in transaction.expected
         )
         puts = tuple(
-            contract.Put(write.whole(), storebodies.text(write.value))
+            contract.Put(write.full_key(), storebodies.decode_value(write.value))
             for write in transaction.writes
         )
-        deletes = tuple(contract.Delete(name.whole()) for name in transaction.remove)
+        deletes = tuple(contract.Delete(name.full_key()) for name in transaction.remove)
         match self._platform.transact(conditions, puts + deletes):
             case contract.Committed():
                 return _json(storebodies.Committed(ver=self._platform.revision))
@@ -183,7 +183,9 @@
     def _conflict(self, conditions: tuple[contract.Condition, ...]) -> _Reply:
         found = [self._platform.read(condition.key) for condition in conditions]
         rows = tuple(
-            storebodies.Row.of_row(each.row) for each in found if isinstance(each, contract.Found)
+            storebodies.Row.from_row(each.row)
+            for each in found
+            if isinstance(each, contract.Found)
         )
         return _json(storebodies.Conflict(rows=rows), http.HTTPStatus.PRECONDITION_FAILED)
 
@@ -211,7 +213,7 @@
         return _OK
 
     def _copy(self, _rest: str, _asked: dict[str, str], _body: bytes) -> _Reply:
-        self._copied = self._platform.copy()
+        self._copied = self._platform.backup()
         return _OK
 
     def _restore(self, _rest: str, _asked: dict[str, str], _body: bytes) -> _Reply:
@@ -266,7 +268,7 @@
 
     def __init__(self, bind: str, platform: memory.MemoryPlatform | None = None) -> None:
         self.platform = platform or memory.MemoryPlatform(
-            clocks.SystemClock(), counts_together=True
+            clocks.SystemClock(), shared_version_counter=True
         )
         host, _, port = bind.rpartition(":")
         self._http = cheroot.server.HTTPServer((host, int(port)), _Gateway, minthreads=THREADS)
--- a/hornbeamglade/store/contract.py
+++ b/hornbeamglade/store/contract.py
@@ -160,14 +160,14 @@
 class Changes:
     """What has changed in a table since a version.
 
-    :param present: rows that were written, in order.
-    :param gone: keys of rows that were deleted.
+    :param written_rows: rows that were written, in order.
+    :param deleted_keys: keys of rows that were deleted.
     :param version: the version up to which this is complete.
     :param newest: the version of the newest of these changes, or 0 when there is none.
     """
 
-    present: tuple[Row, ...]
-    gone: tuple[str, ...]
+    written_rows: tuple[Row, ...]
+    deleted_keys: tuple[str, ...]
     version: int
     newest: int = 0
 
--- a/hornbeamglade/store/memory.py
+++ b/hornbeamglade/store/memory.py
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Copy:
+class Backup:
     """The rows of a platform as of one moment.
 
     :param revision: the newest transaction then.
@@ -91,10 +91,10 @@
     """
 
     def __init__(
-        self, clock: clocks.Clock | None = None, *, counts_together: bool = False
+        self, clock: clocks.Clock | None = None, *, shared_version_counter: bool = False
     ) -> None:
         self._clock = clock or clocks.SystemClock()
-        self._counts_together = counts_together
+        self._shared_version_counter = shared_version_counter
         self._lock = threading.Lock()
         self._changed = threading.Condition(self._lock)
         self._revision = 0
@@ -190,16 +190,16 @@
                 return contract.HistoryLost()
             news = self._news(table, version)
             change_by_key = {change.key: change for change in news}
-            present = tuple(
+            written_rows = tuple(
                 self._shown(each.row) for each in change_by_key.values() if each.row is not None
             )
-            gone = tuple(each.key for each in change_by_key.values() if each.row is None)
+            deleted_keys = tuple(each.key for each in change_by_key.values() if each.row is None)
             # What a lagging feed does not show yet must be asked for again.
             shown = self._revision if not self._faults.lag_s else version
             newest = max((change.revision for change in news), default=0)
             return contract.Changes(
-                present,
-                gone,
+                written_rows,
+                deleted_keys,
                 self._position(max(shown, newest)),
                 self._position(newest) if newest else 0,
             )
@@ -209,19 +209,19 @@
         """How often the platform has come back from an older copy."""
         return self._era
 
-    def copy(self) -> Copy:
+    def backup(self) -> Backup:
         """Return a copy of all rows, to come back from later."""
         with self._lock:
-            return Copy(self._revision, dict(self._row_by_key))
+            return Backup(self._revision, dict(self._row_by_key))
 
-    def restore(self, copy: Copy) -> None:
+    def restore(self, backup: Backup) -> None:
         """Come back from an older copy: what was written since is lost."""
         with self._lock:
             self._era += 1
-            self._revision = copy.revision
-            self._row_by_key = dict(copy.row_by_key)
+            self._revision = backup.revision
+            self._row_by_key = dict(backup.row_by_key)
             self._history.clear()
-            self._kept_after = copy.revision
+            self._kept_after = backup.revision
             self._stalled.clear()
             self._changed.notify_all()
 
@@ -287,7 +287,7 @@
                 self._history.append(_Change(self._revision, write.key, None, self._clock.now()))
                 continue
             next_version = self._version(write.key) + 1
-            version = self._revision if self._counts_together else next_version
+            version = self._revision if self._shared_version_counter else next_version
             row = contract.Row(write.key, write.value, version)
             self._row_by_key[write.key] = row
             self._history.append(_Change(self._revision, write.key, row, self._clock.now()))
--- a/hornbeamglade/store/tablefollower.py
+++ b/hornbeamglade/store/tablefollower.py
@@ -111,6 +111,8 @@
             return False
         self._version = max(outcome.version, self._version or 0)
         self._note_era(positions.era(self._version))
-        if isinstance(outcome, contract.Changes) and (outcome.present or outcome.gone):
+        if isinstance(outcome, contract.Changes) and (
+            outcome.written_rows or outcome.deleted_keys
+        ):
             self._clock.sleep(GATHER_S)
         return True
--- a/tests/claims/test_claimstore.py
+++ b/tests/claims/test_claimstore.py
@@ -105,7 +105,7 @@
     assert claims.sweep(platform, clock.wall(), SETTINGS) == 1
     new = granted(nodes[1])
     nodes[0].finish(old, claims.RecordedAnswer(200, "text/plain", b"old"))
-    nodes[0].settle()
+    nodes[0].write_pending()
     answer = claims.RecordedAnswer(200, "text/plain", b"new")
     assert nodes[1].finish(new, answer)
     assert nodes[1].claim(KEY, "f") == claims.Recorded(answer)
--- a/tests/claims/test_claimstore_machine.py
+++ b/tests/claims/test_claimstore_machine.py
@@ -133,10 +133,10 @@
         self.busy.remove(node)
 
     @stateful.rule(node=st.sampled_from(NODES), script=SCRIPTS)
-    def settle(self, node, script):
+    def write_pending(self, node, script):
         self.script = script
         self.busy.append(node)
-        self.stores[node].settle()
+        self.stores[node].write_pending()
         self.busy.remove(node)
 
     @stateful.rule(event=st.sampled_from(EVENTS))
@@ -157,8 +157,8 @@
             if claim.attempt not in {a for runs in self.runs_by_key.values() for a, _ in runs}:
                 self.stores[node].release(claim)
         for store in self.stores:
-            while store.unsettled_count:
-                assert store.settle()
+            while store.pending_write_count:
+                assert store.write_pending()
         self.platform.deliver_stalled()
         for key in KEYS:
             if not self.crashed and not self.runs_by_key[key]:
--- a/tests/entry/site.py
+++ b/tests/entry/site.py
@@ -160,7 +160,7 @@
         gap_s=0.01,
         region_by_failure_domain=None,
     ):
-        self.store = memory.MemoryPlatform(clocks.SystemClock(), counts_together=True)
+        self.store = memory.MemoryPlatform(clocks.SystemClock(), shared_version_counter=True)
         self.engines = [routed.RoutedStandin(f"e{n}", events, gap_s) for n in range(engines)]
         self.services = [routed.RoutedStandin(f"s{n}") for n in range(services)]
         self.nodes = [
--- a/tests/entry/test_listhistory.py
+++ b/tests/entry/test_listhistory.py
@@ -20,8 +20,8 @@
 
 
 def applied(rows, told):
-    kept = {key: row for key, row in rows.items() if key not in told.gone}
-    return kept | {row.key: row for row in told.present}
+    kept = {key: row for key, row in rows.items() if key not in told.deleted_keys}
+    return kept | {row.key: row for row in told.written_rows}
 
 
 @given(CHANGES, strategies.integers(0, 12))
--- a/tests/entry/test_registration.py
+++ b/tests/entry/test_registration.py
@@ -65,7 +65,7 @@
 def test_an_instance_whose_row_the_store_has_lost_writes_it_again():
     """Guards instances that start against a list that lacks one which is there."""
     platform, kept, _ = make(others=2)
-    copy = platform.copy()
+    copy = platform.backup()
     kept.step()
     kept.step()
     platform.restore(copy)
--- a/tests/leases/test_leaseholder.py
+++ b/tests/leases/test_leaseholder.py
@@ -115,7 +115,7 @@
     """Guards engines against orders of a holder whose number the store gives out again."""
     holders[0].acquire()
     holders[0].release()
-    copy = table.copy()
+    copy = table.backup()
     assert holders[1].acquire() == leases.Held(2)
     table.restore(copy)
     outcome = holders[0].acquire()
--- a/tests/platform/test_storeclient.py
+++ b/tests/platform/test_storeclient.py
@@ -124,7 +124,7 @@
     told = answer(b"200 OK", b'{"rows":[%s],"ver":2}' % b",".join(rows))
     for read in (
         raw_server(told).client.snapshot("a").rows,
-        raw_server(told).client.changes("a", 0, 0.0).present,
+        raw_server(told).client.changes("a", 0, 0.0).written_rows,
         raw_server(told).client.scan("a/"),
     ):
         assert [(row.key, row.value, row.problem is None) for row in read] == [
@@ -176,6 +176,6 @@
     ]
     server = raw_server(feed_answer(*(reversed(rows) if is_reversed else rows)))
     changes = server.client.changes("op", 1, 0.01)
-    assert [(row.key, row.version) for row in changes.present] == [("op/again", 5)]
-    assert changes.gone == ("op/over",)
+    assert [(row.key, row.version) for row in changes.written_rows] == [("op/again", 5)]
+    assert changes.deleted_keys == ("op/over",)
     assert changes.newest == 6
--- a/tests/platform/test_storeera.py
+++ b/tests/platform/test_storeera.py
@@ -16,7 +16,7 @@
     server.start()
     server.client = storeclient.StoreClient(server.address)
     put(server, "t/kept")
-    server.copied = server.platform.copy()
+    server.copied = server.platform.backup()
     put(server, "t/lost")
     yield server
     server.stop()
@@ -45,7 +45,7 @@
     assert store.client.changes("t", before.version, 0.0) == contract.HistoryLost()
     at = store.client.snapshot("t").version
     put(store, "t/d")
-    assert store.client.changes("t", at, 0.0).present[0].key == "t/d"
+    assert store.client.changes("t", at, 0.0).written_rows[0].key == "t/d"
 
 
 def test_a_feed_that_is_held_during_a_drill_has_no_history(store):
--- a/tests/platform/test_sweeptables.py
+++ b/tests/platform/test_sweeptables.py
@@ -21,7 +21,7 @@
     assert sweep.target == 360
     processor, config = sweep.quantities
     assert processor.by_size[100] == sweeptables.Figures(6.1, 11.1)
-    assert (config.name, config.power, config.carried) == ("config acked, ms", 0.02, 62.3)
+    assert (config.name, config.power, config.extrapolated) == ("config acked, ms", 0.02, 62.3)
 
 
 @pytest.mark.parametrize(
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -44,7 +44,10 @@
     put_new(client, "nodes/b")
     client.transact((), (contract.Delete("nodes/a"),))
     changes = client.changes("nodes", start.version, 5.0)
-    assert ([row.key for row in changes.present], changes.gone) == (["nodes/b"], ("nodes/a",))
+    assert ([row.key for row in changes.written_rows], changes.deleted_keys) == (
+        ["nodes/b"],
+        ("nodes/a",),
+    )
 
 
 def test_history_that_is_gone_is_said_to_be(server, client):
--- a/tests/store/test_memory.py
+++ b/tests/store/test_memory.py
@@ -63,7 +63,7 @@
 
 
 def test_feed_shows_the_newest_of_each_row_and_what_was_deleted():
-    platform = memory.MemoryPlatform(clocks.ManualClock(), counts_together=True)
+    platform = memory.MemoryPlatform(clocks.ManualClock(), shared_version_counter=True)
     put_new(platform, "a/1")
     put_new(platform, "a/2")
     put_new(platform, "b/1")
@@ -74,7 +74,7 @@
 
 
 def test_history_that_is_gone_is_said_to_be():
-    platform = memory.MemoryPlatform(clocks.ManualClock(), counts_together=True)
+    platform = memory.MemoryPlatform(clocks.ManualClock(), shared_version_counter=True)
     put_new(platform, "a/1")
     platform.forget_history()
     assert platform.changes("a", 0, 0.0) == contract.HistoryLost()
--- a/tests/store/test_tablefollower.py
+++ b/tests/store/test_tablefollower.py
@@ -21,7 +21,7 @@
 
 def test_snapshot_comes_first_and_then_changes(monkeypatch):
     monkeypatch.setattr(tablefollower, "WAIT_S", 0.0)
-    platform = memory.MemoryPlatform(clocks.ManualClock(), counts_together=True)
+    platform = memory.MemoryPlatform(clocks.ManualClock(), shared_version_counter=True)
     put(platform, "t/a")
     told = []
     following = follower(platform, told)
@@ -43,7 +43,7 @@
     stay believed.
     """
     monkeypatch.setattr(tablefollower, "WAIT_S", 0.0)
-    platform = memory.MemoryPlatform(clocks.ManualClock(), counts_together=True)
+    platform = memory.MemoryPlatform(clocks.ManualClock(), shared_version_counter=True)
     put(platform, "t/a")
     told = []
     following = follower(platform, told)
@@ -57,7 +57,7 @@
 
 def test_outage_is_told_and_the_place_is_kept(monkeypatch):
     monkeypatch.setattr(tablefollower, "WAIT_S", 0.0)
-    platform = memory.MemoryPlatform(clocks.ManualClock(), counts_together=True)
+    platform = memory.MemoryPlatform(clocks.ManualClock(), shared_version_counter=True)
     told = []
     following = follower(platform, told)
     following.step()
@@ -67,7 +67,7 @@
     put(platform, "t/a")
     following.step()
     assert isinstance(told[1], contract.Unavailable)
-    assert told[2].present == (contract.Row("t/a", "1", 1),)
+    assert told[2].written_rows == (contract.Row("t/a", "1", 1),)
 
 
 def test_many_changes_are_taken_in_few_calls(monkeypatch):
@@ -78,7 +78,7 @@
     """
     monkeypatch.setattr(tablefollower, "WAIT_S", 0.0)
     clock = clocks.ManualClock()
-    platform = memory.MemoryPlatform(clock, counts_together=True)
+    platform = memory.MemoryPlatform(clock, shared_version_counter=True)
     told = []
     following = tablefollower.TableFollower(platform, "t", told.append, clock, random.Random(1))
     following.step()
@@ -137,9 +137,9 @@
     """
     monkeypatch.setattr(tablefollower, "WAIT_S", 0.0)
     clock = clocks.ManualClock()
-    platform = memory.MemoryPlatform(clock, counts_together=True)
+    platform = memory.MemoryPlatform(clock, shared_version_counter=True)
     put(platform, "t/a")
-    copy = platform.copy()
+    copy = platform.backup()
     put(platform, "t/lost")
     told = []
     following = tablefollower.TableFollower(platform, "t", told.append, clock, random.Random(1))
