--- a/hornbeamglade/placement/__init__.py
+++ b/hornbeamglade/placement/__init__.py
@@ -1,8 +1,8 @@
-"""Placement: the models, adapters and roles of a pool's engines, as the configuration wants."""
+"""Placement: loads onto a pool's engines the models, adapters and role that are configured."""
 
 from hornbeamglade.placement.engines import EngineClient, HttpEngineClient, StreamCount
 from hornbeamglade.placement.placementsettings import (
-    PaceSettings,
+    LoadRateSettings,
     PlacementSettings,
     PlacerSettings,
 )
@@ -21,7 +21,7 @@
     "EngineClient",
     "HttpEngineClient",
     "Order",
-    "PaceSettings",
+    "LoadRateSettings",
     "PlacementCondition",
     "PlacementSettings",
     "PlacementStatus",
--- a/hornbeamglade/placement/engines.py
+++ b/hornbeamglade/placement/engines.py
@@ -1,4 +1,4 @@
-"""How the placer reaches engines."""
+"""The placer's client for engines."""
 
 import abc
 import collections.abc
@@ -13,8 +13,8 @@
 class StreamCount:
     """How many streams a replica has.
 
-    :param count: running and waiting.
-    :param observed_at: monotonic seconds at which that was true.
+    :param count: running and waiting streams.
+    :param observed_at: monotonic seconds at which the count was taken.
     """
 
     count: int
@@ -22,11 +22,11 @@
 
 
 class EngineClient(abc.ABC):
-    """Calls to the engines of one pool, each bounded in time."""
+    """Calls to the engines of one pool, each with a timeout."""
 
     @abc.abstractmethod
     def read(self, replica: models.Replica) -> orders.OrderOutcome:
-        """Read what is present."""
+        """Read the state that is loaded."""
 
     @abc.abstractmethod
     def order(
@@ -36,17 +36,24 @@
         wanted: orders.EngineState,
         may_send: collections.abc.Callable[[], bool],
     ) -> orders.OrderOutcome:
-        """Order what is wanted; ``may_send`` is asked right before the first byte."""
+        """Order an engine to load the wanted state.
+
+        :param replica: the engine.
+        :param fencing: the fencing number of the lease.
+        :param wanted: the complete state that the engine is to have.
+        :param may_send: called right before the first byte; False cancels the order.
+        """
 
     @abc.abstractmethod
-    def streams(self, replica: models.Replica) -> StreamCount | None:
-        """Read the number of streams, or None when there is no report."""
+    def stream_count(self, replica: models.Replica) -> StreamCount | None:
+        """Read the number of streams, or return None when there is no report."""
 
 
 class HttpEngineClient(EngineClient):
-    """Engines reached by the protocol of ``docs/PROTOCOLS.md``.
+    """Calls engines by the HTTP protocol of ``docs/PROTOCOLS.md``.
 
     :param clock: monotonic time.
+    :param timeouts: of orders and reads; None uses the defaults.
     """
 
     def __init__(self, clock: clocks.Clock, timeouts: orders.OrderTimeouts | None = None) -> None:
@@ -54,7 +61,7 @@
         self._timeouts = timeouts or orders.OrderTimeouts()
 
     def read(self, replica: models.Replica) -> orders.OrderOutcome:
-        """Read what is present."""
+        """Read the state that is loaded."""
         return self._client(replica).read()
 
     def order(
@@ -64,11 +71,11 @@
         wanted: orders.EngineState,
         may_send: collections.abc.Callable[[], bool],
     ) -> orders.OrderOutcome:
-        """Order what is wanted."""
+        """Order an engine to load the wanted state."""
         return self._client(replica).send(fencing, wanted, may_send)
 
-    def streams(self, replica: models.Replica) -> StreamCount | None:
-        """Read the load report; its age is taken off, and so is the time it took."""
+    def stream_count(self, replica: models.Replica) -> StreamCount | None:
+        """Read the load report, dated back by its age and by the duration of the call."""
         asked_at = self._clock.now()
         reader = loadreports.ReportReader(replica.address, self._timeouts.response_s, self._clock)
         try:
--- a/hornbeamglade/placement/placementstatus.py
+++ b/hornbeamglade/placement/placementstatus.py
@@ -1,4 +1,4 @@
-"""Says of each backend server what is wanted, present, and why they differ."""
+"""Derives the placement status of one backend server."""
 
 from hornbeamglade.backends import orders
 from hornbeamglade.placement import placementvalues, replicaprogress
@@ -20,40 +20,42 @@
 
 def status(
     progress: replicaprogress.ReplicaProgress,
-    goal: orders.EngineState,
+    desired: orders.EngineState,
     reason: placementvalues.Reason,
-    barrier: placementvalues.Reason | None,
+    blocked_by: placementvalues.Reason | None,
 ) -> placementvalues.PlacementStatus:
-    """Return how one replica stands.
+    """Return the wanted and the loaded state of a replica, and why they differ.
 
-    :param reason: what the last planning found.
-    :param barrier: why no order may be given to any replica, or None.
+    :param progress: the replica.
+    :param desired: the state that it is to reach.
+    :param reason: the result of the last planning round.
+    :param blocked_by: why no order may be sent to any replica of the pool, or None.
     """
-    found = _reason(progress, goal, reason, barrier)
+    found = _reason(progress, desired, reason, blocked_by)
     condition = _CONDITION_BY_REASON.get(found, _Condition.WAITING_FOR_PACE)
-    if found is barrier:
+    if found is blocked_by:
         condition = _Condition.NO_LEASE
     return placementvalues.PlacementStatus(
         replica=progress.name,
-        wanted=goal,
+        wanted=desired,
         present=progress.present,
         condition=condition,
         reason=found,
-        closed=barrier is None and progress.closed_at is not None,
+        closed=blocked_by is None and progress.closed_at is not None,
         failures=progress.failures + progress.read_failures,
     )
 
 
 def _reason(
     progress: replicaprogress.ReplicaProgress,
-    goal: orders.EngineState,
+    desired: orders.EngineState,
     reason: placementvalues.Reason,
-    barrier: placementvalues.Reason | None,
+    blocked_by: placementvalues.Reason | None,
 ) -> placementvalues.Reason:
     if progress.unreachable:
         return _Reason.NO_ANSWER
     if progress.present is None:
         return _Reason.NOT_READ_YET
-    if barrier is None:
+    if blocked_by is None:
         return reason
-    return _Reason.AS_WANTED if progress.is_in_sync(goal) else barrier
+    return _Reason.AS_WANTED if progress.is_in_sync(desired) else blocked_by
--- a/hornbeamglade/placement/placementvalues.py
+++ b/hornbeamglade/placement/placementvalues.py
@@ -1,4 +1,4 @@
-"""Values of the placement: what is wanted of a pool, orders, and how replicas stand."""
+"""Values of the placement: a pool's desired state, orders, and the status of replicas."""
 
 import collections.abc
 import dataclasses
@@ -10,10 +10,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DesiredState:
-    """What one revision of the configuration wants of a pool.
+    """The desired state of a pool in one revision of the configuration.
 
-    :param revision: the configuration's revision; a larger one replaces the goal.
-    :param wanted: what every engine is to have.
+    :param revision: the configuration's revision; a larger one replaces this one.
+    :param wanted: the state that every engine is to have.
     :param replica_by_name: the pool's engines.
     """
 
@@ -24,8 +24,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One order that is to be sent now.
+    """An order that is due.
 
+    :param replica: the replica's name.
+    :param wanted: the complete state that the engine is to have.
     :param checks_fencing: whether the engine refuses old fencing numbers.
     """
 
@@ -35,7 +37,7 @@
 
 
 class PlacementCondition(enum.Enum):
-    """How a replica stands to what is wanted of it."""
+    """How far a replica is from its wanted state."""
 
     IN_SYNC = "in_sync"
     ORDERED = "ordered"
@@ -47,7 +49,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a replica is not as wanted, for operators and their scripts."""
+    """Why a replica is not in its wanted state, for operators and their scripts."""
 
     AS_WANTED = "as_wanted"
     LOADING = "loading"
@@ -72,11 +74,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementStatus:
-    """One backend server: what is wanted, what is present, and why they differ.
-
-    :param present: what was read last, or None when nothing was.
-    :param closed: it gets no new work until it has changed.
-    :param failures: attempts that failed one after another.
+    """The wanted and the loaded state of one backend server, and why they differ.
+
+    :param replica: the replica's name.
+    :param wanted: the state that it is to have.
+    :param present: the state that was read last, or None when none was read.
+    :param condition: how far it is from the wanted state.
+    :param reason: why it is not there yet.
+    :param closed: whether it gets no new requests until it has changed.
+    :param failures: consecutive failed attempts.
     """
 
     replica: str
--- a/hornbeamglade/placement/replicaprogress.py
+++ b/hornbeamglade/placement/replicaprogress.py
@@ -1,4 +1,4 @@
-"""How far one replica has come on its way to what is wanted."""
+"""The progress of one replica towards its desired state."""
 
 import dataclasses
 
@@ -10,22 +10,23 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sent:
+class SentOrder:
     """An order that was sent.
 
-    :param fencing: the number that it bore.
+    :param wanted: the state that was ordered.
+    :param fencing: its fencing number.
     :param at: when it was sent, in monotonic seconds.
-    :param loads: whether the engine has something to load.
+    :param needs_load: whether the engine has something to load.
     """
 
     wanted: orders.EngineState
     fencing: int
     at: float
-    loads: bool = False
+    needs_load: bool = False
 
 
 class ReplicaProgress:
-    """What the holder of the pool's lease knows and has done of one replica.
+    """What the lease holder knows of one replica, and which orders it sent to it.
 
     :param name: the replica's name.
     :param replica: from the configuration.
@@ -40,132 +41,144 @@
         self.closed_at: float | None = None
         self.idle_at = float("-inf")
         self._is_known_idle = False
-        self.sent: Sent | None = None
+        self.pending_order: SentOrder | None = None
         self.confirmed_fencing = 0
         self.failures = 0
         self.read_failures = 0
         self.retry_at = float("-inf")
         self.read_retry_at = float("-inf")
         self.refusal: placementvalues.Reason | None = None
-        self._before: Sent | None = None
-        self._adrift: tuple[Sent, ...] = ()
+        self._previous_order: SentOrder | None = None
+        self._lost_orders: tuple[SentOrder, ...] = ()
 
-    def serves(self, goal: orders.EngineState) -> bool:
-        """Tell whether it takes new work, as far as is known.
+    def serves(self, desired: orders.EngineState) -> bool:
+        """Return whether the replica serves new requests, as far as is known.
 
-        An engine with a part of the goal may be loading the rest by a former holder's
-        order, of which this one knows nothing; it does not count.
+        An engine that has only a part of the desired models may be loading the others
+        by an order of a former holder that this one does not know of; it does not count
+        as serving.
         """
         if self.present is None or self.unreachable or self.closed_at is not None:
             return False
-        return bool(self.present.models) and not self.present.loaded < goal.loaded
+        return bool(self.present.models) and not self.present.loaded < desired.loaded
 
     @property
     def is_draining(self) -> bool:
-        """Whether it is closed and its order is still to come."""
-        return self.closed_at is not None and self.sent is None
+        """Whether the replica is closed and its order has not been sent."""
+        return self.closed_at is not None and self.pending_order is None
 
-    def forget(self) -> None:
-        """Forget what was read and done, but not which orders may yet arrive."""
+    def reset(self) -> None:
+        """Discard what was read and ordered, but keep the lost orders that may arrive."""
         self.present = None
         self.closed_at = None
-        self.sent = None
+        self.pending_order = None
         self.retry_at = float("-inf")
 
     def reopen(self) -> None:
-        """Let it take new work again."""
+        """Open the replica to new requests."""
         self.closed_at = None
         self.idle_at = float("-inf")
 
     def close(self, now: float) -> None:
-        """Let it get no new work."""
+        """Close the replica to new requests."""
         self._is_known_idle = False
         self.closed_at = now
         self.idle_at = float("-inf")
 
-    def was_read(self, present: orders.EngineState, now: float) -> None:
-        """Take what was read back."""
+    def on_read(self, present: orders.EngineState, now: float) -> None:
+        """Record the state that was read."""
         self.present = present
         self.read_at = now
         self.unreachable = False
         self.read_failures = 0
 
-    def had_load(self, streams: int, observed_at: float, spread_s: float) -> None:
-        """Take a load report.
+    def on_load_report(self, streams: int, observed_at: float, propagation_s: float) -> None:
+        """Record a load report.
 
-        Guard: a report from before every node had heard of the closing shows no
-        streams although one is about to begin; its caller would see a broken
-        answer when the model is unloaded. Only later reports count.
+        Until every node knows that the replica is closed, a report may show no streams
+        although one is about to begin, and unloading its model would break off the
+        response. So only later reports count.
 
-        :param streams: running and waiting.
-        :param observed_at: when the state was true, not when it came.
+        :param streams: running and waiting streams.
+        :param observed_at: when the count was taken, not when the report arrived.
+        :param propagation_s: seconds until every node knows that the replica is closed.
         """
-        if self.closed_at is None or observed_at < self.closed_at + spread_s:
+        if self.closed_at is None or observed_at < self.closed_at + propagation_s:
             return
         self.idle_at = observed_at if streams == 0 else float("-inf")
 
     def became_idle(self) -> bool:
-        """Tell, once for each closing, that its streams have ended."""
+        """Return True in the first call since the replica was closed, else False."""
         known, self._is_known_idle = self._is_known_idle, True
         return not known
 
-    def begin(self, sent: Sent) -> None:
-        """Note an order before it is sent: from now on it may take effect."""
-        self._before = self.sent
-        if self.sent is None or self.sent.wanted != sent.wanted:
-            self.sent = sent
+    def begin_order(self, order: SentOrder) -> None:
+        """Record an order before it is sent: from now on it may take effect."""
+        self._previous_order = self.pending_order
+        if self.pending_order is None or self.pending_order.wanted != order.wanted:
+            self.pending_order = order
 
-    def took_no_effect(self) -> None:
-        """Note that the order just begun was not sent, or was refused."""
-        self.sent = self._before
+    def revert_order(self) -> None:
+        """Restore the previous order: the last one was not sent, or was refused."""
+        self.pending_order = self._previous_order
 
-    def accepted(self, fencing: int, present: orders.EngineState, now: float) -> None:
-        """Note that the engine took an order."""
+    def on_accepted(self, fencing: int, present: orders.EngineState, now: float) -> None:
+        """Record that the engine accepted an order."""
         self.confirmed_fencing = max(fencing, self.confirmed_fencing)
-        self._adrift = tuple(each for each in self._adrift if not self._is_barred(each))
+        self._lost_orders = tuple(
+            order for order in self._lost_orders if not self._is_fenced_off(order)
+        )
         self.failures = 0
         self.refusal = None
-        self.was_read(present, now)
+        self.on_read(present, now)
 
-    def lost(self, sent: Sent) -> None:
-        """Note that an order may take effect at any time from now on."""
-        self._adrift = (*self._adrift, sent)
+    def on_lost(self, order: SentOrder) -> None:
+        """Record that an order's response was lost: it may take effect at any time."""
+        self._lost_orders = (*self._lost_orders, order)
 
-    def settle(self, now: float, flight_s: float) -> None:
-        """Drop lost orders that cannot arrive any more.
+    def expire_lost_orders(self, now: float, flight_s: float) -> None:
+        """Discard lost orders that cannot arrive any more.
 
-        An engine that checks numbers never is rid of them by time; one that does not
-        is rid of them after the longest flight, and must then be read again.
+        At an engine that checks fencing numbers, a lost order never expires by time. At
+        one that does not, it expires after ``flight_s``, and the engine must then be
+        read again.
+
+        :param now: monotonic seconds.
+        :param flight_s: the longest time that an order takes to arrive.
         """
         if self.replica.checks_fencing:
             return
-        left = tuple(each for each in self._adrift if now < each.at + flight_s)
-        if len(left) < len(self._adrift):
+        remaining = tuple(order for order in self._lost_orders if now < order.at + flight_s)
+        if len(remaining) < len(self._lost_orders):
             self.present = None
-        self._adrift = left
-
-    def adrift(self, goal: orders.EngineState) -> tuple[Sent, ...]:
-        """Return the lost orders of something else than ``goal``."""
-        return tuple(each for each in self._adrift if each.wanted != goal)
-
-    def is_in_sync(self, goal: orders.EngineState) -> bool:
-        """Tell whether ``goal`` is present and nothing that was sent can change that."""
-        other_sent = self.sent is not None and self.sent.wanted != goal
-        return self.present == goal and not other_sent and not self.adrift(goal)
-
-    def missing(self, goal: orders.EngineState) -> frozenset[str]:
-        """Return what the engine will load, unless an equal order was sent before."""
-        if self.sent is not None and self.sent.wanted == goal:
+        self._lost_orders = remaining
+
+    def conflicting_lost_orders(self, desired: orders.EngineState) -> tuple[SentOrder, ...]:
+        """Return the lost orders whose wanted state is not ``desired``."""
+        return tuple(order for order in self._lost_orders if order.wanted != desired)
+
+    def is_in_sync(self, desired: orders.EngineState) -> bool:
+        """Return whether ``desired`` is loaded and no order that was sent can change that."""
+        other_pending = self.pending_order is not None and self.pending_order.wanted != desired
+        return (
+            self.present == desired
+            and not other_pending
+            and not self.conflicting_lost_orders(desired)
+        )
+
+    def missing(self, desired: orders.EngineState) -> frozenset[str]:
+        """Return what the engine has to load; nothing when an equal order is pending."""
+        if self.pending_order is not None and self.pending_order.wanted == desired:
             return frozenset()
-        return goal.loaded - (self.present or _NOTHING).loaded
-
-    def would_disrupt(self, goal: orders.EngineState) -> bool:
-        """Tell whether the order may end streams: it unloads something or changes the role."""
-        possible = [self.present or _NOTHING, *(each.wanted for each in self._adrift)]
-        if self.sent is not None:
-            possible.append(self.sent.wanted)
-        unloads = any(each.loaded - goal.loaded for each in possible)
-        return unloads or any(each.role not in ("", goal.role) for each in possible)
-
-    def _is_barred(self, sent: Sent) -> bool:
-        return self.replica.checks_fencing and sent.fencing < self.confirmed_fencing
+        return desired.loaded - (self.present or _NOTHING).loaded
+
+    def would_disrupt(self, desired: orders.EngineState) -> bool:
+        """Return whether the order may end streams: it unloads models or changes the role."""
+        possible = [self.present or _NOTHING, *(order.wanted for order in self._lost_orders)]
+        if self.pending_order is not None:
+            possible.append(self.pending_order.wanted)
+        unloads = any(state.loaded - desired.loaded for state in possible)
+        return unloads or any(state.role not in ("", desired.role) for state in possible)
+
+    def _is_fenced_off(self, order: SentOrder) -> bool:
+        return self.replica.checks_fencing and order.fencing < self.confirmed_fencing
--- a/hornbeamglade/placement/virtualengines.py
+++ b/hornbeamglade/placement/virtualengines.py
@@ -1,10 +1,11 @@
-"""Engines in virtual time, for the measured rollout and for tests of failures.
+"""Simulated engines in virtual time, for rollout measurements and failure tests.
 
 Explanation
 ===========
 
-An engine unloads at once, ends the streams that it cannot go on with, and loads
-for ``load_s``. Orders to it may be lost, late or unanswered (:class:`Fault`).
+An engine that gets an order unloads immediately, which ends its streams, and loads
+for ``load_s``. Orders may be lost, arrive late or get no response
+(:class:`Fault`).
 """
 
 import collections.abc
@@ -17,11 +18,11 @@
 from hornbeamglade.placement import engines
 
 LATE_S = 9.0
-"""An order that was under way for longer does not count as given in time."""
+"""An order that takes longer than this to arrive counts as late; in seconds."""
 
 
 class Fault(enum.Enum):
-    """What is wrong on the way to an engine, or with it."""
+    """A fault of an engine or of the network path to it."""
 
     NONE = "none"
     DOWN = "down"
@@ -33,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DelayedOrder:
-    """An order whose sender has given up waiting, and that may yet arrive."""
+    """An order that may still arrive after its sender timed out."""
 
     engine: "VirtualEngine"
     fencing: int
@@ -42,10 +43,10 @@
 
 
 class VirtualEngine:
-    """One engine.
+    """A simulated engine.
 
-    :param replica: its place in the configuration.
-    :param present: what it has at first.
+    :param replica: its entry in the configuration.
+    :param present: its initial state.
     :param load_s: seconds that a load takes.
     """
 
@@ -58,31 +59,37 @@
         self.streams = 0
         self.streams_cut = 0
         self.is_disrupted = False
-        self.taken: list[orders.EngineState] = []
+        self.applied_states: list[orders.EngineState] = []
         self._target = present
         self._load_s = load_s
         self._ready_at = 0.0
         self._newest = 0
 
     def restart(self, present: orders.EngineState) -> None:
-        """Lose what was loaded; start with ``present``."""
+        """Lose what was loaded and start with ``present``."""
         self.present = self._target = present
 
-    def turn(self, now: float) -> None:
-        """Finish a load whose time has come."""
+    def advance(self, now: float) -> None:
+        """Finish a load that is complete by ``now``."""
         if now >= self._ready_at:
             self.present = self._target
             self.is_disrupted = False
 
-    def take(
+    def apply_order(
         self, fencing: int, wanted: orders.EngineState, now: float, is_late: bool = False
     ) -> orders.OrderOutcome:
-        """Take an order, or refuse it for its old number."""
-        self.turn(now)
+        """Apply an order, or refuse it when its fencing number is outdated.
+
+        :param fencing: its fencing number.
+        :param wanted: the complete state to load.
+        :param now: monotonic seconds.
+        :param is_late: whether it arrived late; streams that it ends are not counted.
+        """
+        self.advance(now)
         if self.replica.checks_fencing and fencing < self._newest:
             return orders.Outdated(self._newest)
         self._newest = max(self._newest, fencing)
-        self.taken.append(wanted)
+        self.applied_states.append(wanted)
         if wanted != self._target:
             self._ready_at = now + self._load_s
         if self.present.loaded - wanted.loaded:
@@ -92,14 +99,15 @@
         kept = self.present.models & wanted.models, self.present.adapters & wanted.adapters
         self.present = orders.EngineState(*kept, wanted.role)
         self._target = wanted
-        self.turn(now)
+        self.advance(now)
         return orders.Accepted(self.present)
 
 
 class VirtualEngineClient(engines.EngineClient):
-    """Reaches virtual engines.
+    """Calls simulated engines.
 
     :param clock: virtual time.
+    :param virtual: the engines.
     """
 
     def __init__(
@@ -109,17 +117,17 @@
         self._engine_by_address = {engine.replica.address: engine for engine in virtual}
         self.delayed: list[DelayedOrder] = []
         self.orders_sent = 0
-        #: Called before a read, before the right to send is asked for, and after it
-        #: was given.
+        #: Called before a read, before ``may_send`` is called, and after it returned
+        #: True.
         self.before_read: collections.abc.Callable[[], None] = lambda: None
-        self.before_check: collections.abc.Callable[[], None] = lambda: None
-        self.after_check: collections.abc.Callable[[VirtualEngine], None] = lambda _: None
+        self.before_permission: collections.abc.Callable[[], None] = lambda: None
+        self.after_permission: collections.abc.Callable[[VirtualEngine], None] = lambda _: None
 
     def read(self, replica: models.Replica) -> orders.OrderOutcome:
-        """Read what is present."""
+        """Read the state that is loaded."""
         self.before_read()
         engine = self._engine_by_address[replica.address]
-        engine.turn(self._clock.now())
+        engine.advance(self._clock.now())
         if engine.fault is Fault.DOWN:
             return orders.NotSent("down", True)
         return orders.Accepted(engine.present)
@@ -131,16 +139,16 @@
         wanted: orders.EngineState,
         may_send: collections.abc.Callable[[], bool],
     ) -> orders.OrderOutcome:
-        """Order what is wanted."""
+        """Order an engine to load the wanted state."""
         engine = self._engine_by_address[replica.address]
         if engine.fault is Fault.DOWN:
             return orders.NotSent("down", True)
-        self.before_check()
+        self.before_permission()
         if not may_send():
             return orders.NotSent("not allowed", False)
         self.orders_sent += 1
         sent_at = self._clock.now()
-        self.after_check(engine)
+        self.after_permission(engine)
         match engine.fault:
             case Fault.REFUSES:
                 return orders.Refused(400, "no such model")
@@ -150,10 +158,10 @@
                 self.delayed.append(DelayedOrder(engine, fencing, wanted, sent_at))
                 return orders.Lost("late")
         now = self._clock.now()
-        outcome = engine.take(fencing, wanted, now, now - sent_at > LATE_S)
+        outcome = engine.apply_order(fencing, wanted, now, now - sent_at > LATE_S)
         return orders.Lost("its answer") if engine.fault is Fault.LOSES_ANSWER else outcome
 
-    def streams(self, replica: models.Replica) -> engines.StreamCount | None:
+    def stream_count(self, replica: models.Replica) -> engines.StreamCount | None:
         """Read the number of streams."""
         engine = self._engine_by_address[replica.address]
         if engine.fault is Fault.DOWN:
@@ -161,8 +169,8 @@
         return engines.StreamCount(engine.streams, self._clock.now())
 
     def deliver(self, is_due: collections.abc.Callable[[DelayedOrder], bool]) -> None:
-        """Let delayed orders arrive."""
+        """Deliver the delayed orders for which ``is_due`` returns True."""
         due = [delayed for delayed in self.delayed if is_due(delayed)]
         self.delayed = [delayed for delayed in self.delayed if not is_due(delayed)]
         for delayed in due:
-            delayed.engine.take(delayed.fencing, delayed.wanted, self._clock.now(), True)
+            delayed.engine.apply_order(delayed.fencing, delayed.wanted, self._clock.now(), True)
--- a/tests/placement/fakes.py
+++ b/tests/placement/fakes.py
@@ -1,4 +1,4 @@
-"""Short names for what the tests of placement make."""
+"""Builders for engine states, engines and desired states in the tests of placement."""
 
 from hornbeamglade.backends import orders
 from hornbeamglade.configuration import models
@@ -18,6 +18,6 @@
     return virtualengines.VirtualEngine(replica, present, load_s)
 
 
-def goal(revision, wanted, engine_by_name):
+def desired_state(revision, wanted, engine_by_name):
     replica_by_name = {name: engine.replica for name, engine in engine_by_name.items()}
     return placementvalues.DesiredState(revision, wanted, replica_by_name)
--- a/tests/placement/test_engines.py
+++ b/tests/placement/test_engines.py
@@ -1,4 +1,4 @@
-"""A placer against stand-in engines over HTTP."""
+"""A placer with stand-in engines over HTTP."""
 
 import json
 import random
@@ -18,8 +18,8 @@
 
 WAIT_S = 20.0
 WANTED = orders.EngineState(frozenset({"draft@2"}), frozenset(), "mixed")
-PACE = placement.PaceSettings(loads_per_s=100.0)
-ROLLOUT = placement.PlacementSettings(pace=PACE, spread_s=0.05, back_off_s=0.01)
+LOAD_RATE = placement.LoadRateSettings(loads_per_s=100.0)
+ROLLOUT = placement.PlacementSettings(load_rate=LOAD_RATE, propagation_s=0.05, back_off_s=0.01)
 PLACER = placement.PlacerSettings(flight_s=0.1)
 
 
@@ -45,8 +45,8 @@
         )
         for number, server in enumerate(servers)
     }
-    goal = placementvalues.DesiredState(1, WANTED, replica_by_name)
-    decisions = placement.Rollout(goal, ROLLOUT, PLACER.flight_s, random.Random(1), clock.now())
+    desired = placementvalues.DesiredState(1, WANTED, replica_by_name)
+    decisions = placement.Rollout(desired, ROLLOUT, PLACER.flight_s, random.Random(1), clock.now())
     table = memory.MemoryPlatform(clock)
     lease = leases.LeaseHolder(table, clock, "pool", "n1", PLACER.term_s, PLACER.flight_s)
     engines = placement.HttpEngineClient(clock)
@@ -69,14 +69,14 @@
     return {status.condition for status in placer.statuses().values()}
 
 
-def test_engines_are_ordered_over_http(placer, servers):
+def test_orders_reach_the_engines_over_http(placer, servers):
     step_until(placer, lambda: conditions(placer) == {placement.PlacementCondition.IN_SYNC})
     for server in servers:
-        taken = ledger(urllib3.HTTPConnectionPool(server.address))["orders"]
-        assert {tuple(order["wanted"]["models"]) for order in taken} == {("draft@2",)}
+        received = ledger(urllib3.HTTPConnectionPool(server.address))["orders"]
+        assert {tuple(order["wanted"]["models"]) for order in received} == {("draft@2",)}
 
 
-def test_stream_keeps_its_model_until_it_has_ended(placer, servers):
+def test_model_is_not_unloaded_while_its_stream_runs(placer, servers):
     pool = urllib3.HTTPConnectionPool(servers[0].address, maxsize=2, timeout=WAIT_S)
     body = {"model": "draft", "stream": True, "prompt": "hi", "x_answer_tokens": 100_000}
     headers = {"X-Request-Id": "r1"}
@@ -95,20 +95,20 @@
     step_until(placer, lambda: conditions(placer) == {placement.PlacementCondition.IN_SYNC})
 
 
-def test_streams_are_as_old_as_the_report_says():
+def test_stream_count_is_dated_by_the_age_in_the_report():
     report = {"sequence": 1, "age_s": 3.0, "running": 2, "waiting": 1, "leaving": False}
     body = json.dumps(report).encode()
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
     with scripted.server(head + body) as address:
         replica = models.Replica(address=address, failure_domain="z1")
-        streams = placement.HttpEngineClient(clocks.ManualClock(100.0)).streams(replica)
+        streams = placement.HttpEngineClient(clocks.ManualClock(100.0)).stream_count(replica)
     assert streams == placement.StreamCount(3, 97.0)
 
 
-def test_unreachable_engine_has_no_streams_to_tell(servers):
+def test_unreachable_engine_has_no_stream_count(servers):
     address = servers[0].address
     servers[0].stop()
     replica = models.Replica(address=address, failure_domain="z1")
     engines = placement.HttpEngineClient(clocks.SystemClock())
-    assert engines.streams(replica) is None
+    assert engines.stream_count(replica) is None
     assert isinstance(engines.read(replica), orders.NotSent)
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -1,4 +1,4 @@
-"""Orders under the lease: pauses, lost answers, outages, and two nodes at once."""
+"""Orders under the lease: paused processes, lost responses, outages and two placers."""
 
 import random
 
@@ -17,13 +17,13 @@
 
 
 class Site:
-    """Two nodes and a pool of three engines, in virtual time."""
+    """Two nodes and a pool of simulated engines, in virtual time."""
 
     def __init__(self, checks=True, present=OLD, count=3):
         self.clock = clocks.ManualClock(1000.0)
         self.platform = memory.MemoryPlatform(self.clock)
         self.engines = {f"e{n}": fakes.engine(n, present, checks) for n in range(count)}
-        self.reach = virtualengines.VirtualEngineClient(self.clock, self.engines.values())
+        self.client = virtualengines.VirtualEngineClient(self.clock, self.engines.values())
         self.head = 1
         self.candidates = {"n1"}
         self.placers = {name: self.placer(name) for name in ("n1", "n2")}
@@ -32,14 +32,14 @@
         lease = leases.LeaseHolder(
             self.platform, self.clock, "pool", name, SETTINGS.term_s, SETTINGS.flight_s
         )
-        goal = fakes.goal(1, NEW, self.engines)
+        desired = fakes.desired_state(1, NEW, self.engines)
         decisions = placement.Rollout(
-            goal, placement.PlacementSettings(), SETTINGS.flight_s, random.Random(1), 1000.0
+            desired, placement.PlacementSettings(), SETTINGS.flight_s, random.Random(1), 1000.0
         )
         return placement.Placer(
             lease,
             decisions,
-            self.reach,
+            self.client,
             lambda: name in self.candidates,
             lambda: None if self.platform.faults.down else self.head,
             SETTINGS,
@@ -49,7 +49,7 @@
     def set_desired(self, revision, wanted, names=("n1", "n2")):
         self.head = revision
         for name in names:
-            self.placers[name].set_desired(fakes.goal(revision, wanted, self.engines))
+            self.placers[name].set_desired(fakes.desired_state(revision, wanted, self.engines))
 
     def break_engines(self, fault):
         for engine in self.engines.values():
@@ -66,7 +66,7 @@
             if is_reached():
                 return
             self.steps(1, *names)
-        raise AssertionError("not reached")
+        raise AssertionError("condition not reached within 300 steps")
 
     def present(self):
         return [engine.present for engine in self.engines.values()]
@@ -80,7 +80,7 @@
     return Site()
 
 
-def test_engines_come_to_what_is_wanted_one_after_another(site):
+def test_engines_reach_the_desired_state_one_after_another(site):
     fewest = 3
     while site.present() != [NEW] * 3:
         site.steps(1)
@@ -91,12 +91,12 @@
     assert site.reasons() == {placement.Reason.AS_WANTED}
 
 
-def test_nothing_is_written_at_rest(site):
+def test_nothing_is_written_while_there_is_no_work(site):
     site.steps(120)
     before = site.platform.transaction_count
-    ordered = site.reach.orders_sent
+    ordered = site.client.orders_sent
     site.steps(600)
-    assert (site.platform.transaction_count, site.reach.orders_sent) == (before, ordered)
+    assert (site.platform.transaction_count, site.client.orders_sent) == (before, ordered)
     assert before <= 120 / SETTINGS.renew_s
 
 
@@ -108,59 +108,59 @@
 
 
 @pytest.mark.parametrize("checks", [True, False])
-@pytest.mark.parametrize("paused", ["before_read", "before_check"])
+@pytest.mark.parametrize("paused", ["before_read", "before_permission"])
 def test_holder_paused_past_its_lease_sends_nothing(checks, paused):
-    """A node stands still for a minute between its decision and its send.
+    """A process is paused between planning an order and sending it.
 
-    Meanwhile another node has the lease and a newer change is in force. The old
-    order would bring the old models back.
+    Meanwhile another node holds the lease and a newer revision is active. The late
+    order would load the older models again.
     """
     site = Site(checks)
     site.engines["e0"].streams = 1
     site.steps(20, "n1")
     site.engines["e0"].streams = 0
-    setattr(site.reach, paused, lambda: _pause_and_let_others_go_on(site))
+    setattr(site.client, paused, lambda: _pause_while_other_node_runs(site))
     site.steps_until(lambda: site.head == 2, "n1")
     assert site.present() == [NEWER] * 3
-    assert all(NEW not in engine.taken for engine in site.engines.values())
+    assert all(NEW not in engine.applied_states for engine in site.engines.values())
 
 
-def _pause_and_let_others_go_on(site):
-    site.reach.before_read = site.reach.before_check = lambda: None
+def _pause_while_other_node_runs(site):
+    site.client.before_read = site.client.before_permission = lambda: None
     site.candidates = {"n1", "n2"}
     site.set_desired(2, NEWER, ["n2"])
     site.steps_until(lambda: site.present() == [NEWER] * 3, "n2")
 
 
-def test_order_paused_on_its_way_is_refused_and_its_sender_stops():
-    """The pause comes after the last look at the clock: the order is on its way.
+def test_order_delayed_in_flight_is_refused_and_its_sender_stops():
+    """The pause comes after the last check of the lease, so the order is sent.
 
-    The engine has seen the next holder's number by then, and refuses the old one.
+    By then the engine has seen the next holder's fencing number and refuses the order.
     """
     site = Site(present=fakes.state())
-    site.reach.after_check = lambda engine: _others_take_over(site)
+    site.client.after_permission = lambda engine: _pause_once_while_other_node_runs(site)
     site.steps_until(lambda: site.head == 2, "n1")
     assert site.present() == [NEWER] * 3
     assert site.reasons() == {placement.Reason.NEWER_FENCING_SEEN}
-    ordered = site.reach.orders_sent
+    ordered = site.client.orders_sent
     site.steps(9, "n1")
-    assert site.reach.orders_sent == ordered
+    assert site.client.orders_sent == ordered
 
 
-def _others_take_over(site):
-    site.reach.after_check = lambda engine: None
-    _pause_and_let_others_go_on(site)
+def _pause_once_while_other_node_runs(site):
+    site.client.after_permission = lambda engine: None
+    _pause_while_other_node_runs(site)
 
 
-def test_new_holder_waits_for_orders_under_way_to_engines_that_do_not_check():
+def test_new_holder_waits_for_orders_in_flight_to_engines_without_fencing_checks():
     site = Site(checks=False, present=fakes.state())
     site.steps_until(lambda: site.reasons() == {placement.Reason.OLD_ORDERS_UNDER_WAY}, "n1")
     held_at = site.clock.now()
-    site.steps_until(lambda: site.reach.orders_sent > 0, "n1")
+    site.steps_until(lambda: site.client.orders_sent > 0, "n1")
     assert site.clock.now() - held_at >= SETTINGS.flight_s
 
 
-def test_order_whose_answer_was_lost_is_settled_by_reading_back(site):
+def test_order_whose_response_was_lost_is_resolved_by_reading_the_engine(site):
     site.break_engines(fakes.Fault.LOSES_ANSWER)
     site.steps(90)
     assert site.present() == [NEW] * 3
@@ -168,64 +168,68 @@
 
 @pytest.mark.parametrize("is_repeated", [False, True])
 def test_lost_order_never_overtakes_a_newer_one(is_repeated):
-    """A change is lost on its way, the next is in force, and minutes later it reverts.
+    """An order is lost, the next one is accepted, and then the lost one arrives.
 
-    The late order bears the same number as the newer one, so the engine takes it.
+    It has the same fencing number as the newer one, so the engine would accept it and go
+    back to the older models.
     """
     site = Site(present=fakes.state())
     site.break_engines(fakes.Fault.DELAYS_ORDER)
-    site.steps_until(lambda: site.reach.delayed, "n1")
+    site.steps_until(lambda: site.client.delayed, "n1")
     site.break_engines(fakes.Fault.NONE)
     site.steps(20 if is_repeated else 0, "n1")
     site.set_desired(2, NEWER)
     site.steps_until(lambda: site.present() == [NEWER] * 3, "n1")
-    site.reach.deliver(lambda _: True)
+    site.client.deliver(lambda _: True)
     assert site.present() == [NEWER] * 3
 
 
 @pytest.mark.parametrize("was_candidate", [False, True])
-def test_late_order_of_a_dead_holder_is_refused_by_an_engine_found_as_wanted(was_candidate):
-    """A holder dies with an order on its way; the engine is as the next one wants it.
+def test_late_order_of_a_dead_holder_is_refused_by_an_engine_in_sync(was_candidate):
+    """A holder dies with an order in flight, and the engine is in the next desired state.
 
-    Had the next holder given no order, the engine would take the late one.
+    Without an order of the next holder, the engine would accept the late one.
     """
     site = Site(present=fakes.state())
     site.candidates = {"n2"} if was_candidate else set()
     site.steps(90, "n2")
     site.candidates = {"n1"}
     site.break_engines(fakes.Fault.DELAYS_ORDER)
-    site.steps_until(lambda: site.reach.delayed, "n2", "n1")
+    site.steps_until(lambda: site.client.delayed, "n2", "n1")
     for engine in site.engines.values():
         engine.restart(NEWER)
         engine.fault = fakes.Fault.NONE
     site.candidates = {"n2"}
     site.set_desired(2, NEWER, ["n2"])
     site.steps(90, "n2")
-    site.reach.deliver(lambda _: True)
+    site.client.deliver(lambda _: True)
     assert site.present() == [NEWER] * 3
 
 
 def test_outage_of_the_store_stops_orders_and_closes_nothing(site):
-    """The store is down for an hour in the middle of a rollout.
+    """The store is down during a rollout, so the lease expires.
 
-    The lease lapses; a replica that stayed closed would stand idle all the while.
+    A replica that stayed closed would be idle for the whole outage.
     """
     site.engines["e0"].streams = 1
     site.steps_until(lambda: site.placers["n1"].closed(), "n1")
     site.platform.set_faults(memory.Faults(down=True))
     site.steps(40, "n1")
-    ordered = site.reach.orders_sent
+    ordered = site.client.orders_sent
     assert site.reasons() == {placement.Reason.TABLE_UNAVAILABLE}
     assert not site.placers["n1"].closed()
     site.engines["e0"].streams = 0
     site.steps(600, "n1")
-    assert site.reach.orders_sent == ordered
+    assert site.client.orders_sent == ordered
     site.platform.set_faults(memory.Faults())
     site.steps_until(lambda: site.present() == [NEW] * 3, "n1")
 
 
-def test_replica_open_during_an_outage_is_drained_anew(site):
-    """A stream begins while the outage has the replica open; its model is unloaded."""
+def test_replica_reopened_by_an_outage_is_drained_again(site):
+    """A replica is open during an outage, so a stream may have begun there.
+
+    Without another drain, the stream's model would be unloaded.
+    """
     site.engines["e0"].streams = 1
     site.steps_until(lambda: site.placers["n1"].closed(), "n1")
     site.platform.set_faults(memory.Faults(down=True))
@@ -233,15 +237,15 @@
     site.engines["e0"].streams = 0
     site.platform.set_faults(memory.Faults())
     site.steps(1, "n1")
-    heard_s = placement.PlacementSettings().spread_s
-    site.steps(int(heard_s) - 1, "n1")
-    assert site.reach.orders_sent == 0
+    propagation_s = placement.PlacementSettings().propagation_s
+    site.steps(int(propagation_s) - 1, "n1")
+    assert site.client.orders_sent == 0
 
 
-def test_node_behind_the_newest_configuration_gives_no_orders(site):
-    """The node that takes the lease has not heard of the newest change.
+def test_node_behind_the_newest_revision_sends_no_orders(site):
+    """The node that acquires the lease does not have the newest revision yet.
 
-    It would order the models of the change before, under the larger number.
+    It would order the models of an older revision with the larger fencing number.
     """
     site.head = 2
     site.steps(60, "n1")
@@ -252,7 +256,7 @@
     assert site.present() == [NEWER] * 3
 
 
-def test_node_that_held_the_lease_before_looks_at_the_newest_configuration_again(site):
+def test_node_that_held_the_lease_before_reads_the_newest_revision_again(site):
     site.steps(90)
     site.candidates = {"n2"}
     site.set_desired(2, NEWER, ["n2"])
@@ -266,22 +270,22 @@
     site = Site(present=NEW)
     site.head = None
     site.steps(60)
-    assert site.reach.orders_sent == 0
+    assert site.client.orders_sent == 0
     site.head = 1
     site.steps(1)
-    assert site.reach.orders_sent == 3
+    assert site.client.orders_sent == 3
 
 
-def test_first_refusal_for_a_newer_number_stops_the_other_orders(site):
+def test_first_refusal_for_an_outdated_fencing_number_stops_the_other_orders(site):
     site.steps(90)
-    site.engines["e0"].take(99, NEW, site.clock.now())
+    site.engines["e0"].apply_order(99, NEW, site.clock.now())
     site.candidates = {"n2"}
-    ordered = site.reach.orders_sent
-    site.steps_until(lambda: site.reach.orders_sent > ordered, "n2")
-    assert site.reach.orders_sent == ordered + 1
+    ordered = site.client.orders_sent
+    site.steps_until(lambda: site.client.orders_sent > ordered, "n2")
+    assert site.client.orders_sent == ordered + 1
 
 
-def test_node_that_is_no_candidate_any_more_lets_another_go_on_at_once(site):
+def test_node_that_is_no_longer_candidate_releases_its_lease_at_once(site):
     site.steps_until(lambda: site.placers["n1"].closed(), "n1")
     site.candidates = {"n2"}
     site.steps(1)
@@ -291,7 +295,7 @@
 
 
 def test_half_the_pool_unreachable_leaves_the_rest_serving():
-    """Half the engines cannot be reached; the other half must not be changed too."""
+    """Half of the engines are unreachable, so the others must not be closed as well."""
     site = Site(count=6)
     for name in ("e0", "e2", "e4"):
         site.engines[name].fault = fakes.Fault.DOWN
@@ -303,8 +307,11 @@
     site.steps_until(lambda: site.present() == [NEW] * 6)
 
 
-def test_plan_that_is_old_when_it_is_sent_is_dropped(site):
-    """A short pause, within the lease: the closing has run out at the owner meanwhile."""
-    site.reach.before_check = lambda: site.clock.advance(SETTINGS.plan_life_s + 0.1)
+def test_orders_of_an_old_plan_are_not_sent(site):
+    """A process is paused for less than its lease after planning.
+
+    Meanwhile the replica's owner may have reopened it, and new streams may run there.
+    """
+    site.client.before_permission = lambda: site.clock.advance(SETTINGS.plan_max_age_s + 0.1)
     site.steps(60, "n1")
-    assert site.reach.orders_sent == 0
+    assert site.client.orders_sent == 0
--- a/tests/placement/test_placer_machine.py
+++ b/tests/placement/test_placer_machine.py
@@ -1,7 +1,9 @@
-"""Two placers, whatever fails: nothing goes back, the floor holds, the newest wins.
+"""Property test of two placers under faults.
 
-While an order is under way a script may pause its sender and let the other node
-go on. Owners keep a closing for ``KEPT_S`` and hear of it after ``HEARD_S``.
+No engine returns to an older revision, no stream is cut, the floor is kept, and the
+newest revision is loaded in the end. While an order is sent, a script may pause its
+sender and run the other node. Owners learn that a replica is closed after ``HEARD_S``
+and keep it closed for ``KEPT_S``.
 """
 
 import random
@@ -26,7 +28,7 @@
 EVENTS = ["nothing", "pause", "long_pause", "other", "other_long", "configure"]
 SETTINGS = placement.PlacerSettings()
 ROLLOUT = placement.PlacementSettings(
-    pace=placement.PaceSettings(loads_per_s=1.0), load_timeout_s=60.0, max_back_off_s=10.0
+    load_rate=placement.LoadRateSettings(loads_per_s=1.0), load_timeout_s=60.0, max_back_off_s=10.0
 )
 
 
@@ -40,15 +42,15 @@
             name: fakes.engine(number, first, name != UNCHECKED, 7.0)
             for number, name in enumerate(ENGINES)
         }
-        self.reach = virtualengines.VirtualEngineClient(self.clock, self.engines.values())
-        self.reach.before_read = lambda: self.interrupt(None)
-        self.reach.before_check = lambda: self.interrupt(None)
-        self.reach.after_check = self.interrupt
-        self.head = fakes.goal(0, first, self.engines)
+        self.client = virtualengines.VirtualEngineClient(self.clock, self.engines.values())
+        self.client.before_read = lambda: self.interrupt(None)
+        self.client.before_permission = lambda: self.interrupt(None)
+        self.client.after_permission = self.interrupt
+        self.head = fakes.desired_state(0, first, self.engines)
         self.candidates = {"n1"}
         self.script = []
         self.busy = set()
-        self.told_by_engine = {}
+        self.closing_by_engine = {}
         self.starts = 0
         self.placer_by_node = {node: self.placer(node) for node in NODES}
 
@@ -65,7 +67,7 @@
         return placement.Placer(
             lease,
             decisions,
-            self.reach,
+            self.client,
             lambda: node in self.candidates,
             lambda: None if self.platform.faults.down else self.head.revision,
             SETTINGS,
@@ -75,18 +77,18 @@
     def advance(self, seconds):
         self.clock.advance(seconds)
         now = self.clock.now()
-        self.reach.deliver(
+        self.client.deliver(
             lambda delayed: (
                 not delayed.engine.replica.checks_fencing
                 and now >= delayed.sent_at + virtualengines.LATE_S
             )
         )
         for engine in self.engines.values():
-            engine.turn(now)
+            engine.advance(now)
 
     def interrupt(self, engine):
         event = self.script.pop() if self.script else "nothing"
-        # An order's flight to an engine that does not check is bounded.
+        # An order to an engine without fencing checks arrives within a bounded time.
         is_bounded = engine is not None and not engine.replica.checks_fencing
         if event in ("pause", "long_pause") or is_bounded:
             self.advance(40.0 if event == "long_pause" and not is_bounded else 3.0)
@@ -106,21 +108,21 @@
             self.advance(1.0)
             placer = self.placer_by_node[node]
             placer.step()
-            self.tell(placer.closed())
+            self.announce_closed(placer.closed())
             self.check()
         self.busy.discard(node)
 
-    def tell(self, closed):
+    def announce_closed(self, closed):
         now = self.clock.now()
         for name in closed:
-            heard_at, until = self.told_by_engine.get(name, (0.0, 0.0))
+            heard_at, until = self.closing_by_engine.get(name, (0.0, 0.0))
             heard_at = heard_at if now < until else now + HEARD_S
-            self.told_by_engine[name] = (heard_at, now + KEPT_S)
+            self.closing_by_engine[name] = (heard_at, now + KEPT_S)
 
     @stateful.invariant()
     def check(self):
         for name, engine in self.engines.items():
-            revisions = [int(min(taken.adapters)) for taken in engine.taken]
+            revisions = [int(min(state.adapters)) for state in engine.applied_states]
             assert revisions == sorted(revisions), name
             assert engine.streams_cut == 0, name
         assert sum(engine.is_disrupted for engine in self.engines.values()) <= 1
@@ -130,7 +132,7 @@
         count=st.sampled_from([1, 5, 20, 60]),
         script=st.lists(st.sampled_from(EVENTS), max_size=6),
     )
-    def go_on(self, node, count, script):
+    def run_with_script(self, node, count, script):
         self.script = script
         self.run(node, count)
         self.script = []
@@ -138,14 +140,16 @@
     @stateful.rule(models=st.sampled_from(range(len(MODELS))))
     def configure(self, models):
         revision = self.head.revision + 1
-        self.head = fakes.goal(revision, self.content(revision, MODELS[models]), self.engines)
+        self.head = fakes.desired_state(
+            revision, self.content(revision, MODELS[models]), self.engines
+        )
 
     @stateful.rule(node=st.sampled_from(NODES))
-    def follow(self, node):
+    def adopt_newest(self, node):
         self.placer_by_node[node].set_desired(self.head)
 
     @stateful.rule(candidates=st.sampled_from([{"n1"}, {"n2"}, {"n1", "n2"}, set()]))
-    def choose(self, candidates):
+    def choose_candidates(self, candidates):
         self.candidates = set(candidates)
 
     @stateful.rule(name=st.sampled_from(ENGINES), fault=st.sampled_from(fakes.Fault))
@@ -158,11 +162,11 @@
 
     @stateful.rule()
     def deliver_late(self):
-        self.reach.deliver(lambda _: True)
+        self.client.deliver(lambda _: True)
 
     @stateful.rule(name=st.sampled_from(ENGINES), streams=st.sampled_from([0, 1]))
-    def stream(self, name, streams):
-        heard_at, until = self.told_by_engine.get(name, (0.0, 0.0))
+    def change_streams(self, name, streams):
+        heard_at, until = self.closing_by_engine.get(name, (0.0, 0.0))
         if streams == 0 or not heard_at <= self.clock.now() < until:
             self.engines[name].streams = streams
 
@@ -171,15 +175,15 @@
         self.placer_by_node[node] = self.placer(node)
 
     def teardown(self):
-        """Once quiet, the newest configuration is in force."""
+        """Check that the newest revision is loaded everywhere once the faults end."""
         self.platform.set_faults(memory.Faults())
-        self.reach.deliver(lambda _: True)
+        self.client.deliver(lambda _: True)
         self.candidates = {"n1"}
         for engine in self.engines.values():
             engine.fault = fakes.Fault.NONE
             engine.streams = 0
         for node in NODES:
-            self.follow(node)
+            self.adopt_newest(node)
         self.run("n2", 1)
         self.run("n1", 240)
         assert all(engine.present == self.head.wanted for engine in self.engines.values())
@@ -190,4 +194,4 @@
 PlacementMachine.TestCase.settings = hypothesis.settings(
     derandomize=True, database=None, deadline=None, max_examples=120, stateful_step_count=20
 )
-test_placement_whatever_fails = PlacementMachine.TestCase
+test_placement_under_faults = PlacementMachine.TestCase
