--- a/hornbeamglade/capacity/measuringteams.py
+++ b/hornbeamglade/capacity/measuringteams.py
@@ -111,7 +111,7 @@
 
     def hand_over() -> None:
         for number in range(teams):
-            team_limits.place(samplesite.team_name(number), names)
+            team_limits.set_shard(samplesite.team_name(number), names)
 
     return gauges.cpu_us(hand_over)
 
@@ -132,5 +132,5 @@
     view = siteview.derive(samplesite.in_force(samplesite.Counts(teams=teams)))
     team_limits.configure(view.team_limits())
     for team in view.site.team_by_name:
-        team_limits.place(team, (own, samplesite.node_name(1), samplesite.node_name(2)))
+        team_limits.set_shard(team, (own, samplesite.node_name(1), samplesite.node_name(2)))
     return team_limits
--- a/hornbeamglade/entry/callershandler.py
+++ b/hornbeamglade/entry/callershandler.py
@@ -207,7 +207,7 @@
             gap_goal_s=routed.route.gap_goal_s,
             seconds=round(seconds, 4),
             limit_per_s=log.limit_per_s,
-            fingerprint=fingerprints.text(routed.fingerprint),
+            fingerprint=fingerprints.to_hex(routed.fingerprint),
             **more,
         )
 
--- a/hornbeamglade/entry/daemon.py
+++ b/hornbeamglade/entry/daemon.py
@@ -12,7 +12,7 @@
 from hornbeamglade.membership import draining, registry
 from hornbeamglade.observability import logs, metricsregistry
 from hornbeamglade.platform import storeclient, tables
-from hornbeamglade.quarantine import quarantinekeeper
+from hornbeamglade.quarantine import quarantinewriter
 from hornbeamglade.store import contract, countedstore, tablefollower
 
 STORE_TIMEOUT_S = 1.0
@@ -59,8 +59,8 @@
             self._clock,
             told.is_first_start,
         )
-        self.instance.quarantine.keep_in(
-            quarantinekeeper.QuarantineKeeper(self._store, self._clock).add
+        self.instance.quarantine.set_store_writer(
+            quarantinewriter.QuarantineWriter(self._store, self._clock).add
         )
         self._rng = random.Random(self.instance.incarnation)
         self.instance.count_connections(lambda: len(self._callers.connections))
--- a/hornbeamglade/entry/following.py
+++ b/hornbeamglade/entry/following.py
@@ -150,7 +150,7 @@
 
         :param source: where it comes from, for the log.
         """
-        changed = self._available.take_evacuations(state, self._clock.now())
+        changed = self._available.apply_evacuations(state, self._clock.now())
         for domain in sorted(changed):
             names = ("serving", "evacuated")
             before, after = names if domain in state.domains else reversed(names)
@@ -304,11 +304,11 @@
 
     def _report(self, changes: tuple[replicalist.ListChange, ...], source: str) -> None:
         for change in changes:
-            if change.what != "changed":
+            if change.kind != "changed":
                 logs.state_changed(
                     "replica",
-                    "listed" if change.what != "added" else "unknown",
-                    change.what,
+                    "listed" if change.kind != "added" else "unknown",
+                    change.kind,
                     replica=change.replica.id,
                     service=change.replica.service,
                     address=change.replica.address,
--- a/hornbeamglade/entry/gauges.py
+++ b/hornbeamglade/entry/gauges.py
@@ -44,7 +44,7 @@
         routed.is_store_reached.set(float(self.believed.is_reached()))
         routed.caller_connections.set(self.count_connections())
         routed.evacuated_domains.set(len(self.available.evacuations.domains))
-        routed.quarantined_requests.set(self.quarantine.held_count)
+        routed.quarantined_requests.set(self.quarantine.quarantined_count)
         self.instruments.streams_in_flight.set(self.count_grants(), ("all",))
         view = self.current.routes
         for name in () if view is None else view.configuration.service_by_name:
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -279,7 +279,7 @@
         """
         self._told = told
         self._budgets.configure(partsettings.budget(told))
-        self._available.use_bound(partsettings.cold_bound(told))
+        self._available.set_bound(partsettings.cold_bound(told))
 
     def addresses(self, failure_domain: str, region: str) -> tuple[str, ...]:
         """Return where a caller is to connect."""
@@ -317,7 +317,7 @@
             "list_version": positions.version(versions.replicas),
             "store_era": positions.era(versions.replicas),
             "evacuated": sorted(self._available.evacuations.domains),
-            "quarantined": self.quarantine.held_count,
+            "quarantined": self.quarantine.quarantined_count,
         }
         return json.dumps(page).encode()
 
@@ -387,7 +387,7 @@
         self._loads.forget_absent(present)
         self._available.forget_ended(self._clock.now())
         self._crashes.forget_old()
-        self.quarantine.tidy()
+        self.quarantine.expire()
         self._forget_departed()
         self._engine_watch.forget_absent()
         # An instance may have come back under its name in another failure domain.
@@ -395,7 +395,7 @@
         # Killed instances come back under their names: their part is not given away.
         names = [each.identity.name for each in self.peering.heartbeats.members()]
         self._budgets.share_slack(len(names))
-        self._available.share_among(names.index(self._told.name), len(names))
+        self._available.set_position(names.index(self._told.name), len(names))
 
     def _forget_departed(self) -> None:
         now = self._clock.now()
@@ -439,7 +439,7 @@
     ) -> None:
         # Whether reports name limits is not said, so one without a limit lifts none.
         if isinstance(report, enginemodels.EngineReport) and report.limit is not None:
-            self._available.answered(replica.id, report.limit)
+            self._available.limit_reported(replica.id, report.limit)
         self._engine_watch.reported(replica, report)
 
     def _owned_engines(self) -> list[replicamodels.Replica]:
@@ -466,11 +466,11 @@
         self._crashes.list_changed(changes)
         self._take_engines()
         for change in changes:
-            if change.what in ("leaving", "gone"):
+            if change.kind in ("leaving", "gone"):
                 self._engine_watch.leaves(change.replica.id, enginewatch.LIST)
-            elif change.what == "restarted":
+            elif change.kind == "restarted":
                 self._engine_watch.restarted(change.replica)
-            elif change.what == "added":
+            elif change.kind == "added":
                 self._engine_watch.added(change.replica.id)
 
     def _take_engines(self) -> None:
--- a/hornbeamglade/node/applying.py
+++ b/hornbeamglade/node/applying.py
@@ -85,7 +85,7 @@
         }
         with self._in_flight.lock:
             for team, names in names_by_team.items():
-                self._in_flight.team_limits.place(team, names)
+                self._in_flight.team_limits.set_shard(team, names)
         self._placed = seen
 
 
--- a/hornbeamglade/node/daemon.py
+++ b/hornbeamglade/node/daemon.py
@@ -36,7 +36,7 @@
 )
 from hornbeamglade.observability import logs, metrics
 from hornbeamglade.platform import storeclient
-from hornbeamglade.quarantine import quarantinekeeper
+from hornbeamglade.quarantine import quarantinewriter
 from hornbeamglade.routing import candidates
 from hornbeamglade.store import contract, countedstore
 from hornbeamglade.teams import limits, shares
@@ -155,8 +155,8 @@
         self._applier = applying.Applier(
             self._parts.views, self._catalog, self._schedulers, self._in_flight, beats
         )
-        self.peering.quarantine.keep_in(
-            quarantinekeeper.QuarantineKeeper(self._platform, clock).add
+        self.peering.quarantine.set_store_writer(
+            quarantinewriter.QuarantineWriter(self._platform, clock).add
         )
         self._registry = registry.Registry(self._platform, self.peering.quarantine.on_rows)
         listed = discovery.Discovery(self._registry, told.seeds)
@@ -283,7 +283,7 @@
         self._claims.write_pending()
         self._senders.sweep()
         self._parts.deadlines.sweep()
-        self.peering.quarantine.tidy()
+        self.peering.quarantine.expire()
         self._report_metrics()
         self._note_problem()
         self._metrics.config_revision.set(self._applier.revision)
--- a/hornbeamglade/node/generationhandler.py
+++ b/hornbeamglade/node/generationhandler.py
@@ -103,7 +103,7 @@
     ) -> requestscope.RequestScope | outcomes.Refusal:
         tokens = call.prompt_tokens + (call.max_tokens or EXPECTED_ANSWER_TOKENS)
         entered = self._parts.in_flight.enter(team, tokens, view.site.node.max_streams)
-        if not isinstance(entered, limits.Entered):
+        if not isinstance(entered, limits.Admission):
             return entered
         return requestscope.RequestScope(
             self._parts,
--- a/hornbeamglade/node/inflight.py
+++ b/hornbeamglade/node/inflight.py
@@ -30,7 +30,9 @@
         """How many requests are in flight."""
         return self._count
 
-    def enter(self, team: str, tokens: int, max_streams: int) -> limits.Entered | outcomes.Refusal:
+    def enter(
+        self, team: str, tokens: int, max_streams: int
+    ) -> limits.Admission | outcomes.Refusal:
         """Count a request in, or refuse it.
 
         :param team: the team's name.
@@ -42,16 +44,16 @@
             if self._count >= most:
                 detail = f"this node has {most} requests in flight"
                 return outcomes.Refusal("node_full", 503, detail, retry_after_s=FULL_RETRY_S)
-            entered = self.team_limits.enter(team, tokens)
-            if isinstance(entered, limits.Entered):
+            entered = self.team_limits.admit(team, tokens)
+            if isinstance(entered, limits.Admission):
                 self._count += 1
             return entered
 
-    def leave(self, entered: limits.Entered) -> None:
+    def leave(self, entered: limits.Admission) -> None:
         """Count a request off."""
         with self.lock:
             self._count -= 1
-            self.team_limits.leave(entered)
+            self.team_limits.release(entered)
 
     def tell_shares(self, most: int) -> tuple[teamlimits.TeamShare, ...]:
         """Move the shares of teams by demand and return what to tell the other nodes.
@@ -69,4 +71,4 @@
     def hear_share(self, node: str, said: teamlimits.TeamShare) -> None:
         """Take what another node told of one team."""
         with self.lock:
-            self.team_limits.hear(node, said)
+            self.team_limits.record_peer_share(node, said)
--- a/hornbeamglade/node/plainhandler.py
+++ b/hornbeamglade/node/plainhandler.py
@@ -85,7 +85,7 @@
         except BaseException:
             dispatch.ended()
             raise
-        if not isinstance(entered, limits.Entered):
+        if not isinstance(entered, limits.Admission):
             dispatch.ended()
             return entered
         scope = requestscope.RequestScope(
--- a/hornbeamglade/node/requestscope.py
+++ b/hornbeamglade/node/requestscope.py
@@ -31,7 +31,7 @@
         service_name: str,
         service: models.Service,
         dispatch: onceonly.OneDispatch,
-        entered: limits.Entered,
+        entered: limits.Admission,
         fingerprint: int,
     ) -> None:
         self.parts = parts
--- a/hornbeamglade/quarantine/__init__.py
+++ b/hornbeamglade/quarantine/__init__.py
@@ -7,7 +7,7 @@
 - :mod:`hornbeamglade.quarantine.completions`: requests that were lately run to their end
 - :mod:`hornbeamglade.quarantine.quarantinelist`: the requests that are not run any more
 - :mod:`hornbeamglade.quarantine.quarantinerows`: their rows in the store
-- :mod:`hornbeamglade.quarantine.quarantinekeeper`: writes these rows
-- :mod:`hornbeamglade.quarantine.repeats`: what is sent a few times
+- :mod:`hornbeamglade.quarantine.quarantinewriter`: writes these rows
+- :mod:`hornbeamglade.quarantine.retransmissions`: what is sent a few times
 - :mod:`hornbeamglade.quarantine.requestquarantine`: what instances tell each other of all that
 """
--- a/hornbeamglade/quarantine/crashdetector.py
+++ b/hornbeamglade/quarantine/crashdetector.py
@@ -88,7 +88,7 @@
             self._probes.add(probe)
             probe.add_done_callback(self._probes.discard)
 
-    def run_silent(self, fingerprint: int, replica: models.Replica, began_at: float) -> None:
+    def run_unanswered(self, fingerprint: int, replica: models.Replica, began_at: float) -> None:
         """Take a run that was given up without an answer, on a connection that stands.
 
         :param began_at: monotonic seconds at which it was sent there.
@@ -105,11 +105,11 @@
         for change in changes:
             replica = change.replica
             lost = self._lost_by_replica.get(replica.id)
-            if change.what == "leaving":
+            if change.kind == "leaving":
                 self._lost_by_replica.pop(replica.id, None)
-            elif lost is not None and change.what in ("gone", "restarted"):
-                self._confirm(lost, change.what)
-            elif change.what == "restarted" and not self._has_announced_stop(replica):
+            elif lost is not None and change.kind in ("gone", "restarted"):
+                self._confirm(lost, change.kind)
+            elif change.kind == "restarted" and not self._has_announced_stop(replica):
                 # Its runs here are given up next.
                 self._crashed_at_by_replica[replica.id] = self._clock.now()
 
--- a/hornbeamglade/quarantine/fingerprints.py
+++ b/hornbeamglade/quarantine/fingerprints.py
@@ -35,13 +35,13 @@
     return int.from_bytes(digest.digest())
 
 
-def text(value: int) -> str:
+def to_hex(value: int) -> str:
     """Return a fingerprint as log lines show it.
 
     Examples
     ========
 
-    >>> text(255)
+    >>> to_hex(255)
     '00000000000000ff'
     """
     return f"{value:016x}"
--- a/hornbeamglade/quarantine/quarantinerows.py
+++ b/hornbeamglade/quarantine/quarantinerows.py
@@ -38,7 +38,7 @@
     >>> key(255)
     'instances/quarantine:00000000000000ff'
     """
-    return _PREFIX + fingerprints.text(fingerprint)
+    return _PREFIX + fingerprints.to_hex(fingerprint)
 
 
 def put(stored: StoredRequest) -> contract.Put:
--- a/hornbeamglade/quarantine/quarantinekeeper.py
+++ b/hornbeamglade/quarantine/quarantinewriter.py
@@ -15,7 +15,7 @@
 _Write = contract.Put | contract.Delete
 
 
-class QuarantineKeeper:
+class QuarantineWriter:
     """Carries out writes in order; any thread may add some.
 
     Explanation
--- a/hornbeamglade/quarantine/requestquarantine.py
+++ b/hornbeamglade/quarantine/requestquarantine.py
@@ -48,7 +48,7 @@
     lostruns,
     quarantinelist,
     quarantinerows,
-    repeats,
+    retransmissions,
 )
 from hornbeamglade.store import contract
 
@@ -95,7 +95,7 @@
     :param send: sends a message to an instance.
     :param clock: monotonic and wall time.
 
-    :meth:`keep_in` has it write to the store.
+    :meth:`set_store_writer` has it write to the store.
     """
 
     def __init__(
@@ -112,11 +112,11 @@
         self._ledger = crashledger.CrashLedger()
         self._held = quarantinelist.QuarantineList()
         self._completions = completions.Completions()
-        self._reports = repeats.Repeats()
-        self._notices = repeats.Repeats()
+        self._reports = retransmissions.Retransmissions()
+        self._notices = retransmissions.Retransmissions()
         self._page_sent_at_by_node: dict[str, float] = {}
 
-    def keep_in(self, write: Write) -> None:
+    def set_store_writer(self, write: Write) -> None:
         """Take what writes to the store."""
         self._write = write
 
@@ -151,7 +151,7 @@
                 "running",
                 "crashed",
                 replica=replica_id,
-                fingerprint=fingerprints.text(fingerprint),
+                fingerprint=fingerprints.to_hex(fingerprint),
                 count=count,
             )
             if not is_innocent:
@@ -214,7 +214,7 @@
         return self._held.digest
 
     @property
-    def held_count(self) -> int:
+    def quarantined_count(self) -> int:
         """How many requests are refused here."""
         return len(self._held)
 
@@ -238,12 +238,12 @@
                     self._send(node, notice)
 
     @_locked
-    def tidy(self) -> None:
+    def expire(self) -> None:
         """Forget what is over; every second or so."""
         for fingerprint in self._held.forget_ended(self._clock.now()):
             self._ledger.clear(fingerprint)
             logs.state_changed(
-                "request", "quarantined", "allowed", fingerprint=fingerprints.text(fingerprint)
+                "request", "quarantined", "allowed", fingerprint=fingerprints.to_hex(fingerprint)
             )
         present = set(self._present())
         for node in self._page_sent_at_by_node.keys() - present:
@@ -268,7 +268,7 @@
                 "request",
                 "allowed",
                 "quarantined",
-                fingerprint=fingerprints.text(entry.fingerprint),
+                fingerprint=fingerprints.to_hex(entry.fingerprint),
                 source=source,
                 seconds=round(entry.ends_at - now, 1),
             )
@@ -279,7 +279,7 @@
 
     def _homes(self, fingerprint: int) -> list[str]:
         nodes = {*self._live(), self._name}
-        return rendezvous.best(fingerprints.text(fingerprint), nodes, HOMES)
+        return rendezvous.best(fingerprints.to_hex(fingerprint), nodes, HOMES)
 
     def _store(self, entry: quarantinelist.Entry, now: float) -> None:
         """Have a request kept in the store, unless there are too many."""
--- a/hornbeamglade/quarantine/repeats.py
+++ b/hornbeamglade/quarantine/retransmissions.py
@@ -16,7 +16,7 @@
     sent: int = 0
 
 
-class Repeats:
+class Retransmissions:
     """Keys with the times at which they are due; not thread-safe.
 
     Bounded: when too many are pending the oldest goes, which has been sent at least once.
@@ -24,9 +24,9 @@
     Examples
     ========
 
-    >>> repeats = Repeats()
-    >>> repeats.add(7, now=0.0)
-    >>> [repeats.due(now, most=10) for now in (0.0, 0.1, 0.3, 1.3, 3.3, 8.3, 9.9)]
+    >>> retransmissions = Retransmissions()
+    >>> retransmissions.add(7, now=0.0)
+    >>> [retransmissions.due(now, most=10) for now in (0.0, 0.1, 0.3, 1.3, 3.3, 8.3, 9.9)]
     [(7,), (), (7,), (7,), (7,), (7,), ()]
     """
 
--- a/hornbeamglade/replicas/availability.py
+++ b/hornbeamglade/replicas/availability.py
@@ -59,16 +59,16 @@
         """Take the services of a configuration."""
         self._service_by_name = service_by_name
 
-    def use_bound(self, bound: slowstart.Bound) -> None:
+    def set_bound(self, bound: slowstart.Bound) -> None:
         """Take another bound, for replicas that become cold from now on."""
         self._bound = bound
 
-    def share_among(self, place: int, instances: int) -> None:
+    def set_position(self, position: int, instances: int) -> None:
         """Note how many instances there may be, and this one's place among their names."""
         self._instances = instances
-        self._limits.take_place(place, instances)
+        self._limits.set_position(position, instances)
 
-    def take_evacuations(self, state: evacuationlib.Evacuations, now: float) -> frozenset[str]:
+    def apply_evacuations(self, state: evacuationlib.Evacuations, now: float) -> frozenset[str]:
         """Take a state of the evacuations; an older one changes nothing.
 
         :param now: monotonic seconds.
@@ -87,28 +87,28 @@
     ) -> None:
         """Take what the list says of replicas that are new or have changed."""
         for change in changes:
-            if change.what in (ADDED, CHANGED) and change.replica.warm_in_s > 0.0:
-                self._begin_slowly(change.replica, change.replica.warm_in_s, change.what, now)
+            if change.kind in (ADDED, CHANGED) and change.replica.warm_in_s > 0.0:
+                self._begin_slowly(change.replica, change.replica.warm_in_s, change.kind, now)
 
-    def answered(self, replica_id: str, limit: ratelimits.RateLimit | None) -> None:
+    def limit_reported(self, replica_id: str, limit: ratelimits.RateLimit | None) -> None:
         """Take the limit that a replica's answer names, or that it names none."""
-        self._limits.named(replica_id, limit)
+        self._limits.update(replica_id, limit)
 
-    def sent(self, replica_id: str) -> None:
+    def request_sent(self, replica_id: str) -> None:
         """Note that a request goes to a replica, whether or not it may by its limit."""
-        self._limits.sent(replica_id)
+        self._limits.request_sent(replica_id)
 
     def limit_wait_s(self, replica_id: str) -> float:
         """Return the seconds until this instance may send to a replica, by its limit."""
         return self._limits.wait_s(replica_id)
 
-    def turns_within(self, replica_id: str, seconds: float) -> int:
+    def send_slots_within(self, replica_id: str, seconds: float) -> int:
         """Return how many requests this instance may send to a limited replica within a time."""
-        return self._limits.turns_within(replica_id, seconds)
+        return self._limits.send_slots_within(replica_id, seconds)
 
     def limit_retry_s(self, replica_id: str) -> float:
         """Return the seconds until some instance may send to a replica, by its limit."""
-        return self._limits.next_turn_s(replica_id)
+        return self._limits.slot_interval_s(replica_id)
 
     def limit(self, replica_id: str) -> ratelimits.RateLimit | None:
         """Return the limit that a replica named last, or None."""
--- a/hornbeamglade/replicas/ratelimits.py
+++ b/hornbeamglade/replicas/ratelimits.py
@@ -11,7 +11,7 @@
 the demand, and however long nobody asked before, about ``4 * SHARE * L + TURNS_OPEN + 1`` requests
 come in four seconds at the most.
 
-Turns go by the time of day and by the instance's place among the names of all, so the instances
+Turns go by the time of day and by the instance's position among the names of all, so the instances
 agree on them without a word. Where a clock is wrong, or two instances count differently, turns
 overlap a little more. What a turn does not use is lost: the answer after the next one says
 whether the limit still holds, and what it is.
@@ -80,12 +80,12 @@
 
     >>> clock = clocks.ManualClock()
     >>> limits = RateLimits(clock)
-    >>> limits.take_place(0, 6)
+    >>> limits.set_position(0, 6)
     >>> limits.wait_s("s1")
     0.0
-    >>> limits.named("s1", RateLimit(2.0))
+    >>> limits.update("s1", RateLimit(2.0))
     >>> clock.advance(limits.wait_s("s1"))
-    >>> limits.sent("s1")
+    >>> limits.request_sent("s1")
     >>> limits.wait_s("s1") > 1.0
     True
     """
@@ -96,12 +96,12 @@
         self._place = messages.key_hash(name) % FEWEST_INSTANCES
         self._instances = FEWEST_INSTANCES
 
-    def take_place(self, place: int, instances: int) -> None:
+    def set_position(self, position: int, instances: int) -> None:
         """Note this instance's place among the names of all, and how many there may be."""
         self._instances = max(instances, FEWEST_INSTANCES)
-        self._place = place
+        self._place = position
 
-    def named(self, replica_id: str, limit: RateLimit | None) -> None:
+    def update(self, replica_id: str, limit: RateLimit | None) -> None:
         """Take what a replica's answer names; None lifts its limit."""
         now = self._clock.now()
         known = self._named_by_replica.get(replica_id)
@@ -136,12 +136,12 @@
         since_begin_s = (self._clock.wall() - self._begins_at_s(replica_id, round_s)) % round_s
         if rest_s <= 0.0 and since_begin_s < open_s:
             return 0.0
-        next_turn_s = round_s - since_begin_s
-        if rest_s > next_turn_s:
-            next_turn_s += math.ceil((rest_s - next_turn_s) / round_s) * round_s
-        return next_turn_s
+        slot_interval_s = round_s - since_begin_s
+        if rest_s > slot_interval_s:
+            slot_interval_s += math.ceil((rest_s - slot_interval_s) / round_s) * round_s
+        return slot_interval_s
 
-    def turns_within(self, replica_id: str, seconds: float) -> int:
+    def send_slots_within(self, replica_id: str, seconds: float) -> int:
         """Return how many turns of this instance at a limited replica begin within a time."""
         known = self._named_by_replica.get(replica_id)
         wait_s = self.wait_s(replica_id)
@@ -149,13 +149,13 @@
             return 0
         return 1 + int((seconds - wait_s) / self._round_s(known.limit))
 
-    def sent(self, replica_id: str) -> None:
+    def request_sent(self, replica_id: str) -> None:
         """Note that a request goes to a replica."""
         known = self._named_by_replica.get(replica_id)
         if known is not None:
             known.sent_at = self._clock.now()
 
-    def next_turn_s(self, replica_id: str) -> float:
+    def slot_interval_s(self, replica_id: str) -> float:
         """Return the seconds between the turns of any two instances, or 0 without a limit."""
         known = self._named_by_replica.get(replica_id)
         return 0.0 if known is None else self._round_s(known.limit) / self._instances
--- a/hornbeamglade/replicas/replicalist.py
+++ b/hornbeamglade/replicas/replicalist.py
@@ -16,7 +16,7 @@
     """
 
     replica: models.Replica
-    what: str
+    kind: str
 
 
 class ReplicaList:
@@ -139,14 +139,14 @@
             changes.append(ListChange(replica, "leaving" if is_new else "changed"))
         return changes
 
-    def _remove(self, name: str, what: str) -> list[ListChange]:
+    def _remove(self, name: str, kind: str) -> list[ListChange]:
         replica_id = self._id_by_name.pop(name, None)
         if replica_id is None:
             return []
         replica = self.by_id.pop(replica_id)
-        if what == "gone":
+        if kind == "gone":
             self.departed_by_id[replica_id] = replica
-        return [ListChange(replica, what)]
+        return [ListChange(replica, kind)]
 
     def _sort_by_service(self) -> None:
         ids_by_service: dict[str, list[str]] = {}
--- a/hornbeamglade/routed/bufferedexchange.py
+++ b/hornbeamglade/routed/bufferedexchange.py
@@ -155,14 +155,14 @@
         load = None
         self._loads.started(replica.id)
         self._available.started(replica.id, begun_at)
-        self._available.sent(replica.id)
+        self._available.request_sent(replica.id)
         log.begin(replica.id, self._available.limit(replica.id))
         try:
             begun = await self._sender.begin(routed, replica, dispatch)
             if isinstance(begun, sending.Begun):
                 load = begun.head.load
                 if not begun.head.is_misdirected:
-                    self._available.answered(replica.id, begun.head.limit)
+                    self._available.limit_reported(replica.id, begun.head.limit)
                 outcome = await self._finish(begun)
             else:
                 outcome = begun
@@ -170,7 +170,7 @@
             failed = not isinstance(outcome, responses.Response) or outcome.status >= 500
             self._loads.ended(replica.id, failed, load)
             if outcome is None:
-                self._crashes.run_silent(routed.fingerprint, replica, begun_at)
+                self._crashes.run_unanswered(routed.fingerprint, replica, begun_at)
         if isinstance(outcome, sending.Failed):
             was_sent = outcome.code != "not_connected"
             log.note(replica.id, outcome.run, was_sent)
--- a/hornbeamglade/routed/enginecatalog.py
+++ b/hornbeamglade/routed/enginecatalog.py
@@ -63,11 +63,11 @@
 
     def answered(self, replica_id: str, limit: ratelimits.RateLimit | None) -> None:
         """Take the limit that an engine's answer names, or that it names none."""
-        self._available.answered(replica_id, limit)
+        self._available.limit_reported(replica_id, limit)
 
     def sent(self, replica_id: str) -> None:
         """Note that a request goes to an engine."""
-        self._available.sent(replica_id)
+        self._available.request_sent(replica_id)
 
     def may_send(self, replica_id: str) -> bool:
         """Tell whether this node may send to an engine now, by the limit that it named."""
--- a/hornbeamglade/routed/ratelimitqueue.py
+++ b/hornbeamglade/routed/ratelimitqueue.py
@@ -52,7 +52,7 @@
         waiting = self._waiting_by_service.setdefault(service, [])
         place = (urgency, next(self._numbers))
         left_s = until - self._clock.now()
-        turns = sum(self._available.turns_within(each, left_s) for each in limited)
+        turns = sum(self._available.send_slots_within(each, left_s) for each in limited)
         if bisect.bisect(waiting, place) >= turns:
             return False
         bisect.insort(waiting, place)
--- a/hornbeamglade/routed/streamrun.py
+++ b/hornbeamglade/routed/streamrun.py
@@ -224,7 +224,7 @@
                 ended.code,
                 replica=self._place.replica.id,
                 events=self._relay.count,
-                fingerprint=fingerprints.text(self._routed.fingerprint),
+                fingerprint=fingerprints.to_hex(self._routed.fingerprint),
             )
             labels = (self._routed.service.name, ended.code)
             self._parts.metrics.routed.broken_streams.add(labels=labels)
@@ -356,7 +356,9 @@
             self._parts.sender.finished(place.begun)
             place.begun = None
         elif place is not None:
-            self._parts.crashes.run_silent(self._routed.fingerprint, place.replica, place.sent_at)
+            self._parts.crashes.run_unanswered(
+                self._routed.fingerprint, place.replica, place.sent_at
+            )
         self._leave_place()
         self._learn(is_whole)
 
--- a/hornbeamglade/teams/__init__.py
+++ b/hornbeamglade/teams/__init__.py
@@ -1,12 +1,12 @@
 """Teams: identity, limits, and the nodes that a team's callers are sent to."""
 
 from hornbeamglade.teams.identity import TeamDirectory, TeamKeys, hash_key
-from hornbeamglade.teams.limits import Entered, TeamLimits
+from hornbeamglade.teams.limits import Admission, TeamLimits
 from hornbeamglade.teams.shares import ShareSettings
 from hornbeamglade.teams.teamlimits import TeamLimit, TeamShare
 
 __all__ = [
-    "Entered",
+    "Admission",
     "ShareSettings",
     "TeamDirectory",
     "TeamKeys",
--- a/hornbeamglade/teams/limits.py
+++ b/hornbeamglade/teams/limits.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Entered:
+class Admission:
     """A request counts against its team's limit until it leaves.
 
     :param team: the team's name.
@@ -26,9 +26,9 @@
 
 
 class _TeamState:
-    def __init__(self, limit: teamlimits.TeamLimit, keeper: shares.ShareKeeper) -> None:
+    def __init__(self, limit: teamlimits.TeamLimit, controller: shares.ShareController) -> None:
         self.limit = limit
-        self.keeper = keeper
+        self.controller = controller
         self.requests = 0
         self.tokens = 0
         self.refused_requests = 0
@@ -59,15 +59,15 @@
 
     >>> limits = TeamLimits("n1", shares.ShareSettings())
     >>> limits.configure([teamlimits.TeamLimit("clerks", 1.0, 0, 1, 1000)])
-    >>> limits.place("clerks", ("n1",))
-    >>> entered = limits.enter("clerks", 300)
-    >>> entered
-    Entered(team='clerks', tokens=300)
-    >>> limits.enter("clerks", 300).code
+    >>> limits.set_shard("clerks", ("n1",))
+    >>> admission = limits.admit("clerks", 300)
+    >>> admission
+    Admission(team='clerks', tokens=300)
+    >>> limits.admit("clerks", 300).code
     'team_limit'
-    >>> limits.leave(entered)
-    >>> limits.enter("clerks", 300)
-    Entered(team='clerks', tokens=300)
+    >>> limits.release(admission)
+    >>> limits.admit("clerks", 300)
+    Admission(team='clerks', tokens=300)
     """
 
     def __init__(self, node: str, settings: shares.ShareSettings) -> None:
@@ -81,22 +81,22 @@
         for name, limit in limit_by_name.items():
             state = self._state_by_team.get(name)
             if state is None:
-                keeper = shares.ShareKeeper(name, self._node, self._settings)
-                self._state_by_team[name] = _TeamState(limit, keeper)
+                controller = shares.ShareController(name, self._node, self._settings)
+                self._state_by_team[name] = _TeamState(limit, controller)
             else:
                 state.limit = limit
         for name in self._state_by_team.keys() - limit_by_name.keys():
             if not self._state_by_team[name].requests:
                 del self._state_by_team[name]
 
-    def place(self, team: str, members: collections.abc.Collection[str]) -> None:
+    def set_shard(self, team: str, members: collections.abc.Collection[str]) -> None:
         """Take over the nodes that the address answer gives the team's callers.
 
         :param members: see :func:`hornbeamglade.membership.addresses.shard_members`.
         """
-        self._state(team).keeper.place(members)
+        self._state(team).controller.set_shard(members)
 
-    def enter(self, team: str, tokens: int) -> Entered | outcomes.Refusal:
+    def admit(self, team: str, tokens: int) -> Admission | outcomes.Refusal:
         """Count a request against its team's limit, or refuse it.
 
         :param tokens: its expected tokens, prompt and answer.
@@ -105,7 +105,7 @@
         if self._has_room(state, tokens):
             state.requests += 1
             state.tokens += tokens
-            return Entered(team, tokens)
+            return Admission(team, tokens)
         state.refused_requests += 1
         state.refused_tokens += tokens
         return outcomes.Refusal(
@@ -116,8 +116,8 @@
             _MIN_RETRY_S,
         )
 
-    def leave(self, entered: Entered) -> None:
-        """Count a request off; exactly once for each ``Entered``.
+    def release(self, entered: Admission) -> None:
+        """Count a request off; exactly once for each ``Admission``.
 
         :raises InvariantError: when more leaves than has entered.
         """
@@ -131,11 +131,11 @@
         """Return how many requests of ``team`` are in flight at this node."""
         return self._state(team).requests
 
-    def hear(self, node: str, said: teamlimits.TeamShare) -> None:
+    def record_peer_share(self, node: str, said: teamlimits.TeamShare) -> None:
         """Take over what another node's heartbeat says of one team."""
         state = self._state_by_team.get(said.team)
         if state is not None:
-            state.keeper.hear(node, said)
+            state.controller.record_peer_share(node, said)
 
     def heartbeat(self, most: int | None = None) -> tuple[teamlimits.TeamShare, ...]:
         """Move the shares by demand and return what to announce; once per heartbeat.
@@ -147,7 +147,7 @@
         said: list[teamlimits.TeamShare] = []
         for name in sorted(self._state_by_team)[:most]:
             state = self._state_by_team[name]
-            said.append(state.keeper.adjust(state.demand(), state.used()))
+            said.append(state.controller.adjust(state.demand(), state.used()))
             state.refused_requests = 0
             state.refused_tokens = 0
         return tuple(said)
@@ -158,10 +158,10 @@
         :param most: as in :meth:`heartbeat`.
         """
         names = sorted(self._state_by_team)[:most]
-        return {name: self._state_by_team[name].keeper.share for name in names}
+        return {name: self._state_by_team[name].controller.share for name in names}
 
     def _has_room(self, state: _TeamState, tokens: int) -> bool:
-        share = state.keeper.share
+        share = state.controller.share
         # One request may always be in flight: a limit split over nodes must not
         # refuse a team that has nothing running here.
         if state.requests == 0:
--- a/hornbeamglade/teams/shares.py
+++ b/hornbeamglade/teams/shares.py
@@ -72,7 +72,7 @@
     since_raise: int
 
 
-class ShareKeeper:
+class ShareController:
     """The share of one team's limit that one node may use, as an aggregate.
 
     :param team: the team's name.
@@ -82,13 +82,14 @@
     Examples
     ========
 
-    >>> keeper = ShareKeeper("clerks", "n1", ShareSettings())
-    >>> keeper.place(("n1", "n2"))
-    >>> keeper.share
+    >>> controller = ShareController("clerks", "n1", ShareSettings())
+    >>> controller.set_shard(("n1", "n2"))
+    >>> controller.share
     0.125
+    >>> idle = teamlimits.TeamShare("clerks", share=0.125, demand=0.0)
     >>> for _ in range(2):
-    ...     keeper.hear("n2", teamlimits.TeamShare("clerks", share=0.125, demand=0.0))
-    >>> keeper.adjust(demand=0.7, used=0.1)
+    ...     controller.record_peer_share("n2", idle)
+    >>> controller.adjust(demand=0.7, used=0.1)
     TeamShare(team='clerks', share=0.5, demand=0.7)
     """
 
@@ -108,7 +109,7 @@
         """Return the part of the limit that this node may use, 0 to 1."""
         return self._share
 
-    def place(self, members: collections.abc.Collection[str]) -> None:
+    def set_shard(self, members: collections.abc.Collection[str]) -> None:
         """Take over the team's shard; a node outside it uses a floor for late callers."""
         others = frozenset(members) - {self._node}
         is_member = self._node in members
@@ -127,7 +128,7 @@
             self._share = 1.0
         self._await_answers()
 
-    def hear(self, node: str, said: teamlimits.TeamShare) -> None:
+    def record_peer_share(self, node: str, said: teamlimits.TeamShare) -> None:
         """Take over what another node of the shard announced.
 
         The caller drops a heartbeat that is older than the last of the same node.
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -78,7 +78,7 @@
     believer.following.on_replicas(
         contract.Changes((row("a", 3, "draining"),), ("servers/b",), 4, 4)
     )
-    assert [(each.replica.id, each.what) for each in believer.told] == [
+    assert [(each.replica.id, each.kind) for each in believer.told] == [
         ("a", "added"),
         ("b", "added"),
         ("a", "leaving"),
--- a/tests/node/fakeparts.py
+++ b/tests/node/fakeparts.py
@@ -95,7 +95,7 @@
             "drafts",
             service,
             dispatch or onceonly.OneDispatch(is_repeatable=True),
-            limits.Entered("clerks", 10),
+            limits.Admission("clerks", 10),
             FINGERPRINT,
         )
         made.grant = types.SimpleNamespace(release=self.release, produced=0)
--- a/tests/node/test_inflight.py
+++ b/tests/node/test_inflight.py
@@ -6,7 +6,7 @@
 def _in_flight(threads):
     team_limits = limits.TeamLimits("n1", shares.ShareSettings())
     team_limits.configure([teamlimits.TeamLimit("clerks", 1.0, 0, 1000, 10**9)])
-    team_limits.place("clerks", ("n1",))
+    team_limits.set_shard("clerks", ("n1",))
     return inflight.InFlight(team_limits, threads)
 
 
@@ -28,4 +28,4 @@
     entered = [node.enter("clerks", 1, max_streams=2) for _ in range(2)]
     assert node.enter("clerks", 1, max_streams=2).code == "node_full"
     node.leave(entered[0])
-    assert isinstance(node.enter("clerks", 1, max_streams=2), limits.Entered)
+    assert isinstance(node.enter("clerks", 1, max_streams=2), limits.Admission)
--- a/tests/quarantine/test_crashdetector.py
+++ b/tests/quarantine/test_crashdetector.py
@@ -103,7 +103,7 @@
 def test_a_run_without_an_answer_at_a_replica_whose_entry_has_lapsed_was_ended_by_a_crash():
     async def test(detected):
         detected.take(gone=["e1"])
-        detected.detector.run_silent(7, REPLICA, 0.0)
+        detected.detector.run_unanswered(7, REPLICA, 0.0)
 
     assert play(test).crashes == [("e1", [7])]
 
@@ -128,7 +128,7 @@
         await lose_two(detected)
         await settled()
         detected.take(gone=["e1"])
-        detected.detector.run_silent(9, REPLICA, 0.0)
+        detected.detector.run_unanswered(9, REPLICA, 0.0)
 
     assert play(test).crashes == []
 
--- a/tests/quarantine/test_requestquarantine.py
+++ b/tests/quarantine/test_requestquarantine.py
@@ -169,7 +169,7 @@
     """Guards against a count that is lost with the instance that kept it."""
     site = Site(6, lose=0.0)
     homes = requestquarantine.rendezvous.best(
-        requestquarantine.fingerprints.text(GUILTY), site.names, requestquarantine.HOMES
+        requestquarantine.fingerprints.to_hex(GUILTY), site.names, requestquarantine.HOMES
     )
     others = [name for name in site.names if name not in homes]
     for number in range(crashledger.CRASHES - 1):
@@ -251,9 +251,9 @@
     assert (refusal.http_status, refusal.code) == (503, requestquarantine.QUARANTINED)
     assert refusal.retry_after_s == pytest.approx(quarantinelist.LASTS_S)
     site.clock.advance(quarantinelist.LASTS_S)
-    site.quarantine_by_name["n0"].tidy()
+    site.quarantine_by_name["n0"].expire()
     assert site.refusing() == set()
-    assert site.quarantine_by_name["n0"].held_count == 0
+    assert site.quarantine_by_name["n0"].quarantined_count == 0
 
 
 def test_memory_and_messages_stay_bounded_against_a_million_guilty_requests():
@@ -265,7 +265,7 @@
             site.crash("n0", f"e{fingerprint}-{number}", (fingerprint,))
         if fingerprint % 500 == 0:
             site.network.deliver()
-    assert quarantine.held_count == quarantinelist.MOST
+    assert quarantine.quarantined_count == quarantinelist.MOST
     for message in site.sent[-1000:]:
         assert framesizes.packet_bytes(message) < 1400
 
@@ -290,7 +290,7 @@
     def start(self, name):
         super().start(name)
         write = self.write
-        self.quarantine_by_name[name].keep_in(lambda each: write((each,)))
+        self.quarantine_by_name[name].set_store_writer(lambda each: write((each,)))
 
     def write(self, writes):
         self.store.transact((), writes)
@@ -338,7 +338,7 @@
     assert [each.fingerprint for each in site.rows()] == [GUILTY]
     site.clock.advance(quarantinelist.LASTS_S + 1.0)
     for quarantine in site.quarantine_by_name.values():
-        quarantine.tidy()
+        quarantine.expire()
     site.read()
     assert site.rows() == ()
     assert site.refusing() == set()
@@ -351,4 +351,4 @@
         site.read()
     site.write((contract.Put("instances/quarantine:none", '{"until": 9e9}'),))
     site.read()
-    assert site.quarantine_by_name["n0"].held_count == 0
+    assert site.quarantine_by_name["n0"].quarantined_count == 0
--- a/tests/replicas/test_availability.py
+++ b/tests/replicas/test_availability.py
@@ -41,24 +41,24 @@
 def test_evacuated_domain_gets_no_work_until_it_is_taken_back():
     known = available()
     assert ids(known.usable("llm")) == ["e0", "e1"]
-    assert known.take_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0) == {"a"}
+    assert known.apply_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0) == {"a"}
     assert ids(known.usable("llm")) == ["e1"]
     assert known.refusal("e0", 0.0).code == "replica_evacuated"
     assert known.refusal("e1", 0.0) is None
-    assert known.take_evacuations(evacuations.Evacuations(9), 0.0) == {"a"}
+    assert known.apply_evacuations(evacuations.Evacuations(9), 0.0) == {"a"}
     assert ids(known.usable("llm")) == ["e0", "e1"]
 
 
 def test_older_word_changes_nothing():
     known = available()
-    known.take_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0)
-    assert not known.take_evacuations(evacuations.Evacuations(4), 0.0)
+    known.apply_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0)
+    assert not known.apply_evacuations(evacuations.Evacuations(4), 0.0)
     assert ids(known.usable("llm")) == ["e1"]
 
 
 def test_two_domains_may_be_evacuated_at_once():
     known = available()
-    known.take_evacuations(evacuations.Evacuations(5, frozenset("ab")), 0.0)
+    known.apply_evacuations(evacuations.Evacuations(5, frozenset("ab")), 0.0)
     assert not known.usable("llm")
 
 
@@ -80,8 +80,8 @@
 
 def test_replicas_are_cold_after_the_evacuation_of_their_domain():
     known = cold_site(None)
-    known.take_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0)
-    known.take_evacuations(evacuations.Evacuations(6), 10.0)
+    known.apply_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0)
+    known.apply_evacuations(evacuations.Evacuations(6), 10.0)
     assert [name for name in ("e0", "e1") if known.is_cold(name, 10.1)] == ["e0"]
     assert not known.is_cold("e0", 13.0)
 
--- a/tests/replicas/test_ratelimits.py
+++ b/tests/replicas/test_ratelimits.py
@@ -26,13 +26,13 @@
 def test_a_limit_holds_until_an_answer_names_another_one_or_none(lines):
     clock = clocks.ManualClock()
     limits = ratelimits.RateLimits(clock)
-    limits.named("s1", TWO)
-    limits.named("s2", None)
+    limits.update("s1", TWO)
+    limits.update("s2", None)
     assert (limits.limit("s1"), limits.limit("s2")) == (TWO, None)
     clock.advance(2.0)
-    limits.named("s1", ratelimits.RateLimit(3.5))
+    limits.update("s1", ratelimits.RateLimit(3.5))
     assert limits.limit("s1").requests_per_s == 3.5
-    limits.named("s1", None)
+    limits.update("s1", None)
     assert limits.limit("s1") is None
     assert lines == [("none", "2", "-"), ("2", "3.5", "-"), ("3.5", "none", "-")]
 
@@ -42,20 +42,20 @@
     limits = ratelimits.RateLimits(clock)
     for number in range(1, 101):
         clock.advance(0.01)
-        limits.named("s1", ratelimits.RateLimit(float(number)))
+        limits.update("s1", ratelimits.RateLimit(float(number)))
     assert len(lines) <= 2
 
 
 def test_a_limit_that_cannot_be_read_is_told_by_its_code(lines):
     limits = ratelimits.RateLimits(clocks.ManualClock())
-    limits.named("s1", ratelimits.RateLimit(0.0, "server_limit_invalid"))
+    limits.update("s1", ratelimits.RateLimit(0.0, "server_limit_invalid"))
     assert lines == [("none", "0", "server_limit_invalid")]
 
 
 def test_replicas_that_are_gone_are_forgotten():
     limits = ratelimits.RateLimits(clocks.ManualClock())
     for number in range(50):
-        limits.named(f"s{number}", TWO)
+        limits.update(f"s{number}", TWO)
     limits.forget({"s1"})
     assert limits.count == 1
 
@@ -106,17 +106,17 @@
     rng = random.Random(count)
     clock = clocks.ManualClock()
     nodes = []
-    for place in range(count):
+    for position in range(count):
         node = ratelimits.RateLimits(SkewedClock(clock, off_s(rng)))
-        node.take_place(place, believed or count)
-        node.named("s1", ratelimits.RateLimit(limit_per_s))
+        node.set_position(position, believed or count)
+        node.update("s1", ratelimits.RateLimit(limit_per_s))
         nodes.append(node)
     made = []
     while clock.now() < PLAYED_S:
         clock.advance(STEP_S)
         for node in nodes:
             if asks_at(clock.now()) and node.wait_s("s1") <= 0.0:
-                node.sent("s1")
+                node.request_sent("s1")
                 made.append(clock.now())
     return made
 
@@ -162,9 +162,9 @@
     clock = clocks.ManualClock()
     told = SkewedClock(clock, 0.0)
     limits = ratelimits.RateLimits(told)
-    limits.named("s1", TWO)
+    limits.update("s1", TWO)
     clock.advance(limits.wait_s("s1"))
-    limits.sent("s1")
+    limits.request_sent("s1")
     for step in range(20):
         told.off_s = -0.1 * step
         assert limits.wait_s("s1") > 0.0
@@ -176,13 +176,13 @@
     nodes = [ratelimits.RateLimits(clock) for _ in range(6)]
     rng = random.Random(1)
     made = []
-    for place, node in enumerate(nodes):
-        node.take_place(place, 6)
+    for position, node in enumerate(nodes):
+        node.set_position(position, 6)
     while clock.now() < PLAYED_S:
         clock.advance(STEP_S)
         for node in nodes:
-            node.named("s1", ratelimits.RateLimit(rng.uniform(1.8, 2.2)))
+            node.update("s1", ratelimits.RateLimit(rng.uniform(1.8, 2.2)))
             if node.wait_s("s1") <= 0.0:
-                node.sent("s1")
+                node.request_sent("s1")
                 made.append(clock.now())
     assert most_in_a_window(made) <= allowed(1.8)
--- a/tests/replicas/test_replicalist.py
+++ b/tests/replicas/test_replicalist.py
@@ -22,7 +22,7 @@
 
 
 def changed(changes):
-    return [(change.replica.id, change.what) for change in changes]
+    return [(change.replica.id, change.kind) for change in changes]
 
 
 def test_changes_are_told_once():
@@ -129,14 +129,14 @@
     """Entries of several starts and of other writers come in any order."""
     known = replicalist.ReplicaList()
     newest = {"a": 0, "b": 0}
-    for version, (what, name, started) in enumerate(entries, 1):
-        present = [replica(name, started_ms=started)] if what == "good" else []
-        gone = [name] if what == "gone" else []
-        known.update(present, gone, version, [name] if what == "bad" else [])
-        newest[name] = 0 if what == "gone" else max(newest[name], started)
+    for version, (kind, name, started) in enumerate(entries, 1):
+        present = [replica(name, started_ms=started)] if kind == "good" else []
+        gone = [name] if kind == "gone" else []
+        known.update(present, gone, version, [name] if kind == "bad" else [])
+        newest[name] = 0 if kind == "gone" else max(newest[name], started)
         of_name = [each for each in known.by_id.values() if each.name == name]
         assert len(of_name) <= 1
-        if what != "good" or (newest[name] and not started):
+        if kind != "good" or (newest[name] and not started):
             assert not of_name
         for each in known.by_id.values():
             assert each.started_ms == newest[each.name]
--- a/tests/routed/test_ratelimitqueue.py
+++ b/tests/routed/test_ratelimitqueue.py
@@ -27,7 +27,7 @@
         passed_s = self._clock.now() - self._begins_at
         return max(0.0, self._turns_at[0] - passed_s) if self._turns_at else 60.0
 
-    def turns_within(self, replica_id, seconds):
+    def send_slots_within(self, replica_id, seconds):
         return sum(at <= seconds for at in self._turns_at) if replica_id == "s1" else 0
 
     def take(self):
--- a/tests/teams/test_limits.py
+++ b/tests/teams/test_limits.py
@@ -12,63 +12,63 @@
 def alone(limit=LIMIT):
     made = limits.TeamLimits("n1", shares.ShareSettings())
     made.configure([limit])
-    made.place("t", ("n1",))
+    made.set_shard("t", ("n1",))
     return made
 
 
 def test_requests_are_limited():
     made = alone()
-    entered = [made.enter("t", 1) for _ in range(10)]
-    refused = made.enter("t", 1)
+    admissions = [made.admit("t", 1) for _ in range(10)]
+    refused = made.admit("t", 1)
     assert (refused.code, refused.http_status, refused.run) == (
         "team_limit",
         429,
         outcomes.RunStatus.NOT_RUN,
     )
     assert refused.retry_after_s > 0
-    made.leave(entered[0])
-    assert isinstance(made.enter("t", 1), limits.Entered)
+    made.release(admissions[0])
+    assert isinstance(made.admit("t", 1), limits.Admission)
 
 
 def test_tokens_are_limited():
     made = alone()
-    made.enter("t", 900)
-    assert made.enter("t", 200).code == "team_limit"
-    assert isinstance(made.enter("t", 100), limits.Entered)
+    made.admit("t", 900)
+    assert made.admit("t", 200).code == "team_limit"
+    assert isinstance(made.admit("t", 100), limits.Admission)
 
 
 def test_refused_requests_count_as_demand_once():
     made = alone()
     for _ in range(25):
-        made.enter("t", 1)
+        made.admit("t", 1)
     assert [made.heartbeat()[0].demand for _ in range(2)] == [2.5, 1.0]
 
 
 def test_request_larger_than_the_limit_may_run_alone():
     made = alone()
-    assert isinstance(made.enter("t", 5000), limits.Entered)
-    assert made.enter("t", 1).code == "team_limit"
+    assert isinstance(made.admit("t", 5000), limits.Admission)
+    assert made.admit("t", 1).code == "team_limit"
 
 
 def test_changed_limit_keeps_count_of_what_is_in_flight():
     made = alone()
-    entered = [made.enter("t", 1) for _ in range(5)]
+    admissions = [made.admit("t", 1) for _ in range(5)]
     made.configure([teamlimits.TeamLimit("t", 1.0, 0, 5, 1000)])
-    assert made.enter("t", 1).code == "team_limit"
+    assert made.admit("t", 1).code == "team_limit"
     made.configure([])
-    for each in entered:
-        made.leave(each)
+    for each in admissions:
+        made.release(each)
     made.configure([])
     with pytest.raises(codederrors.CodedError, match="team_unknown"):
-        made.enter("t", 1)
+        made.admit("t", 1)
 
 
 def test_leaving_twice_breaks_an_invariant():
     made = alone()
-    entered = made.enter("t", 1)
-    made.leave(entered)
+    admission = made.admit("t", 1)
+    made.release(admission)
     with pytest.raises(codederrors.InvariantError, match="team_left_twice"):
-        made.leave(entered)
+        made.release(admission)
 
 
 SIZES = st.integers(1, 200)
@@ -84,33 +84,33 @@
         self.made = {node: limits.TeamLimits(node, shares.ShareSettings()) for node in self.nodes}
         for each in self.made.values():
             each.configure([LIMIT])
-            each.place("t", self.nodes)
-        self.entered = []
+            each.set_shard("t", self.nodes)
+        self.admissions = []
 
     @stateful.rule(node=st.sampled_from(nodes), count=st.integers(1, 12), tokens=SIZES)
     def enter(self, node, count, tokens):
         for _ in range(count):
-            result = self.made[node].enter("t", tokens)
-            if isinstance(result, limits.Entered):
-                self.entered.append((node, result))
+            result = self.made[node].admit("t", tokens)
+            if isinstance(result, limits.Admission):
+                self.admissions.append((node, result))
 
     @stateful.rule(count=st.integers(1, 5))
     def leave(self, count):
-        for node, entered in self.entered[:count]:
-            self.made[node].leave(entered)
-        del self.entered[:count]
+        for node, admission in self.admissions[:count]:
+            self.made[node].release(admission)
+        del self.admissions[:count]
 
     @stateful.rule(beaten=st.permutations(nodes), unheard=st.sampled_from([None, *nodes]))
     def heartbeat(self, beaten, unheard):
         for node in beaten:
             for said in self.made[node].heartbeat():
                 for hearer in set(self.nodes) - {node, unheard}:
-                    self.made[hearer].hear(node, said)
+                    self.made[hearer].record_peer_share(node, said)
 
     @stateful.invariant()
     def in_flight_stays_within_the_limit_and_one_request_a_node(self):
         in_flight = [self.made[node].in_flight("t") for node in self.nodes]
-        assert sum(in_flight) == len(self.entered)
+        assert sum(in_flight) == len(self.admissions)
         assert sum(in_flight) <= LIMIT.requests_in_flight + len(self.nodes)
 
 
--- a/tests/teams/test_shares.py
+++ b/tests/teams/test_shares.py
@@ -8,11 +8,11 @@
 NODES = ("n1", "n2", "n3")
 
 
-def keepers(nodes=NODES, floor_share=0.25):
+def controllers(nodes=NODES, floor_share=0.25):
     settings = shares.ShareSettings(floor_share)
-    made = {node: shares.ShareKeeper("t", node, settings) for node in nodes}
-    for keeper in made.values():
-        keeper.place(nodes)
+    made = {node: shares.ShareController("t", node, settings) for node in nodes}
+    for controller in made.values():
+        controller.set_shard(nodes)
     return made
 
 
@@ -20,7 +20,7 @@
     said = made[node].adjust(demand, used)
     for hearer in hearers:
         if hearer != node:
-            made[hearer].hear(node, said)
+            made[hearer].record_peer_share(node, said)
     return said
 
 
@@ -32,13 +32,15 @@
 
 
 def test_idle_nodes_hold_the_limit_evenly():
-    made = keepers()
+    made = controllers()
     run_beats(made, dict.fromkeys(NODES, 0.0), 40)
-    assert [keeper.share for keeper in made.values()] == pytest.approx([1 / 3] * 3, abs=0.02)
+    assert [controller.share for controller in made.values()] == pytest.approx(
+        [1 / 3] * 3, abs=0.02
+    )
 
 
 def test_share_moves_to_where_the_demand_is():
-    made = keepers()
+    made = controllers()
     run_beats(made, {"n1": 2.0, "n2": 0.0, "n3": 0.0}, 60)
     assert made["n1"].share > 0.8
     run_beats(made, {"n1": 0.0, "n2": 2.0, "n3": 0.0}, 60)
@@ -46,9 +48,11 @@
 
 
 def test_competing_demands_split_the_limit():
-    made = keepers()
+    made = controllers()
     run_beats(made, {"n1": 2.0, "n2": 2.0, "n3": 2.0}, 60)
-    assert [keeper.share for keeper in made.values()] == pytest.approx([1 / 3] * 3, abs=0.02)
+    assert [controller.share for controller in made.values()] == pytest.approx(
+        [1 / 3] * 3, abs=0.02
+    )
 
 
 def crowd_out(made):
@@ -59,14 +63,14 @@
 
 
 def total(made):
-    return sum(keeper.share for keeper in made.values())
+    return sum(controller.share for controller in made.values())
 
 
 def test_unheard_node_stops_every_raise():
     # One link fails one way: n1 hears n2 and takes the room that n2 has given, but n2
     # misses that. When n2's callers come back it takes the same room again, and the team
     # has far more in flight than its limit.
-    made = keepers(("n1", "n2"))
+    made = controllers(("n1", "n2"))
     crowd_out(made)
     for _ in range(20):
         beat(made, "n1", 3.0, 0.5, hearers=())
@@ -80,7 +84,7 @@
 def test_raises_at_the_same_time_fit_into_the_room(beats):
     # Callers come to both nodes in the same second; each sees the same free room and
     # takes all of it before it hears of the other, or takes a second part too early.
-    made = keepers(("n1", "n2"))
+    made = controllers(("n1", "n2"))
     crowd_out(made)
     before = made["n1"].share
     for _ in range(beats):
@@ -91,18 +95,18 @@
 
 
 def test_floor_of_another_node_is_kept_free():
-    keeper = keepers()["n1"]
+    controller = controllers()["n1"]
     for _ in range(60):
-        keeper.hear("n2", teamlimits.TeamShare("t", 0.7, 0.0))
-        keeper.hear("n3", teamlimits.TeamShare("t", 0.0, 0.0))
-        keeper.adjust(demand=3.0, used=0.0)
-    assert keeper.share == pytest.approx(0.3 - 0.25 / 3, abs=0.01)
+        controller.record_peer_share("n2", teamlimits.TeamShare("t", 0.7, 0.0))
+        controller.record_peer_share("n3", teamlimits.TeamShare("t", 0.0, 0.0))
+        controller.adjust(demand=3.0, used=0.0)
+    assert controller.share == pytest.approx(0.3 - 0.25 / 3, abs=0.01)
 
 
 def test_announces_what_is_still_in_flight():
     # A team's callers move to another node while long drafts still run at the first.
     # The second node takes the room at once, and the engines carry the team twice.
-    made = keepers(("n1", "n2"))
+    made = controllers(("n1", "n2"))
     run_beats(made, {"n1": 2.0, "n2": 0.0}, 60)
     for _ in range(20):
         beat(made, "n1", demand=0.0, used=0.8, hearers=made)
@@ -112,18 +116,18 @@
 
 
 def test_node_outside_the_shard_keeps_a_floor():
-    made = keepers()
-    made["n1"].place(("n2", "n3"))
+    made = controllers()
+    made["n1"].set_shard(("n2", "n3"))
     run_beats(made, {"n1": 2.0, "n2": 0.0, "n3": 0.0}, 20)
     assert made["n1"].share == pytest.approx(0.25 / 3)
 
 
 def test_only_node_holds_the_whole_limit():
-    assert keepers(("n1",))["n1"].share == 1.0
+    assert controllers(("n1",))["n1"].share == 1.0
 
 
 def test_unplaced_node_holds_nothing():
-    assert shares.ShareKeeper("t", "n1", shares.ShareSettings()).share == 0.0
+    assert shares.ShareController("t", "n1", shares.ShareSettings()).share == 0.0
 
 
 class SharesMachine(stateful.RuleBasedStateMachine):
@@ -131,7 +135,7 @@
 
     def __init__(self):
         super().__init__()
-        self.made = keepers(("n1", "n2"), floor_share=0.1)
+        self.made = controllers(("n1", "n2"), floor_share=0.1)
         self.demand = {"n1": 0.0, "n2": 0.0}
 
     @stateful.rule(node=st.sampled_from(["n1", "n2"]), demand=st.sampled_from([0.0, 0.5, 3.0]))
@@ -166,8 +170,8 @@
 
 
 def test_announcement_of_another_shard_is_ignored():
-    keeper = keepers(("n1", "n2"))["n1"]
+    controller = controllers(("n1", "n2"))["n1"]
     for _ in range(5):
-        keeper.hear("n9", teamlimits.TeamShare("t", 0.9, 3.0))
-        keeper.hear("n2", teamlimits.TeamShare("t", 0.125, 0.0))
-    assert keeper.adjust(demand=1.0, used=0.0).share > 0.4
+        controller.record_peer_share("n9", teamlimits.TeamShare("t", 0.9, 3.0))
+        controller.record_peer_share("n2", teamlimits.TeamShare("t", 0.125, 0.0))
+    assert controller.adjust(demand=1.0, used=0.0).share > 0.4
