--- a/hornbeamglade/admission/margincontrol.py
+++ b/hornbeamglade/admission/margincontrol.py
@@ -8,17 +8,17 @@
 class MarginSettings:
     """The control of the margin.
 
-    :param start: deviations at first.
-    :param least: lower bound.
-    :param most: upper bound.
+    :param initial: deviations at first.
+    :param minimum: lower bound.
+    :param maximum: upper bound.
     :param target: preemptions for each finished request at which the margin rests.
     :param step: factor by which one preemption widens the margin.
     :param most_steps: bound on the steps taken for one report.
     """
 
-    start: float = 1.5
-    least: float = 0.1
-    most: float = 4.0
+    initial: float = 1.5
+    minimum: float = 0.1
+    maximum: float = 4.0
     target: float = 0.05
     step: float = 1.02
     most_steps: int = 3
@@ -40,7 +40,7 @@
     Examples
     ========
 
-    >>> controller = MarginController(MarginSettings(start=1.0, step=1.1))
+    >>> controller = MarginController(MarginSettings(initial=1.0, step=1.1))
     >>> controller.preempted(1)
     >>> round(controller.deviations, 2)
     1.1
@@ -49,15 +49,15 @@
     def __init__(self, settings: MarginSettings | None = None) -> None:
         self._settings = settings or MarginSettings()
         self._decay = self._settings.step**-self._settings.target
-        self.deviations = self._settings.start
+        self.deviations = self._settings.initial
 
     def preempted(self, count: int) -> None:
         """Widen for ``count`` preemptions seen since the last call."""
         settings = self._settings
         # One crowded moment preempts many at once; that is one error, not many.
         widened = self.deviations * math.pow(settings.step, min(count, settings.most_steps))
-        self.deviations = min(settings.most, widened)
+        self.deviations = min(settings.maximum, widened)
 
     def finished(self) -> None:
         """Narrow a little for a request that came to its end."""
-        self.deviations = max(self._settings.least, self.deviations * self._decay)
+        self.deviations = max(self._settings.minimum, self.deviations * self._decay)
--- a/hornbeamglade/admission/policies.py
+++ b/hornbeamglade/admission/policies.py
@@ -14,7 +14,7 @@
 
     The owner calls ``admit`` after ``fits``, ``progress`` as tokens arrive,
     ``finish`` whichever way the request ended, and ``report`` for each load
-    report. All but ``fits`` and ``room`` are the same for the plain policies.
+    report. All but ``fits`` and ``headroom`` are the same for the plain policies.
 
     :param capacity_tokens: the replica's memory, until a report tells it.
     :param max_running: bound on requests at once, or None.
@@ -31,16 +31,16 @@
         self._max_running = max_running
 
     @abc.abstractmethod
-    def room(self, now: float) -> float:
+    def headroom(self, now: float) -> float:
         """Return the tokens that may still be taken on; below 0 when overfull."""
 
     def fits(self, work: outcomes.Work, now: float) -> bool:
         """Tell whether the replica should take on ``work`` now."""
         if self.is_idle():
             return self.can_ever_fit(work)
-        if self.is_at_bound():
+        if self.is_at_limit():
             return False
-        return self.ledger.footprint(work.prompt_tokens) <= self.room(now)
+        return self.ledger.footprint(work.prompt_tokens) <= self.headroom(now)
 
     def admit(self, work: outcomes.Work, now: float) -> None:
         """Count ``work`` in."""
@@ -66,7 +66,7 @@
         """Tell whether nothing is known to run; a margin must not starve an idle replica."""
         return not self.ledger.stream_by_id and not self.ledger.others
 
-    def is_at_bound(self) -> bool:
+    def is_at_limit(self) -> bool:
         """Tell whether as many requests run as may."""
         if self._max_running is None:
             return False
@@ -85,7 +85,7 @@
     False
     """
 
-    def room(self, now: float) -> float:
+    def headroom(self, now: float) -> float:
         """Return capacity less present use."""
         return self.ledger.capacity - self.ledger.own - self.ledger.others
 
@@ -106,7 +106,7 @@
         super().__init__(capacity_tokens, max_running, settings)
         self._reserve_tokens = reserve_tokens
 
-    def room(self, now: float) -> float:
+    def headroom(self, now: float) -> float:
         """Return capacity less present use and the reserves, the next request's too."""
         running = len(self.ledger.stream_by_id) + 1
         used = self.ledger.own + self.ledger.others
@@ -131,6 +131,6 @@
         """Take on whatever an empty replica could hold."""
         return self.can_ever_fit(work)
 
-    def room(self, now: float) -> float:
+    def headroom(self, now: float) -> float:
         """Return the capacity, shared among what runs and one more."""
         return self.ledger.capacity / (1 + len(self.ledger.stream_by_id))
--- a/hornbeamglade/admission/replicaadmission.py
+++ b/hornbeamglade/admission/replicaadmission.py
@@ -97,14 +97,14 @@
         """Tell whether memory suffices at every horizon with ``work`` taken on too."""
         if self.is_idle():
             return self.can_ever_fit(work)
-        if self.is_at_bound():
+        if self.is_at_limit():
             return False
         share = self._share(work, 0)
         does_fit = self._least_room(share, now) >= 0.0
         self._held_back = self._held_back or not does_fit
         return does_fit
 
-    def room(self, now: float) -> float:
+    def headroom(self, now: float) -> float:
         """Return the tokens left at the fullest horizon, margin taken off."""
         nothing = (0.0,) * len(self._means)
         return self._least_room(_Share(0, nothing, nothing, nothing), now)
@@ -162,13 +162,13 @@
         middle = produced + settings.stride // 2
         held = self.ledger.footprint(work.prompt_tokens) + middle
         table = self._lengths.table(work.service, work.team)
-        present = table.at(produced)
+        present = table.survival(produced)
         bound = math.inf if work.max_tokens is None else work.max_tokens
         means = []
         variances = []
         worst = []
         for horizon in settings.horizons:
-            outlasts = table.at(produced + horizon) / present
+            outlasts = table.survival(produced + horizon) / present
             if horizon and produced + horizon >= bound:
                 outlasts = 0.0
             then = held + horizon
--- a/hornbeamglade/bench/policyclairvoyant.py
+++ b/hornbeamglade/bench/policyclairvoyant.py
@@ -42,11 +42,11 @@
 
     def fits(self, work: outcomes.Work, now: float) -> bool:
         """Tell whether no later moment overflows with ``work`` taken on too."""
-        if self.is_at_bound():
+        if self.is_at_limit():
             return False
         return self._least_room([*self._course_by_id.values(), self._course(work, now)], now) >= 0
 
-    def room(self, now: float) -> float:
+    def headroom(self, now: float) -> float:
         """Return the tokens left at the fullest later moment."""
         return self._least_room(list(self._course_by_id.values()), now)
 
--- a/hornbeamglade/bench/policyrun.py
+++ b/hornbeamglade/bench/policyrun.py
@@ -24,7 +24,7 @@
 _SLOW_STEPS = 3
 # Knowing the lengths, it would else let short answers pass the long ones for ever:
 # more tokens, by refusing every long answer.
-_FIRST_COME_FIRST = queuesettings.WaitingSettings(max_passes=0)
+_FIRST_COME_FIRST = queuesettings.QueueSettings(max_passes=0)
 
 POLICIES = (
     "round-robin",
@@ -112,7 +112,7 @@
     if policy == "least-outstanding":
         return policydispatch.LeastOutstanding(scenario, pool, recorder)
     admission = _admission(scenario, policy, requests)
-    queue = _FIRST_COME_FIRST if policy == "clairvoyant" else queuesettings.WaitingSettings()
+    queue = _FIRST_COME_FIRST if policy == "clairvoyant" else queuesettings.QueueSettings()
     return policyschedulers.SchedulerDispatcher(scenario, pool, recorder, admission, queue, seed)
 
 
--- a/hornbeamglade/bench/policyschedulers.py
+++ b/hornbeamglade/bench/policyschedulers.py
@@ -8,7 +8,7 @@
 from hornbeamglade.admission import policies, tokenledger
 from hornbeamglade.bench import policydispatch, policymetrics, policypool, policyworkload
 from hornbeamglade.core import outcomes
-from hornbeamglade.fairness import queuesettings, waiting
+from hornbeamglade.fairness import fairqueue, queuesettings
 from hornbeamglade.grants import replicascheduler
 from hornbeamglade.lengths import lengthmodel
 from hornbeamglade.routing import candidates, choice, outliers, placements
@@ -47,7 +47,7 @@
         pool: list[policypool.Replica],
         recorder: policymetrics.Recorder,
         admission: AdmissionFactory,
-        queue: queuesettings.WaitingSettings,
+        queue: queuesettings.QueueSettings,
         seed: int,
     ) -> None:
         super().__init__(scenario, pool, recorder)
@@ -75,7 +75,7 @@
         for name in self._choices(work, node, now):
             scheduler = self._rng.choice(self._schedulers_by_replica[name])
             weight = policyworkload.WEIGHT_BY_TEAM[work.team]
-            answer = scheduler.ask(work, weight, now, self.deadline(request))
+            answer = scheduler.request_grant(work, weight, now, self.deadline(request))
             if isinstance(answer, outcomes.Refusal):
                 continue
             needed = candidates.needed_tokens(work, self._settings)
@@ -105,7 +105,7 @@
         waiting_ids = [
             settled.request_id
             for scheduler in self._schedulers_by_replica[replica.name]
-            for settled in scheduler.leave()
+            for settled in scheduler.drain()
         ]
         super().lost(replica, served, now)
         for request_id in waiting_ids:
@@ -121,7 +121,7 @@
             schedulers = self._schedulers_by_replica[replica.name]
             for view in replica.reports(step, now):
                 for scheduler in schedulers:
-                    scheduler.reported(view, False, now)
+                    scheduler.apply_report(view, False, now)
             if (step + 6 * i) % _PROGRESS_EVERY_STEPS == 0:
                 self._report_progress(replica, now)
             if (step + i) % _SETTLE_EVERY_STEPS == 0:
@@ -136,12 +136,12 @@
         return [self._new_scheduler(replica, now) for _ in range(self.scenario.owners)]
 
     def _new_scheduler(self, replica: str, now: float) -> replicascheduler.ReplicaScheduler:
-        queue = waiting.WaitingQueue(self._queue_settings)
+        queue = fairqueue.FairQueue(self._queue_settings)
         scheduler = replicascheduler.ReplicaScheduler(
             replica, self._admission(self._lengths), queue
         )
         # An owner grants nothing before it has heard of the replica.
-        scheduler.reported(
+        scheduler.apply_report(
             tokenledger.LoadView(0, 0.0, self.scenario.capacity_tokens, 0), False, now
         )
         return scheduler
@@ -189,8 +189,8 @@
             replica=replica.name,
             owner=replica.name,
             local=False,
-            room_tokens=int(min(scheduler.admission.room(now) for scheduler in schedulers)),
-            queued=sum(scheduler.waiting_count for scheduler in schedulers),
+            room_tokens=int(min(scheduler.admission.headroom(now) for scheduler in schedulers)),
+            queued=sum(scheduler.queued_count for scheduler in schedulers),
             expected_wait_s=max(scheduler.queue.expected_wait_s(now) for scheduler in schedulers),
             report_age_s=0.0,
             failure_domain=replica.domain,
@@ -210,7 +210,7 @@
     def _settle(
         self, replica: policypool.Replica, scheduler: replicascheduler.ReplicaScheduler, now: float
     ) -> None:
-        for settled in scheduler.settle(now):
+        for settled in scheduler.process_queue(now):
             if isinstance(settled.answer, outcomes.Refusal):
                 self._refuse(settled.request_id, now)
             else:
--- a/hornbeamglade/capacity/measuringgrants.py
+++ b/hornbeamglade/capacity/measuringgrants.py
@@ -95,7 +95,7 @@
     """Give the schedulers a report of an idle replica, without which they grant nothing."""
     view = tokenledger.LoadView(1, 0.0, samplesite.MEMORY_TOKENS, 0, 0)
     for replica in replicas:
-        schedulers.change(replica, lambda scheduler, now: scheduler.reported(view, False, now))
+        schedulers.apply(replica, lambda scheduler, now: scheduler.apply_report(view, False, now))
 
 
 def _schedulers(replicas: int, streams: int = _STREAMS_PER_SCHEDULER) -> schedulerset.SchedulerSet:
@@ -106,7 +106,7 @@
     for name in names:
         for number in range(streams):
             work = dataclasses.replace(_work(number), request_id=f"{name}/{number}")
-            schedulers.ask(name, work, 1.0, 10.0, _ignore)
+            schedulers.request_grant(name, work, 1.0, 10.0, _ignore)
             schedulers.progress(name, work.request_id, 100 + number)
     return schedulers
 
@@ -117,13 +117,13 @@
     work = _work(1_000_000)
 
     def serve() -> None:
-        answer = schedulers.ask(replica, work, 1.0, 10.0, _ignore)
+        answer = schedulers.request_grant(replica, work, 1.0, 10.0, _ignore)
         if not isinstance(answer, replicascheduler.Granted):
             raise codederrors.InvariantError("capacity_not_granted", repr(answer))
         for seconds in range(1, 8):
             schedulers.progress(replica, work.request_id, 38 * seconds)
         schedulers.finish(replica, work.request_id)
-        schedulers.learn(work.service, work.team, 286, censored=False)
+        schedulers.observe_length(work.service, work.team, 286, censored=False)
 
     return gauges.cpu_us(serve)
 
@@ -179,7 +179,7 @@
         self._client = grantclient.GrantClient(_INCARNATION, to_owner, self._clock)
         scheduler = self._scheduler()
         self._server = grantserver.GrantServer(scheduler, to_asker, self._clock)
-        scheduler.connect(self._server.push)
+        scheduler.set_push(self._server.push)
         to_owner.other, to_owner.handle = owner, self._at_owner
         to_asker.other, to_asker.handle = asker, self._client.answered
         self._peer = transport.Peer(nodes[1], _ENDPOINT)
@@ -192,7 +192,7 @@
         schedulers = schedulerset.SchedulerSet(self._clock, lengthmodel.LengthModel())
         schedulers.configure({self._replica: samplesite.scheduler_spec()})
         _report(schedulers, (self._replica,))
-        names = remotescheduler.AskNames()
+        names = remotescheduler.ConfiguredNames()
         names.replicas.replace((self._replica,))
         names.services.replace((self._work.service,))
         names.teams.replace((self._work.team,))
@@ -225,7 +225,7 @@
             weight=1.0,
             deadline_ms=3000,
         )
-        answer = self._client.ask(self._peer, ask)
+        answer = self._client.request_grant(self._peer, ask)
         if getattr(answer, "kind", None) is not messages.GrantKind.GRANTED:
             raise codederrors.InvariantError("capacity_not_granted", repr(answer))
         return answer.grant_id
--- a/hornbeamglade/capacity/measuringrouting.py
+++ b/hornbeamglade/capacity/measuringrouting.py
@@ -91,7 +91,7 @@
     names = [samplesite.replica_name(number * samplesite.POOLS) for number in range(_OWN_OF_POOL)]
     schedulers = schedulerset.SchedulerSet(clocks.ManualClock(), lengthmodel.LengthModel())
     schedulers.configure({name: samplesite.scheduler_spec() for name in names})
-    schedulers.own(frozenset(names))
+    schedulers.set_owned(frozenset(names))
     return schedulers.states()
 
 
--- a/hornbeamglade/capacity/samplesite.py
+++ b/hornbeamglade/capacity/samplesite.py
@@ -97,7 +97,7 @@
 def scheduler_spec() -> schedulerset.SchedulerSpec:
     """Return what every replica's scheduler is made from."""
     return schedulerset.SchedulerSpec(
-        MEMORY_TOKENS, replicaadmission.AdmissionSettings(), queuesettings.WaitingSettings()
+        MEMORY_TOKENS, replicaadmission.AdmissionSettings(), queuesettings.QueueSettings()
     )
 
 
--- a/hornbeamglade/entry/callershandler.py
+++ b/hornbeamglade/entry/callershandler.py
@@ -7,7 +7,7 @@
 
 from hornbeamglade.core import clocks, outcomes
 from hornbeamglade.entry import startupgate
-from hornbeamglade.grants import grantanswers
+from hornbeamglade.grants import grantresponses
 from hornbeamglade.http1 import serverside
 from hornbeamglade.observability import logs, metrics
 from hornbeamglade.quarantine import fingerprints, requestquarantine
@@ -141,7 +141,7 @@
     ) -> None:
         """Refuse a routed request, with a time to come back that its caller can wait for."""
         left_s = routed.ends_at - self._parts.clock.now()
-        refusal = grantanswers.sent_away(left_s, refusal)
+        refusal = grantresponses.bound_retry_after(left_s, refusal)
         team = "" if routed.team is None else routed.team.name
         self._note(routed, log, refusal.code, refusal.http_status)
         await self._refuse(exchange, refusal, routed.call.request_id, team)
--- a/hornbeamglade/entry/enginewatch.py
+++ b/hornbeamglade/entry/enginewatch.py
@@ -66,7 +66,7 @@
         if report is None:
             return
         if isinstance(report, reportpoller.EngineLost):
-            if self._schedulers.lost(replica.id):
+            if self._schedulers.mark_unreachable(replica.id):
                 logs.state_changed("engine", "reached", "unreached", replica=replica.id)
                 self._announce()
             return
@@ -79,8 +79,8 @@
             used_tokens=report.used_tokens,
         )
         leaving = report.is_leaving or not self._replicas.is_usable(replica.id)
-        self._schedulers.change(
-            replica.id, lambda scheduler, now: scheduler.reported(load, leaving, now)
+        self._schedulers.apply(
+            replica.id, lambda scheduler, now: scheduler.apply_report(load, leaving, now)
         )
         if report.is_leaving and replica.id not in self._leaving:
             self.leaves(replica.id, REPORT)
@@ -100,7 +100,7 @@
         logs.state_changed(
             "engine", "serving", "leaving", replica=replica_id, source=source, count=runs
         )
-        self._schedulers.leave(replica_id)
+        self._schedulers.drain(replica_id)
         if self._moves_runs:
             self._registry.on_replica_leaving(replica_id)
 
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -163,7 +163,7 @@
         self.catalog = enginecatalog.EngineCatalog(
             self._available, self._schedulers, digests, self.peering.owned, rates
         )
-        self.peering.offer_others(self.catalog.owned_alternatives)
+        self.peering.set_alternatives(self.catalog.owned_alternatives)
         self.acquirer = asyncgrantacquirer.AsyncGrantAcquirer(
             clock,
             self._schedulers,
@@ -326,14 +326,14 @@
         """Seconds until the next tick is due."""
         is_silent = not self.watch.is_telling and self.quarantine.is_idle
         is_idle = self.peering.is_idle and is_silent and self._startup.is_over
-        return IDLE_TICK_S if is_idle and not self._schedulers.is_waited_at else TICK_S
+        return IDLE_TICK_S if is_idle and not self._schedulers.has_waiting_requests else TICK_S
 
     def tick(self) -> None:
         """Do what is due; several times a second."""
         self._look_whether_begun()
         self.peering.tick()
         self.poller.tick()
-        self._schedulers.settle()
+        self._schedulers.process_queues()
         self.quarantine.tick()
         self.pass_on()
 
@@ -457,7 +457,7 @@
 
     def _evacuations_changed(self) -> None:
         # Those that wait for an evacuated engine are refused, and go to another at once.
-        self._schedulers.settle()
+        self._schedulers.process_queues()
         self._look_whether_begun()
         self.pass_on()
 
@@ -495,7 +495,7 @@
         return directory.has_others_ready(self.peering.heartbeats.members(), self._told.name)
 
     def _outlasts(self, service: str, team: str, tokens: float) -> float:
-        return self._lengths.table(service, team).at(tokens)
+        return self._lengths.table(service, team).survival(tokens)
 
     def _learn(self, service: str, team: str, tokens: int, is_cut: bool) -> None:
-        self._schedulers.learn(service, team, tokens, censored=is_cut)
+        self._schedulers.observe_length(service, team, tokens, censored=is_cut)
--- a/hornbeamglade/entry/partsettings.py
+++ b/hornbeamglade/entry/partsettings.py
@@ -46,10 +46,10 @@
             horizons=policy.horizons,
             max_running=engine.slots,
             margin=margincontrol.MarginSettings(
-                start=policy.margin_start, least=policy.margin_least
+                initial=policy.margin_start, minimum=policy.margin_least
             ),
         ),
-        queue=queuesettings.WaitingSettings(
+        queue=queuesettings.QueueSettings(
             min_retry_s=policy.least_retry_s, max_retry_s=policy.most_retry_s
         ),
     )
--- a/hornbeamglade/entry/peering.py
+++ b/hornbeamglade/entry/peering.py
@@ -14,7 +14,7 @@
     messages,
     transport,
 )
-from hornbeamglade.grants import grantacquirer, remotescheduler, schedulerset, turntaker
+from hornbeamglade.grants import grantacquirer, migrationcoordinator, remotescheduler, schedulerset
 from hornbeamglade.membership import heartbeats, incarnations, membershiplog, ownership
 from hornbeamglade.membership import view as membershipview
 from hornbeamglade.node import digestcache
@@ -58,7 +58,7 @@
         """Take an error that a message caused here."""
 
 
-class Peering(grantacquirer.Owners):
+class Peering(grantacquirer.ReplicaOwners):
     """One instance's side of the exchange; to be used on its event loop only.
 
     :param identity: this instance, as the others know it.
@@ -103,11 +103,13 @@
         self.codec = codec.Codec(identity.name, incarnation, keys, clock)
         self.transport = asyncudp.AsyncUdpTransport(self.codec, self._handle, news.message_failed)
         self.grants = asyncgrantclient.AsyncGrantClient(incarnation, self.transport, clock)
-        self.names = remotescheduler.AskNames()
+        self.names = remotescheduler.ConfiguredNames()
         self._scheduler = remotescheduler.RemoteScheduler(schedulers, clock, self.names)
         self._server = grantserver.GrantServer(self._scheduler, self.transport, clock)
-        self._scheduler.connect(self._server.push)
-        self.turns = turntaker.TurnTaker(identity.name, self, self.transport, clock)
+        self._scheduler.set_push(self._server.push)
+        self.turns = migrationcoordinator.MigrationCoordinator(
+            identity.name, self, self.transport, clock
+        )
         self.heartbeats = heartbeats.Heartbeats(
             identity,
             incarnation,
@@ -121,9 +123,9 @@
         """Begin to receive."""
         await self.transport.listen(transport.Endpoint.parse(self._identity.exchange))
 
-    def offer_others(self, others: remotescheduler.Others) -> None:
+    def set_alternatives(self, others: remotescheduler.Alternatives) -> None:
         """Take what finds other engines for asks that leave the choice to this instance."""
-        self._scheduler.offer_others(others)
+        self._scheduler.set_alternatives(others)
 
     def owner(self, replica: str) -> transport.Peer | None:
         """Return the owner of a replica, or None when it is this instance."""
@@ -136,7 +138,7 @@
         """Return the replicas that this instance owns now."""
         return self._ownership.owned_by(self._identity.name)
 
-    def unanswered(self, owner: str) -> None:
+    def record_no_response(self, owner: str) -> None:
         """Note that an owner left an ask unanswered."""
         self.heartbeats.record_no_reply(owner)
 
@@ -193,7 +195,7 @@
         moves = self._ownership.update(engines, nodes)
         if not moves:
             return
-        self._schedulers.own(self.owned())
+        self._schedulers.set_owned(self.owned())
         for move in moves:
             peer = None if move.after is None else self.heartbeats.peer(move.after)
             if peer is not None and move.after != self._identity.name:
@@ -232,7 +234,7 @@
         elif isinstance(message, messages.Progress):
             self._server.progressed(message, sender, source)
         elif isinstance(message, messages.MigrationSlot):
-            self.turns.heard(message, sender, source)
+            self.turns.handle_message(message, sender, source)
         elif isinstance(message, messages.VersionAnnouncement):
             self._news.on_hint(message)
             for due in self._documents.on_hint(sender.name, message):
@@ -262,9 +264,9 @@
 def _replica_digest(state: schedulerset.SchedulerState) -> messages.ReplicaDigest:
     return messages.ReplicaDigest(
         replica=messages.key_hash(state.replica),
-        room_tokens=max(0, min(MOST_ROOM_TOKENS, int(state.room_tokens))),
-        queued=state.ahead,
+        room_tokens=max(0, min(MOST_ROOM_TOKENS, int(state.headroom_tokens))),
+        queued=state.waiting_ahead,
         expected_wait_ms=int(state.expected_wait_s * 1000),
         leaving=state.leaving,
-        ejected=state.is_lost,
+        ejected=state.is_unreachable,
     )
--- a/hornbeamglade/exchange/asyncgrantclient.py
+++ b/hornbeamglade/exchange/asyncgrantclient.py
@@ -26,7 +26,7 @@
         """Go on under another incarnation."""
         self._tracker.rise_to(incarnation)
 
-    async def ask(
+    async def request_grant(
         self, owner: transport.Peer, ask: messages.GrantRequest
     ) -> messages.GrantResponse | grantrequests.NoResponse | None:
         """Ask ``owner`` and wait for a grant, a refusal or its silence.
--- a/hornbeamglade/exchange/grantclient.py
+++ b/hornbeamglade/exchange/grantclient.py
@@ -32,7 +32,7 @@
         with self._lock:
             self._tracker.rise_to(incarnation)
 
-    def ask(
+    def request_grant(
         self,
         owner: transport.Peer,
         ask: messages.GrantRequest,
--- a/hornbeamglade/exchange/grantserver.py
+++ b/hornbeamglade/exchange/grantserver.py
@@ -62,7 +62,7 @@
     """
 
     @abc.abstractmethod
-    def ask(self, key: GrantKey, ask: messages.GrantRequest) -> messages.GrantResponse:
+    def decide(self, key: GrantKey, request: messages.GrantRequest) -> messages.GrantResponse:
         """Grant, queue or refuse; called once for each key."""
 
     @abc.abstractmethod
@@ -70,11 +70,11 @@
         """Take note of how many tokens a granted request has produced."""
 
     @abc.abstractmethod
-    def returned(self, key: GrantKey, produced: int) -> None:
+    def release(self, key: GrantKey, produced: int) -> None:
         """Free what an ask held or queued for; it produced so many tokens in all."""
 
     @abc.abstractmethod
-    def lapse(self, key: GrantKey) -> None:
+    def expire(self, key: GrantKey) -> None:
         """Free what a silent holder's ask held or queued for."""
 
     @abc.abstractmethod
@@ -192,7 +192,7 @@
                 del self._incarnation_by_holder[holder]
 
     def _decide(self, key: GrantKey, ask: messages.GrantRequest) -> messages.GrantResponse:
-        answer = self._scheduler.ask(key, ask)
+        answer = self._scheduler.decide(key, ask)
         with self._lock:
             record = self._record_by_key[key]
             if record.phase is _Phase.ASKING:
@@ -204,7 +204,7 @@
             if record.phase is _Phase.REFUSED:
                 return record.answer
         # The ask was returned while the scheduler decided: free what it just gave.
-        self._scheduler.returned(key, 0)
+        self._scheduler.release(key, 0)
         return _refusal(ask.grant_id, RETURNED)
 
     def _returned(self, key: GrantKey, peer: transport.Peer, grant: messages.GrantRelease) -> None:
@@ -220,7 +220,7 @@
                 record.phase = _Phase.RETURNED
                 record.heard_at = self._clock.now()
         if was_open:
-            self._scheduler.returned(key, grant.produced)
+            self._scheduler.release(key, grant.produced)
 
     def _advanced(
         self, key: GrantKey, peer: transport.Peer, grant: messages.GrantProgress
@@ -264,7 +264,7 @@
                 record.phase = _Phase.LAPSED
                 record.heard_at = self._clock.now()
         for key in lapsed:
-            self._scheduler.lapse(key)
+            self._scheduler.expire(key)
 
     def _reply(self, key: GrantKey, peer: transport.Peer, answer: messages.GrantResponse) -> None:
         addressed = dataclasses.replace(answer, grant_id=key.grant_id, incarnation=key.incarnation)
--- a/hornbeamglade/fairness/waiting.py
+++ b/hornbeamglade/fairness/fairqueue.py
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Expired:
+class RemovedRequest:
     """A request that leaves the queue with its final answer, never run.
 
     :param work: the request.
@@ -66,10 +66,10 @@
     :param displaced: requests that gave way to it; their callers are to be answered now.
     """
 
-    displaced: tuple[Expired, ...] = ()
+    displaced: tuple[RemovedRequest, ...] = ()
 
 
-class WaitingQueue:
+class FairQueue:
     """The requests that wait for one replica or pool, as an aggregate.
 
     Every offered request ends exactly once: taken, expired, removed, displaced or
@@ -80,7 +80,7 @@
     Examples
     ========
 
-    >>> queue = WaitingQueue(queuesettings.WaitingSettings())
+    >>> queue = FairQueue(queuesettings.QueueSettings())
     >>> work = outcomes.Work("r-1", "chat", "clerks", 0, prompt_tokens=20)
     >>> queue.offer(work, weight=1.0, now=0.0, deadline=10.0)
     Queued(displaced=())
@@ -88,7 +88,7 @@
     'r-1'
     """
 
-    def __init__(self, settings: queuesettings.WaitingSettings) -> None:
+    def __init__(self, settings: queuesettings.QueueSettings) -> None:
         self._settings = settings
         self._table = flows.FlowTable()
         self._times = virtualtime.VirtualTimes()
@@ -164,20 +164,20 @@
             passed.append(head)
         return None
 
-    def served(self, team: str, tokens: int) -> None:
+    def charge_output(self, team: str, tokens: int) -> None:
         """Charge a team for tokens of its answers.
 
         Prompt tokens are charged by :meth:`take`.
         """
         self._times.charge(team, tokens)
 
-    def expire(self, now: float) -> tuple[Expired, ...]:
+    def expire(self, now: float) -> tuple[RemovedRequest, ...]:
         """Remove and answer every request that can't start in time any more.
 
         Call it at :meth:`next_deadline` and about once a second: a caller that is given
         up on must get its answer at once, not at its deadline.
         """
-        gone: list[Expired] = []
+        gone: list[RemovedRequest] = []
         for flow in self._table.flows():
             ahead = 0
             for entry in list(flow.entries):
@@ -203,20 +203,20 @@
         self._table.remove(entry)
         return entry.work
 
-    def goes_first(self, due: float, now: float) -> bool:
+    def would_start_next(self, due: float, now: float) -> bool:
         """Tell whether a request that comes now would be the next to start.
 
         :param due: when it must have started to be on time.
         """
-        return not self._table or (due > now and not self.ahead(now))
+        return not self._table or (due > now and not self.count_ahead(now))
 
-    def ahead(self, now: float) -> int:
+    def count_ahead(self, now: float) -> int:
         """Return how many wait that can still be on time: a newcomer stands behind them."""
         return sum(entry.due > now for entry in self._table.entries())
 
     def expected_wait_s(self, now: float) -> float:
         """Return the expected seconds until a newcomer that can be on time starts."""
-        return self.ahead(now) * self._interval_s(now)
+        return self.count_ahead(now) * self._interval_s(now)
 
     def _interval_s(self, now: float) -> float:
         return self._rate.current_interval_s(now) or 0.0
@@ -302,10 +302,10 @@
         starts = forecast.starts_before(entry.flow_key, ahead, waiting, self._times)
         return now + starts * start_s > entry.deadline
 
-    def _expire(self, entry: flows.Entry, code: str, now: float) -> Expired:
+    def _expire(self, entry: flows.Entry, code: str, now: float) -> RemovedRequest:
         refusal = self._refusal(code, entry.work, now)
         self._table.remove(entry)
-        return Expired(entry.work, refusal)
+        return RemovedRequest(entry.work, refusal)
 
     def _refusal(self, code: str, work: outcomes.Work, now: float) -> outcomes.Refusal:
         return refusals.refusal(code, self.retry_after(now, work.request_id))
--- a/hornbeamglade/fairness/queuesettings.py
+++ b/hornbeamglade/fairness/queuesettings.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WaitingSettings:
+class QueueSettings:
     """Bounds and trade-offs of one waiting queue.
 
     :param max_waiting: requests that may wait in all.
--- a/hornbeamglade/grants/asyncgrantacquirer.py
+++ b/hornbeamglade/grants/asyncgrantacquirer.py
@@ -28,7 +28,7 @@
 from hornbeamglade.exchange import asyncgrantclient, grantrequests, messages
 from hornbeamglade.grants import (
     grantacquirer,
-    grantanswers,
+    grantresponses,
     ownerbackoff,
     replicascheduler,
     schedulerset,
@@ -52,8 +52,8 @@
 """So often one of the requests that wait at a node looks for room elsewhere, each in turn: a
 look compares all replicas, and in a crowd dozens wait."""
 
-Known = collections.abc.Callable[[], collections.abc.Sequence[candidates.Candidate]]
-Find = collections.abc.Callable[[int], str | None]
+ListCandidates = collections.abc.Callable[[], collections.abc.Sequence[candidates.Candidate]]
+ResolveReplica = collections.abc.Callable[[int], str | None]
 
 
 @dataclasses.dataclass(slots=True)
@@ -62,15 +62,15 @@
 
     :param replica: the replica's id.
     :param admission_id: identifies the attempt at the schedulers.
-    :param number: the ask's number at a remote owner; None when this node is the owner.
-    :param is_bound: False for a request that goes on without a grant.
+    :param grant_id: the ask's number at a remote owner; None when this node is the owner.
+    :param is_granted: False for a request that goes on without a grant.
     :param produced: tokens of the answer so far.
     """
 
     replica: str
     admission_id: str
-    number: int | None = None
-    is_bound: bool = True
+    grant_id: int | None = None
+    is_granted: bool = True
     produced: int = 0
 
 
@@ -81,26 +81,26 @@
     :param work: what is known of the request.
     :param weight: the team's share.
     :param deadline: monotonic seconds at which its wait ends.
-    :param known: returns replicas that may serve it, as this node knows them now.
-    :param find: returns a replica that may serve it by the hash of its id, or None; by
+    :param list_candidates: returns replicas that may serve it, as this node knows them now.
+    :param resolve_replica: returns a replica that may serve it by the hash of its id, or None; by
         default one of those known.
     :param attempt: distinguishes several tries of one request at the same scheduler.
     :param produced: tokens that its run has, when it goes on from another replica.
     :param avoid: replicas that will not do.
     :param due: monotonic seconds at which it must start to be on time.
-    :param is_bound: whether only known replicas will do: no owner may choose another one.
+    :param known_only: whether only known replicas will do: no owner may choose another one.
     """
 
     work: outcomes.Work
     weight: float
     deadline: float
-    known: Known
+    list_candidates: ListCandidates
     attempt: int = 1
     produced: int = 0
     avoid: frozenset[str] = frozenset()
     due: float = math.inf
-    is_bound: bool = False
-    find: Find | None = None
+    known_only: bool = False
+    resolve_replica: ResolveReplica | None = None
 
     @property
     def admission_id(self) -> str:
@@ -109,9 +109,9 @@
 
     def chosen(self, replica_hash: int) -> str | None:
         """Return the replica that an owner chose, or None if it may not serve the request."""
-        if self.find is not None:
-            return self.find(replica_hash)
-        known = (each.replica for each in self.known())
+        if self.resolve_replica is not None:
+            return self.resolve_replica(replica_hash)
+        known = (each.replica for each in self.list_candidates())
         return next((each for each in known if messages.key_hash(each) == replica_hash), None)
 
 
@@ -131,7 +131,7 @@
         clock: clocks.Clock,
         schedulers: schedulerset.SchedulerSet,
         client: asyncgrantclient.AsyncGrantClient,
-        owners: grantacquirer.Owners,
+        owners: grantacquirer.ReplicaOwners,
         rng: random.Random,
         settings: candidates.RoutingSettings,
     ) -> None:
@@ -147,13 +147,13 @@
         self._lookers: collections.deque[PlacementRequest] = collections.deque()
         self._look_at = clock.now()
 
-    async def find(self, placement: PlacementRequest) -> Grant | outcomes.Refusal:
+    async def acquire(self, placement: PlacementRequest) -> Grant | outcomes.Refusal:
         """Get a grant, or the refusal that the caller is to hear at once.
 
         Cancelling gives up whatever was asked for.
         """
         refused: list[outcomes.Refusal] = []
-        grant = await self.find_room(placement, refused)
+        grant = await self.acquire_now(placement, refused)
         if grant is not None:
             return grant
         for replica in self._one_each(self._ordered(placement), placement):
@@ -163,11 +163,11 @@
             refused.append(answer)
             if self._clock.now() >= placement.deadline:
                 break
-        if grantanswers.is_unowned(refused):
-            return self._without_grant(placement) or grantanswers.soonest(refused)
-        return grantanswers.soonest(refused)
+        if grantresponses.are_owners_unavailable(refused):
+            return self._without_grant(placement) or grantresponses.earliest_retry(refused)
+        return grantresponses.earliest_retry(refused)
 
-    async def find_room(
+    async def acquire_now(
         self, placement: PlacementRequest, refused: list[outcomes.Refusal] | None = None
     ) -> Grant | None:
         """Ask replicas that seem to have room for a grant at once.
@@ -183,7 +183,7 @@
             answer = await self._ask(placement, replica, 0.0)
             if isinstance(answer, Grant):
                 return answer
-            if owner is not None and answer.code == grantanswers.NO_ROOM_NOW:
+            if owner is not None and answer.code == grantresponses.NO_ROOM_NOW:
                 self._backoff.refused(owner.name, needed)
             if refused is not None:
                 refused.append(answer)
@@ -192,7 +192,9 @@
                 break
         return None
 
-    async def find_near(self, placement: PlacementRequest, failure_domain: str) -> Grant | None:
+    async def acquire_for_migration(
+        self, placement: PlacementRequest, failure_domain: str
+    ) -> Grant | None:
         """Ask replicas with room for a run that goes on there, the nearest first.
 
         :param failure_domain: where the run's memory is; a copy to another one takes
@@ -214,25 +216,25 @@
                 return answer
         return None
 
-    def progress(self, grant: Grant, produced: int) -> None:
+    def record_progress(self, grant: Grant, produced: int) -> None:
         """Note how far a granted request has come."""
         grant.produced = produced
-        if not grant.is_bound:
+        if not grant.is_granted:
             return
-        if grant.number is None:
+        if grant.grant_id is None:
             self._schedulers.progress(grant.replica, grant.admission_id, produced)
         else:
-            self._client.note(grant.number, produced)
+            self._client.note(grant.grant_id, produced)
 
     def release(self, grant: Grant) -> None:
         """Give a grant back to its owner; idempotent."""
         if grant.admission_id not in self._active:
             return
         self._active.discard(grant.admission_id)
-        if grant.number is None:
+        if grant.grant_id is None:
             self._schedulers.finish(grant.replica, grant.admission_id)
         else:
-            self._client.close(grant.number)
+            self._client.close(grant.grant_id)
 
     @property
     def active_count(self) -> int:
@@ -245,7 +247,7 @@
 
     def _worth_asking(self, placement: PlacementRequest, needed: int) -> list[str]:
         """Return replicas that may have room, best first, one of each remote owner."""
-        crowded = {each.replica for each in placement.known() if each.queued}
+        crowded = {each.replica for each in placement.list_candidates() if each.queued}
         worth_asking = (
             each.candidate.replica
             for each in self._choices(placement)
@@ -261,7 +263,7 @@
 
         All of them where an owner is not left the choice among its own.
         """
-        if placement.is_bound:
+        if placement.known_only:
             return list(replicas)
         chosen = []
         owners = set()
@@ -274,7 +276,7 @@
         return chosen
 
     def _choices(self, placement: PlacementRequest) -> tuple[choicelib.Choice, ...]:
-        current = self._placements.applied(placement.known(), self._clock.now())
+        current = self._placements.applied(placement.list_candidates(), self._clock.now())
         return choicelib.rank(placement.work, current, self._rng, self._settings)
 
     async def _queue_at(
@@ -290,7 +292,7 @@
             while not here.done() and elsewhere is None:
                 await asyncio.wait((here,), timeout=LOOK_AGAIN_S)
                 if not here.done() and self._take_turn_to_look(placement):
-                    elsewhere = await self.find_room(placement)
+                    elsewhere = await self.acquire_now(placement)
             if here.done() and isinstance(here.result(), Grant):
                 if elsewhere is not None:
                     self.release(elsewhere)
@@ -321,7 +323,7 @@
         if owner is None:
             answer = await self._ask_here(placement, replica, wait_s)
         else:
-            message = grantanswers.message(
+            message = grantresponses.grant_request(
                 placement.work,
                 replica,
                 placement.weight,
@@ -329,7 +331,7 @@
                 placement.produced,
                 placement.avoid,
                 placement.due - self._clock.now(),
-                or_other=not placement.is_bound,
+                or_other=not placement.known_only,
                 at_once=wait_s <= 0.0,
             )
             answer = await self._ask_there(placement, replica, owner.name, message)
@@ -349,18 +351,20 @@
         wait_s: float,
         answer: Grant | outcomes.Refusal,
     ) -> None:
-        known = next((each for each in placement.known() if each.replica == replica), None)
+        candidate = next(
+            (each for each in placement.list_candidates() if each.replica == replica), None
+        )
         logs.decided(
             placement.work.request_id,
             "placed",
             "granted" if isinstance(answer, Grant) else answer.code,
             service=placement.work.service,
             replica=answer.replica if isinstance(answer, Grant) else replica,
-            owner="-" if known is None else known.owner or "self",
-            room=0 if known is None else known.room_tokens,
-            queued=0 if known is None else known.queued,
-            expected_wait_s=None if known is None else round(known.expected_wait_s, 3),
-            age_s=None if known is None else round(known.report_age_s, 3),
+            owner="-" if candidate is None else candidate.owner or "self",
+            room=0 if candidate is None else candidate.room_tokens,
+            queued=0 if candidate is None else candidate.queued,
+            expected_wait_s=None if candidate is None else round(candidate.expected_wait_s, 3),
+            age_s=None if candidate is None else round(candidate.report_age_s, 3),
             tokens=placement.work.prompt_tokens,
             produced=placement.produced,
             wait_s=round(wait_s, 3),
@@ -374,19 +378,19 @@
         )
         grant = Grant(replica, work.request_id)
         if placement.produced:
-            answer = self._schedulers.take_in(replica, work, placement.produced)
+            answer = self._schedulers.admit_migration(replica, work, placement.produced)
             return grant if isinstance(answer, replicascheduler.Granted) else answer
         if wait_s <= 0.0:
-            if self._schedulers.ask_at_once(replica, work, placement.due) is not None:
+            if self._schedulers.try_grant(replica, work, placement.due) is not None:
                 return grant
-            if not self._schedulers.admits_to(replica):
+            if not self._schedulers.can_admit(replica):
                 return replicascheduler.owner_moved(replica)
-            return grantanswers.no_room_now(replica)
-        settled: asyncio.Future[replicascheduler.Settled] = (
+            return grantresponses.no_headroom_now(replica)
+        settled: asyncio.Future[replicascheduler.QueueOutcome] = (
             asyncio.get_running_loop().create_future()
         )
         deadline = self._clock.now() + wait_s
-        answer = self._schedulers.ask(
+        answer = self._schedulers.request_grant(
             replica, work, placement.weight, deadline, settled.set_result, placement.due
         )
         if isinstance(answer, replicascheduler.Granted):
@@ -397,7 +401,7 @@
             async with asyncio.timeout(max(0.0, wait_s)):
                 later = (await settled).answer
         except TimeoutError:
-            later = grantanswers.gave_up(replica)
+            later = grantresponses.queue_timeout(replica)
         except asyncio.CancelledError:
             self._schedulers.finish(replica, work.request_id)
             raise
@@ -412,15 +416,15 @@
         peer = self._owners.owner(replica)
         if peer is None:
             return await self._ask_here(placement, replica, message.deadline_ms / 1000)
-        answer = await self._client.ask(peer, message)
+        answer = await self._client.request_grant(peer, message)
         if isinstance(answer, messages.GrantResponse):
             if answer.kind is messages.GrantKind.GRANTED:
                 return self._granted_there(placement, answer)
-            return grantanswers.refused_there(replica, answer)
+            return grantresponses.owner_refusal(replica, answer)
         if isinstance(answer, grantrequests.NoResponse):
-            self._owners.unanswered(owner)
-            return grantanswers.no_answer(replica, owner)
-        return grantanswers.gave_up(replica)
+            self._owners.record_no_response(owner)
+            return grantresponses.owner_silent(replica, owner)
+        return grantresponses.queue_timeout(replica)
 
     def _granted_there(
         self, placement: PlacementRequest, answer: messages.GrantResponse
@@ -430,10 +434,10 @@
             return Grant(replica, f"{placement.admission_id}@{replica}", answer.grant_id)
         # An engine that this node has not heard of yet, or that has refused the request.
         self._client.close(answer.grant_id)
-        return grantanswers.unfit(answer.replica)
+        return grantresponses.unusable_replica(answer.replica)
 
     def _without_grant(self, placement: PlacementRequest) -> Grant | None:
         ordered = self._ordered(placement)
         if not ordered:
             return None
-        return Grant(ordered[0], f"{placement.admission_id}@{ordered[0]}", is_bound=False)
+        return Grant(ordered[0], f"{placement.admission_id}@{ordered[0]}", is_granted=False)
--- a/hornbeamglade/grants/grantacquirer.py
+++ b/hornbeamglade/grants/grantacquirer.py
@@ -24,7 +24,7 @@
 
 from hornbeamglade.core import clocks, outcomes
 from hornbeamglade.exchange import grantclient, grantrequests, messages, transport
-from hornbeamglade.grants import grantanswers, replicascheduler, schedulerset
+from hornbeamglade.grants import grantresponses, replicascheduler, schedulerset
 from hornbeamglade.routing import candidates, placements
 from hornbeamglade.routing import choice as choicelib
 
@@ -41,7 +41,7 @@
 ROOMY_ASKS = 2
 
 
-class Owners(abc.ABC):
+class ReplicaOwners(abc.ABC):
     """Tells which node owns a replica."""
 
     @abc.abstractmethod
@@ -49,7 +49,7 @@
         """Return the owner, or None when it is this node."""
 
     @abc.abstractmethod
-    def unanswered(self, owner: str) -> None:
+    def record_no_response(self, owner: str) -> None:
         """Note that an owner left an ask unanswered."""
 
 
@@ -59,24 +59,24 @@
     :param replica: the replica's name.
     :param request_id: what the grant was given for.
     :param finder: where it is released and reported.
-    :param number: the ask's number at a remote owner, or None.
+    :param grant_id: the ask's number at a remote owner, or None.
     """
 
-    __slots__ = ("_finder", "_number", "produced", "replica", "request_id")
+    __slots__ = ("_finder", "_grant_id", "produced", "replica", "request_id")
 
     def __init__(
-        self, replica: str, request_id: str, finder: "GrantAcquirer", number: int | None
+        self, replica: str, request_id: str, finder: "GrantAcquirer", grant_id: int | None
     ) -> None:
         self.replica = replica
         self.request_id = request_id
         self.produced = 0
         self._finder = finder
-        self._number = number
+        self._grant_id = grant_id
 
     @property
-    def number(self) -> int | None:
+    def grant_id(self) -> int | None:
         """The ask's number at a remote owner; None when this node is the owner."""
-        return self._number
+        return self._grant_id
 
     def release(self) -> None:
         """Give the permission back; idempotent."""
@@ -90,7 +90,7 @@
     answered: threading.Event = dataclasses.field(default_factory=threading.Event)
     answer: replicascheduler.Granted | outcomes.Refusal | None = None
 
-    def notify(self, settled: replicascheduler.Settled) -> None:
+    def notify(self, settled: replicascheduler.QueueOutcome) -> None:
         self.answer = settled.answer
         self.answered.set()
 
@@ -102,14 +102,14 @@
     :param work: what is known of the request.
     :param weight: the team's share.
     :param deadline: monotonic seconds at which its wait ends.
-    :param is_gone: whether its caller has left.
+    :param is_caller_gone: whether its caller has left.
     :param attempt: distinguishes several tries of one request at the same scheduler.
     """
 
     work: outcomes.Work
     weight: float
     deadline: float
-    is_gone: collections.abc.Callable[[], bool]
+    is_caller_gone: collections.abc.Callable[[], bool]
     attempt: int = 1
 
     @property
@@ -143,11 +143,11 @@
 
     def waits_on(self) -> bool:
         """Look once; tell whether the request still waits where it stands."""
-        if self._placement.is_gone():
+        if self._placement.is_caller_gone():
             return False
         # The first look comes before the owner has answered at all.
         if self._known is not None and self._asked and self.grant is None:
-            self.grant = self._finder.find_room(self._placement, self._known, self._waits_at)
+            self.grant = self._finder.acquire_now(self._placement, self._known, self._waits_at)
         self._asked = True
         return self.grant is None
 
@@ -168,7 +168,7 @@
         clock: clocks.Clock,
         schedulers: schedulerset.SchedulerSet,
         client: grantclient.GrantClient,
-        owners: Owners,
+        owners: ReplicaOwners,
         rng: random.Random,
         settings: candidates.RoutingSettings,
     ) -> None:
@@ -182,7 +182,7 @@
         self._lock = threading.Lock()
         self._active_by_id: dict[str, Grant] = {}
 
-    def find(self, placement: PlacementRequest, known: Known) -> Grant | outcomes.Refusal:
+    def acquire(self, placement: PlacementRequest, known: Known) -> Grant | outcomes.Refusal:
         """Get a grant, or the refusal that the caller is to hear at once.
 
         :param placement: who asks.
@@ -194,15 +194,15 @@
             grant = self._find_once(placement, known, refused)
             if grant is not None:
                 return grant
-            answer = grantanswers.soonest(refused)
-            if answer.code not in grantanswers.UNOWNED_CODES:
+            answer = grantresponses.earliest_retry(refused)
+            if answer.code not in grantresponses.UNOWNED_CODES:
                 return answer
             now = self._clock.now()
-            if grantanswers.is_unowned(refused) and now - begun_at >= UNOWNED_S:
+            if grantresponses.are_owners_unavailable(refused) and now - begun_at >= UNOWNED_S:
                 return self._without_grant(placement, known) or answer
             # An owner that has just died or changed is replaced within seconds; the
             # caller's wait is not over, so the request stays instead of being sent away.
-            if placement.is_gone() or now + SILENT_PAUSE_S >= placement.deadline:
+            if placement.is_caller_gone() or now + SILENT_PAUSE_S >= placement.deadline:
                 return answer
             self._clock.sleep(SILENT_PAUSE_S)
 
@@ -221,7 +221,7 @@
 
         :param refused: takes the refusals.
         """
-        grant = self.find_room(placement, known, None)
+        grant = self.acquire_now(placement, known, None)
         if grant is not None:
             return grant
         for choice in self._ordered(placement.work, known):
@@ -230,11 +230,11 @@
                 self._note_placed(answer, placement.work)
                 return answer
             refused.append(answer)
-            if placement.is_gone() or self._clock.now() >= placement.deadline:
+            if placement.is_caller_gone() or self._clock.now() >= placement.deadline:
                 break
         return None
 
-    def find_room(
+    def acquire_now(
         self, placement: PlacementRequest, known: Known, waits_at: str | None
     ) -> Grant | None:
         """Ask replicas that seem to have room for a grant at once.
@@ -267,22 +267,22 @@
         with self._lock:
             if self._active_by_id.pop(grant.request_id, None) is None:
                 return
-        if grant.number is None:
+        if grant.grant_id is None:
             self._schedulers.progress(grant.replica, grant.request_id, grant.produced)
             self._schedulers.finish(grant.replica, grant.request_id)
         else:
-            self._client.note(grant.number, grant.produced)
-            self._client.close(grant.number)
+            self._client.note(grant.grant_id, grant.produced)
+            self._client.close(grant.grant_id)
 
-    def report(self) -> None:
+    def report_progress(self) -> None:
         """Tell every owner how far its grants have come; called each second."""
         with self._lock:
             active = tuple(self._active_by_id.values())
         for grant in active:
-            if grant.number is None:
+            if grant.grant_id is None:
                 self._schedulers.progress(grant.replica, grant.request_id, grant.produced)
             else:
-                self._client.note(grant.number, grant.produced)
+                self._client.note(grant.grant_id, grant.produced)
 
     @property
     def active_count(self) -> int:
@@ -314,9 +314,11 @@
         work = dataclasses.replace(placement.work, request_id=placement.admission_id)
         wait = _Wait()
         deadline = self._clock.now() if known is None else placement.deadline
-        answer = self._schedulers.ask(replica, work, placement.weight, deadline, wait.notify)
+        answer = self._schedulers.request_grant(
+            replica, work, placement.weight, deadline, wait.notify
+        )
         elsewhere = _Elsewhere(self, placement, replica, known)
-        if isinstance(answer, replicascheduler.Waiting):
+        if isinstance(answer, replicascheduler.Queued):
             try:
                 answer = self._await_scheduler(placement, wait, elsewhere)
             except BaseException:
@@ -331,7 +333,7 @@
         if answer is not None:
             return answer
         self._schedulers.finish(replica, placement.admission_id)
-        return grantanswers.gave_up(replica)
+        return grantresponses.queue_timeout(replica)
 
     def _await_scheduler(
         self, placement: PlacementRequest, wait: _Wait, elsewhere: _Elsewhere
@@ -346,8 +348,8 @@
     ) -> Grant | outcomes.Refusal:
         elsewhere = _Elsewhere(self, placement, replica, known)
         wait_s = placement.deadline - self._clock.now()
-        message = grantanswers.message(placement.work, replica, placement.weight, wait_s)
-        answer = self._client.ask(owner, message, elsewhere.waits_on)
+        message = grantresponses.grant_request(placement.work, replica, placement.weight, wait_s)
+        answer = self._client.request_grant(owner, message, elsewhere.waits_on)
         if elsewhere.grant is not None:
             if isinstance(answer, messages.GrantResponse):
                 self._client.close(answer.grant_id)
@@ -357,11 +359,11 @@
                 return self._activate(
                     Grant(replica, placement.admission_id, self, answer.grant_id)
                 )
-            return grantanswers.refused_there(replica, answer)
+            return grantresponses.owner_refusal(replica, answer)
         if isinstance(answer, grantrequests.NoResponse):
-            self._owners.unanswered(owner.name)
-            return grantanswers.no_answer(replica, owner.name)
-        return grantanswers.gave_up(replica)
+            self._owners.record_no_response(owner.name)
+            return grantresponses.owner_silent(replica, owner.name)
+        return grantresponses.queue_timeout(replica)
 
     def _activate(self, grant: Grant) -> Grant:
         with self._lock:
--- a/hornbeamglade/grants/grantanswers.py
+++ b/hornbeamglade/grants/grantresponses.py
@@ -25,7 +25,7 @@
 MILLISECONDS = 1000
 
 
-def message(
+def grant_request(
     work: outcomes.Work,
     replica: str,
     weight: float,
@@ -65,21 +65,21 @@
     )
 
 
-def refused_there(replica: str, answer: messages.GrantResponse) -> outcomes.Refusal:
+def owner_refusal(replica: str, response: messages.GrantResponse) -> outcomes.Refusal:
     """Return the refusal that an owner gave."""
-    retry_after_s = answer.retry_after_ms / MILLISECONDS or None
+    retry_after_s = response.retry_after_ms / MILLISECONDS or None
     detail = f"replica {replica} takes no more work now"
-    status = TEAM_STATUS if answer.code in TEAM_CODES else 503
-    return outcomes.Refusal(answer.code, status, detail, retry_after_s=retry_after_s)
+    status = TEAM_STATUS if response.code in TEAM_CODES else 503
+    return outcomes.Refusal(response.code, status, detail, retry_after_s=retry_after_s)
 
 
-def unfit(replica: int) -> outcomes.Refusal:
+def unusable_replica(replica: int) -> outcomes.Refusal:
     """Return the refusal that stands for a grant of a replica that will not do here."""
     detail = f"the owner granted replica {replica:x}, which this request cannot use"
     return outcomes.Refusal("replica_unfit", 503, detail, retry_after_s=NO_REPLICA_RETRY_S)
 
 
-def no_answer(replica: str, owner: str) -> outcomes.Refusal:
+def owner_silent(replica: str, owner: str) -> outcomes.Refusal:
     """Return the refusal that stands for an owner's silence."""
     detail = f"node {owner}, which admits to replica {replica}, did not answer"
     return outcomes.Refusal(OWNER_SILENT, 503, detail, retry_after_s=NO_REPLICA_RETRY_S)
@@ -91,19 +91,19 @@
     return outcomes.Refusal(NAMES_UNKNOWN, 503, detail, retry_after_s=NAMES_RETRY_S)
 
 
-def no_room_now(replica: str) -> outcomes.Refusal:
+def no_headroom_now(replica: str) -> outcomes.Refusal:
     """Return the refusal of a request that may only start now."""
     detail = f"replica {replica} has no room just now"
     return outcomes.Refusal(NO_ROOM_NOW, 503, detail, retry_after_s=NO_REPLICA_RETRY_S)
 
 
-def gave_up(replica: str) -> outcomes.Refusal:
+def queue_timeout(replica: str) -> outcomes.Refusal:
     """Return the refusal of a request whose wait is over."""
     detail = f"the request could not start on replica {replica} in time"
     return outcomes.Refusal("queue_timeout", 503, detail, retry_after_s=NO_REPLICA_RETRY_S)
 
 
-def soonest(refused: list[outcomes.Refusal]) -> outcomes.Refusal:
+def earliest_retry(refused: list[outcomes.Refusal]) -> outcomes.Refusal:
     """Return the refusal with the earliest time to come back."""
     if not refused:
         detail = "no replica that could serve the request is in use"
@@ -111,12 +111,12 @@
     return min(refused, key=lambda each: each.retry_after_s or NO_REPLICA_RETRY_S)
 
 
-def is_unowned(refused: list[outcomes.Refusal]) -> bool:
+def are_owners_unavailable(refused: list[outcomes.Refusal]) -> bool:
     """Tell whether all that refused did so only because nobody admits to their replicas."""
     return bool(refused) and all(each.code in UNOWNED_CODES for each in refused)
 
 
-def sent_away(wait_s: float, refusal: outcomes.Refusal) -> outcomes.Refusal:
+def bound_retry_after(wait_s: float, refusal: outcomes.Refusal) -> outcomes.Refusal:
     """Return a refusal whose time to come back lies within the caller's wait, unless it lasts.
 
     :param wait_s: what is left of the caller's time.
--- a/hornbeamglade/grants/turntaker.py
+++ b/hornbeamglade/grants/migrationcoordinator.py
@@ -5,23 +5,23 @@
 
 from hornbeamglade.core import clocks
 from hornbeamglade.exchange import codec, messages, transport
-from hornbeamglade.grants import grantacquirer, moveturns
+from hornbeamglade.grants import grantacquirer, migrationslots
 
 ASK_AGAIN_S = 0.04
 SILENT_S = 0.13
 """An owner answers each ask; one that left three unanswered is not waited for."""
 
-SETTLE_S = moveturns.COLLECT_S + 0.001
+SETTLE_S = migrationslots.COLLECT_S + 0.001
 
 
-class Way(enum.Enum):
+class SlotDirection(enum.Enum):
     """What a turn is for; each replica has a line for each."""
 
     LEAVE = "leave"
     ARRIVE = "arrive"
 
 
-class TurnTaker:
+class MigrationCoordinator:
     """Both sides of turns, of one node's event loop.
 
     :param name: this node's name.
@@ -33,7 +33,7 @@
     def __init__(
         self,
         name: str,
-        owners: grantacquirer.Owners,
+        owners: grantacquirer.ReplicaOwners,
         sender: transport.Transport,
         clock: clocks.Clock,
     ) -> None:
@@ -41,18 +41,24 @@
         self._owners = owners
         self._transport = sender
         self._clock = clock
-        self._turns = moveturns.MoveTurns()
+        self._turns = migrationslots.MigrationSlots()
         self._peer_by_holder: dict[str, transport.Peer] = {}
         self._go_by_run: dict[tuple[int, int], asyncio.Event] = {}
         self._heard_at_by_run: dict[tuple[int, int], float] = {}
 
-    async def take(self, replica: str, request_id: str, tokens: int, way: Way = Way.LEAVE) -> None:
-        """Wait for a run's turn; end it with :meth:`done`, also when cancelled.
+    async def acquire(
+        self,
+        replica: str,
+        request_id: str,
+        tokens: int,
+        direction: SlotDirection = SlotDirection.LEAVE,
+    ) -> None:
+        """Wait for a run's turn; end it with :meth:`release`, also when cancelled.
 
         Returns without a turn when the replica's owner is silent: its runs would be lost
         for want of someone to order them.
         """
-        run = _run(replica, request_id, way)
+        run = _run(replica, request_id, direction)
         go = self._go_by_run.setdefault(run, asyncio.Event())
         self._heard_at_by_run[run] = self._clock.now()
         while not go.is_set():
@@ -69,9 +75,11 @@
                 if owner is not None and self._is_silent(run):
                     return
 
-    def done(self, replica: str, request_id: str, way: Way = Way.LEAVE) -> None:
+    def release(
+        self, replica: str, request_id: str, direction: SlotDirection = SlotDirection.LEAVE
+    ) -> None:
         """End a run's turn, or its wait for one; idempotent."""
-        run = _run(replica, request_id, way)
+        run = _run(replica, request_id, direction)
         if self._go_by_run.pop(run, None) is None:
             return
         self._heard_at_by_run.pop(run, None)
@@ -85,7 +93,7 @@
                 owner, messages.MigrationSlot(messages.MigrationSlotKind.RELEASE, *run)
             )
 
-    def heard(
+    def handle_message(
         self, turn: messages.MigrationSlot, origin: codec.Sender, source: transport.Endpoint
     ) -> None:
         """Take a message from the transport."""
@@ -126,20 +134,20 @@
 
     def _asked(self, run: tuple[int, int], holder: str, tokens: int) -> None:
         replica, run_id = run
-        asked = moveturns.Run(str(run_id), holder, tokens)
-        if self._turns.ask(str(replica), asked, self._clock.now()):
+        asked = migrationslots.MigratingRun(str(run_id), holder, tokens)
+        if self._turns.request(str(replica), asked, self._clock.now()):
             asyncio.get_running_loop().call_later(SETTLE_S, self.tick)
 
     def _done(self, run: tuple[int, int]) -> None:
         replica, run_id = run
-        self._turns.done(str(replica), str(run_id), self._clock.now())
+        self._turns.release(str(replica), str(run_id), self._clock.now())
         self.tick()
 
     def _is_silent(self, run: tuple[int, int]) -> bool:
         return self._clock.now() - self._heard_at_by_run[run] > SILENT_S
 
 
-def _run(replica: str, request_id: str, way: Way) -> tuple[int, int]:
+def _run(replica: str, request_id: str, direction: SlotDirection) -> tuple[int, int]:
     """Return the hashes of a line and of a run in it."""
-    line = replica if way is Way.LEAVE else f"{way.value}/{replica}"
+    line = replica if direction is SlotDirection.LEAVE else f"{direction.value}/{replica}"
     return messages.key_hash(line), messages.key_hash(request_id)
--- a/hornbeamglade/grants/moveturns.py
+++ b/hornbeamglade/grants/migrationslots.py
@@ -15,16 +15,16 @@
 Examples
 ========
 
->>> turns = MoveTurns()
->>> turns.ask("engine-1", Run("a", "n1", 900), now=0.0)
+>>> turns = MigrationSlots()
+>>> turns.request("engine-1", MigratingRun("a", "n1", 900), now=0.0)
 True
->>> turns.ask("engine-1", Run("b", "n2", 300), now=0.001)
+>>> turns.request("engine-1", MigratingRun("b", "n2", 300), now=0.001)
 False
 >>> turns.due(now=0.002)
 ()
 >>> turns.due(now=0.01)
-(Turn(replica='engine-1', run=Run(id='b', holder='n2', tokens=300)),)
->>> turns.done("engine-1", "b", now=0.3)
+(Slot(replica='engine-1', run=MigratingRun(id='b', holder='n2', tokens=300)),)
+>>> turns.release("engine-1", "b", now=0.3)
 >>> [turn.run.id for turn in turns.due(now=0.3)]
 ['a']
 """
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Run:
+class MigratingRun:
     """A run that is to leave.
 
     :param id: the run.
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Turn:
+class Slot:
     """A run's turn.
 
     :param replica: what it leaves.
@@ -65,12 +65,12 @@
     """
 
     replica: str
-    run: Run
+    run: MigratingRun
 
 
 @dataclasses.dataclass(slots=True)
 class _Waiting:
-    run: Run
+    run: MigratingRun
     heard_at: float
 
 
@@ -78,17 +78,17 @@
 class _Line:
     began_at: float
     waiting_by_run: dict[str, _Waiting] = dataclasses.field(default_factory=dict)
-    current: Run | None = None
+    current: MigratingRun | None = None
     lapses_at: float = 0.0
 
 
-class MoveTurns:
+class MigrationSlots:
     """The lines of all replicas that this node owns and that are about to stop."""
 
     def __init__(self) -> None:
         self._line_by_replica: dict[str, _Line] = {}
 
-    def ask(self, replica: str, run: Run, now: float) -> bool:
+    def request(self, replica: str, run: MigratingRun, now: float) -> bool:
         """Note that a run wants its turn; repeated while it waits.
 
         :returns: whether it is the first one that asks there.
@@ -98,7 +98,7 @@
         line.waiting_by_run[run.id] = _Waiting(run, now)
         return is_first
 
-    def done(self, replica: str, run_id: str, now: float) -> None:
+    def release(self, replica: str, run_id: str, now: float) -> None:
         """End a run's turn, or its wait for one; idempotent."""
         line = self._line_by_replica.get(replica)
         if line is None:
@@ -107,7 +107,7 @@
         if line.current is not None and line.current.id == run_id:
             line.current = None
 
-    def due(self, now: float) -> tuple[Turn, ...]:
+    def due(self, now: float) -> tuple[Slot, ...]:
         """Return the turns that hold now; those given before are repeated until done."""
         given = []
         for replica, line in list(self._line_by_replica.items()):
@@ -115,7 +115,7 @@
             if line.current is None and now - line.began_at >= COLLECT_S:
                 self._give(line, now)
             if line.current is not None:
-                given.append(Turn(replica, line.current))
+                given.append(Slot(replica, line.current))
             elif not line.waiting_by_run:
                 del self._line_by_replica[replica]
         return tuple(given)
--- a/hornbeamglade/grants/remotescheduler.py
+++ b/hornbeamglade/grants/remotescheduler.py
@@ -7,7 +7,7 @@
 
 from hornbeamglade.core import clocks, outcomes
 from hornbeamglade.exchange import grantserver, hashednames, messages
-from hornbeamglade.grants import grantanswers, replicascheduler, schedulerset
+from hornbeamglade.grants import grantresponses, replicascheduler, schedulerset
 
 MILLISECONDS = 1000
 NONE_LEFT = "none_left"
@@ -20,12 +20,12 @@
 
 Push = collections.abc.Callable[[grantserver.GrantKey, messages.GrantResponse], bool]
 
-Others = collections.abc.Callable[[str, outcomes.Work], collections.abc.Sequence[str]]
+Alternatives = collections.abc.Callable[[str, outcomes.Work], collections.abc.Sequence[str]]
 """Returns the replicas of a replica's service that this node owns, best first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskNames:
+class ConfiguredNames:
     """The names that asks of other nodes may mean, by this node's configuration.
 
     :param replicas: names of replicas.
@@ -53,7 +53,7 @@
     """
 
     def __init__(
-        self, schedulers: schedulerset.SchedulerSet, clock: clocks.Clock, names: AskNames
+        self, schedulers: schedulerset.SchedulerSet, clock: clocks.Clock, names: ConfiguredNames
     ) -> None:
         self._schedulers = schedulers
         self._clock = clock
@@ -61,20 +61,22 @@
         self._lock = threading.Lock()
         self._asked_by_key: dict[grantserver.GrantKey, _Asked] = {}
         self._push: Push = lambda _key, _answer: False
-        self._others: Others = lambda replica, _work: (replica,)
+        self._others: Alternatives = lambda replica, _work: (replica,)
 
-    def connect(self, push: Push) -> None:
+    def set_push(self, push: Push) -> None:
         """Take the way by which later answers are sent.
 
         :param push: :meth:`hornbeamglade.exchange.grantserver.GrantServer.push`.
         """
         self._push = push
 
-    def offer_others(self, others: Others) -> None:
+    def set_alternatives(self, others: Alternatives) -> None:
         """Take what finds other replicas for asks that leave the choice to the owner."""
         self._others = others
 
-    def ask(self, key: grantserver.GrantKey, ask: messages.GrantRequest) -> messages.GrantResponse:
+    def decide(
+        self, key: grantserver.GrantKey, request: messages.GrantRequest
+    ) -> messages.GrantResponse:
         """Ask the scheduler of the replica, or those of all that will do.
 
         Explanation
@@ -84,49 +86,50 @@
         ago. Given the choice, it grants the best replica that has room, and has the
         request wait at the best one when none has.
         """
-        asked = self._asked(key, ask)
+        asked = self._asked(key, request)
         if asked is None:
-            return _answer(ask.grant_id, grantanswers.names_unknown())
+            return _answer(request.grant_id, grantresponses.names_unknown())
         choices: collections.abc.Sequence[str] = ()
-        if ask.or_other:
-            choices = self._choices(ask, asked)
+        if request.or_other:
+            choices = self._choices(request, asked)
             if not choices:
-                return _answer(ask.grant_id, _none_left())
+                return _answer(request.grant_id, _none_left())
         for replica in choices:
-            if self._grant_at_once(key, ask, dataclasses.replace(asked, replica=replica)):
+            if self._grant_at_once(key, request, dataclasses.replace(asked, replica=replica)):
                 return _answer(
-                    ask.grant_id, replicascheduler.Granted(asked.work.request_id, replica)
+                    request.grant_id, replicascheduler.Granted(asked.work.request_id, replica)
                 )
-        if ask.at_once and not ask.produced:
-            if not choices and self._grant_at_once(key, ask, asked):
+        if request.at_once and not request.produced:
+            if not choices and self._grant_at_once(key, request, asked):
                 return _answer(
-                    ask.grant_id, replicascheduler.Granted(asked.work.request_id, asked.replica)
+                    request.grant_id,
+                    replicascheduler.Granted(asked.work.request_id, asked.replica),
                 )
-            if not self._schedulers.admits_to(asked.replica):
-                return _answer(ask.grant_id, replicascheduler.owner_moved(asked.replica))
-            return _answer(ask.grant_id, grantanswers.no_room_now(asked.replica))
+            if not self._schedulers.can_admit(asked.replica):
+                return _answer(request.grant_id, replicascheduler.owner_moved(asked.replica))
+            return _answer(request.grant_id, grantresponses.no_headroom_now(asked.replica))
         if choices:
             asked = dataclasses.replace(asked, replica=choices[0])
-        return self._ask_one(key, ask, asked)
+        return self._ask_one(key, request, asked)
 
-    def _choices(self, ask: messages.GrantRequest, asked: "_Asked") -> list[str]:
+    def _choices(self, request: messages.GrantRequest, asked: "_Asked") -> list[str]:
         """Return this node's replicas that will do, the best first."""
         others = self._others(asked.replica, asked.work) or (asked.replica,)
-        choices = [each for each in others if messages.key_hash(each) not in ask.avoid]
-        if ask.produced:
+        choices = [each for each in others if messages.key_hash(each) not in request.avoid]
+        if request.produced:
             # Guards streams against a pause: where several engines stop at once, the emptiest
             # one would take in runs of all, and the last part of one run's memory, copied
             # while its stream stands still, waits there behind the whole of another's.
-            choices.sort(key=self._schedulers.taken_in_lately)
+            choices.sort(key=self._schedulers.recent_migrations)
         return choices
 
     def _grant_at_once(
-        self, key: grantserver.GrantKey, ask: messages.GrantRequest, asked: "_Asked"
+        self, key: grantserver.GrantKey, request: messages.GrantRequest, asked: "_Asked"
     ) -> bool:
-        if ask.produced:
-            answer = self._schedulers.take_in(asked.replica, asked.work, ask.produced)
+        if request.produced:
+            answer = self._schedulers.admit_migration(asked.replica, asked.work, request.produced)
         else:
-            answer = self._schedulers.ask_at_once(asked.replica, asked.work, self._due(ask))
+            answer = self._schedulers.try_grant(asked.replica, asked.work, self._due(request))
         if not isinstance(answer, replicascheduler.Granted):
             return False
         with self._lock:
@@ -134,25 +137,30 @@
         return True
 
     def _ask_one(
-        self, key: grantserver.GrantKey, ask: messages.GrantRequest, asked: "_Asked"
+        self, key: grantserver.GrantKey, request: messages.GrantRequest, asked: "_Asked"
     ) -> messages.GrantResponse:
         with self._lock:
             self._asked_by_key[key] = asked
-        if ask.produced:
-            answer = self._schedulers.take_in(asked.replica, asked.work, ask.produced)
+        if request.produced:
+            answer = self._schedulers.admit_migration(asked.replica, asked.work, request.produced)
         else:
-            deadline = self._clock.now() + ask.deadline_ms / MILLISECONDS
-            answer = self._schedulers.ask(
-                asked.replica, asked.work, ask.weight, deadline, self._notify(key), self._due(ask)
+            deadline = self._clock.now() + request.deadline_ms / MILLISECONDS
+            answer = self._schedulers.request_grant(
+                asked.replica,
+                asked.work,
+                request.weight,
+                deadline,
+                self._notify(key),
+                self._due(request),
             )
         if isinstance(answer, outcomes.Refusal):
             self._forget(key)
-        return _answer(ask.grant_id, answer)
+        return _answer(request.grant_id, answer)
 
-    def _due(self, ask: messages.GrantRequest) -> float:
-        if ask.due_ms is None:
+    def _due(self, request: messages.GrantRequest) -> float:
+        if request.due_ms is None:
             return math.inf
-        return self._clock.now() + ask.due_ms / MILLISECONDS
+        return self._clock.now() + request.due_ms / MILLISECONDS
 
     def progress(self, key: grantserver.GrantKey, produced: int) -> None:
         """Note progress."""
@@ -161,7 +169,7 @@
         if asked is not None:
             self._schedulers.progress(asked.replica, asked.work.request_id, produced)
 
-    def returned(self, key: grantserver.GrantKey, produced: int) -> None:
+    def release(self, key: grantserver.GrantKey, produced: int) -> None:
         """Take a grant back, and learn from the length of its answer."""
         with self._lock:
             asked = self._asked_by_key.get(key)
@@ -171,10 +179,10 @@
             # Whether the answer was whole is not reported: most are, and the few
             # that were cut make lengths look a little shorter than they are.
             work = asked.work
-            self._schedulers.learn(work.service, work.team, produced, censored=False)
-        self.lapse(key)
+            self._schedulers.observe_length(work.service, work.team, produced, censored=False)
+        self.expire(key)
 
-    def lapse(self, key: grantserver.GrantKey) -> None:
+    def expire(self, key: grantserver.GrantKey) -> None:
         """Free what an ask held or queued for."""
         asked = self._forget(key)
         if asked is not None:
@@ -188,14 +196,14 @@
         work = outcomes.Work(_admission_id(key), "", "", 0, ADOPTED_PROMPT_TOKENS)
         with self._lock:
             self._asked_by_key[key] = _Asked(replica, work)
-        self._schedulers.change(
+        self._schedulers.apply(
             replica, lambda scheduler, now: scheduler.adopt(work, progress.produced, now)
         )
 
-    def _asked(self, key: grantserver.GrantKey, ask: messages.GrantRequest) -> _Asked | None:
-        replica = self._names.replicas.find(ask.replica)
-        service = self._names.services.find(ask.service)
-        team = self._names.teams.find(ask.team)
+    def _asked(self, key: grantserver.GrantKey, request: messages.GrantRequest) -> _Asked | None:
+        replica = self._names.replicas.find(request.replica)
+        service = self._names.services.find(request.service)
+        team = self._names.teams.find(request.team)
         # Guards against two nodes of different revisions: without the names, the wait
         # would be queued, and lengths learned, for a team or service of no name.
         if replica is None or service is None or team is None:
@@ -204,14 +212,14 @@
             request_id=_admission_id(key),
             service=service,
             team=team,
-            priority=ask.priority,
-            prompt_tokens=ask.prompt_tokens,
-            max_tokens=ask.max_tokens,
+            priority=request.priority,
+            prompt_tokens=request.prompt_tokens,
+            max_tokens=request.max_tokens,
         )
         return _Asked(replica, work)
 
     def _notify(self, key: grantserver.GrantKey) -> schedulerset.Notify:
-        def notify(settled: replicascheduler.Settled) -> None:
+        def notify(settled: replicascheduler.QueueOutcome) -> None:
             if isinstance(settled.answer, outcomes.Refusal):
                 self._forget(key)
             self._push(key, _answer(key.grant_id, settled.answer))
@@ -233,7 +241,7 @@
 
 
 def _answer(
-    grant_id: int, answer: replicascheduler.Granted | replicascheduler.Waiting | outcomes.Refusal
+    grant_id: int, answer: replicascheduler.Granted | replicascheduler.Queued | outcomes.Refusal
 ) -> messages.GrantResponse:
     if not isinstance(answer, outcomes.Refusal):
         is_granted = isinstance(answer, replicascheduler.Granted)
--- a/hornbeamglade/grants/replicascheduler.py
+++ b/hornbeamglade/grants/replicascheduler.py
@@ -21,7 +21,7 @@
 
 from hornbeamglade.admission import policies, promptbacklog, tokenledger
 from hornbeamglade.core import outcomes
-from hornbeamglade.fairness import waiting
+from hornbeamglade.fairness import fairqueue
 from hornbeamglade.replicas import startgate
 
 LEAVING_RETRY_S = 1.0
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class Queued:
     """The request waits in the replica's queue; an answer follows."""
 
     request_id: str
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Settled:
+class QueueOutcome:
     """The later answer to a request that waited."""
 
     request_id: str
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Ask:
+class _PendingRequest:
     work: outcomes.Work
     weight: float
     deadline: float
@@ -91,7 +91,7 @@
         self,
         replica: str,
         admission: policies.AdmissionPolicy,
-        queue: waiting.WaitingQueue,
+        queue: fairqueue.FairQueue,
         gate: startgate.StartGate | None = None,
     ) -> None:
         self.replica = replica
@@ -100,34 +100,34 @@
         self.gate = gate or startgate.OpenGate()
         self.prompts = promptbacklog.PromptBacklog()
         self.leaving = False
-        self.is_lost = False
+        self.is_unreachable = False
         self._reported_at: float | None = None
         self._heard_at: float | None = None
         self._running: set[str] = set()
-        self._ask_by_waiting: dict[str, _Ask] = {}
-        self._displaced: list[Settled] = []
+        self._ask_by_waiting: dict[str, _PendingRequest] = {}
+        self._displaced: list[QueueOutcome] = []
         self._taken_in_at: collections.deque[float] = collections.deque()
 
-    def reported(self, view: tokenledger.LoadView, leaving: bool, now: float) -> None:
+    def apply_report(self, view: tokenledger.LoadView, leaving: bool, now: float) -> None:
         """Take a load report.
 
         :param view: the replica's memory.
         :param leaving: whether the replica says that it leaves.
         """
         self.leaving = leaving
-        self.is_lost = False
+        self.is_unreachable = False
         self._reported_at = now - view.age_s
         self._heard_at = now
         self.admission.report(view, now)
 
-    def ask(
+    def request_grant(
         self,
         work: outcomes.Work,
         weight: float,
         now: float,
         deadline: float,
         due: float = math.inf,
-    ) -> Granted | Waiting | outcomes.Refusal:
+    ) -> Granted | Queued | outcomes.Refusal:
         """Answer a request for permission to start; idempotent by request id.
 
         :param work: what is known of the request.
@@ -139,10 +139,10 @@
         if work.request_id in self._running:
             return Granted(work.request_id, self.replica)
         if work.request_id in self._ask_by_waiting:
-            return Waiting(work.request_id, self.replica)
+            return Queued(work.request_id, self.replica)
         if self.leaving:
             return _replica_leaving(self.replica)
-        if self.is_lost:
+        if self.is_unreachable:
             return _replica_unreached(self.replica)
         # A replica that was told to leave may be cut off from its owner: without a
         # recent word of it, its grants would go on for as long as the cut lasts.
@@ -152,21 +152,19 @@
         closed = self.gate.refusal(self.replica, now)
         if closed is not None:
             return closed
-        granted = self.ask_at_once(work, now, due)
-        return granted or self._enqueue(_Ask(work, weight, deadline, due), now)
+        granted = self.try_grant(work, now, due)
+        return granted or self._enqueue(_PendingRequest(work, weight, deadline, due), now)
 
-    def ask_at_once(
-        self, work: outcomes.Work, now: float, due: float = math.inf
-    ) -> Granted | None:
+    def try_grant(self, work: outcomes.Work, now: float, due: float = math.inf) -> Granted | None:
         """Grant a request that may start now, ahead of none that can be on time; else None.
 
         :param due: when it must start to be on time.
         """
-        if not self._may_start(now) or not self.queue.goes_first(due, now):
+        if not self._may_start(now) or not self.queue.would_start_next(due, now):
             return None
         return self._start(work, now) if self.admission.fits(work, now) else None
 
-    def take_in(
+    def admit_migration(
         self, work: outcomes.Work, produced: int, now: float
     ) -> Granted | outcomes.Refusal:
         """Answer for a run that goes on here from another replica; idempotent.
@@ -184,7 +182,7 @@
             return Granted(work.request_id, self.replica)
         if self.leaving:
             return _replica_leaving(self.replica)
-        if self.is_lost:
+        if self.is_unreachable:
             return _replica_unreached(self.replica)
         closed = self.gate.refusal(self.replica, now)
         if closed is not None:
@@ -192,14 +190,14 @@
         ledger = self.admission.ledger
         needed = ledger.footprint(work.prompt_tokens) + produced
         held = ledger.own + ledger.others
-        if held + needed > ledger.capacity * TAKE_IN_SHARE or self.admission.is_at_bound():
+        if held + needed > ledger.capacity * TAKE_IN_SHARE or self.admission.is_at_limit():
             return _no_room(self.replica)
         self.adopt(work, produced, now)
         self._taken_in_at.append(now)
         self.gate.started(self.replica, now)
         return Granted(work.request_id, self.replica)
 
-    def taken_in_lately(self, now: float) -> int:
+    def recent_migrations(self, now: float) -> int:
         """Return how many runs were let in from other replicas within a notice of a stop."""
         while self._taken_in_at and now - self._taken_in_at[0] > TAKING_IN_S:
             self._taken_in_at.popleft()
@@ -212,7 +210,7 @@
             return
         # Teams are charged for what they get: charged for prompts alone, a team of long
         # answers would be served as one of short ones.
-        self.queue.served(stream.work.team, max(0, produced - stream.produced))
+        self.queue.charge_output(stream.work.team, max(0, produced - stream.produced))
         self.admission.progress(request_id, produced, now)
 
     def adopt(self, work: outcomes.Work, produced: int, now: float) -> None:
@@ -233,7 +231,7 @@
             self._running.discard(request_id)
             self.admission.finish(request_id, now)
 
-    def settle(self, now: float) -> tuple[Settled, ...]:
+    def process_queue(self, now: float) -> tuple[QueueOutcome, ...]:
         """Grant those whose turn has come and refuse those that cannot start in time."""
         settled = self._displaced
         self._displaced = []
@@ -243,29 +241,29 @@
             if work is None:
                 break
             del self._ask_by_waiting[work.request_id]
-            settled.append(Settled(work.request_id, self._start(work, now)))
+            settled.append(QueueOutcome(work.request_id, self._start(work, now)))
         closed = self.gate.refusal(self.replica, now) if self._ask_by_waiting else None
         if closed is not None:
             settled += self._refuse_waiting(closed)
         return tuple(settled)
 
-    def leave(self) -> tuple[Settled, ...]:
+    def drain(self) -> tuple[QueueOutcome, ...]:
         """Refuse everyone that waits: the replica takes no new work."""
         self.leaving = True
         return self._refuse_waiting(_replica_leaving(self.replica))
 
-    def lost(self, now: float) -> tuple[Settled, ...]:
+    def mark_unreachable(self, now: float) -> tuple[QueueOutcome, ...]:
         """Refuse everyone until the replica reports again: it cannot be reached.
 
         Guards requests against an engine that has died: with nothing running it looks
         emptier than all that live, and for seconds the platform's list says nothing.
         """
-        if self.is_lost:
+        if self.is_unreachable:
             return ()
-        self.is_lost = True
+        self.is_unreachable = True
         return self._refuse_waiting(_replica_unreached(self.replica))
 
-    def disown(self) -> tuple[Settled, ...]:
+    def relinquish(self) -> tuple[QueueOutcome, ...]:
         """Send everyone that waits to the new owner: this node admits no more.
 
         Guards those that wait against a queue that nobody serves: the former owner
@@ -284,10 +282,10 @@
         for ask in former._ask_by_waiting.values():
             answer = self._enqueue(ask, now)
             if isinstance(answer, outcomes.Refusal):
-                self._displaced.append(Settled(ask.work.request_id, answer))
+                self._displaced.append(QueueOutcome(ask.work.request_id, answer))
         self._displaced += former._displaced
         self.leaving = former.leaving
-        self.is_lost = former.is_lost
+        self.is_unreachable = former.is_unreachable
         self._reported_at = former._reported_at
         self._heard_at = former._heard_at
 
@@ -297,26 +295,26 @@
         return len(self._running)
 
     @property
-    def waiting_count(self) -> int:
+    def queued_count(self) -> int:
         """How many requests wait."""
         return len(self._ask_by_waiting)
 
-    def ahead(self, now: float) -> int:
+    def count_ahead(self, now: float) -> int:
         """Return how many of them a newcomer stands behind."""
-        return self.queue.ahead(now)
+        return self.queue.count_ahead(now)
 
     def expected_wait_s(self, now: float) -> float:
         """Return the seconds until a request that asks now would begin to be read."""
         return self.queue.expected_wait_s(now) + self.prompts.wait_s(now)
 
-    def _refuse_waiting(self, refusal: outcomes.Refusal) -> tuple[Settled, ...]:
+    def _refuse_waiting(self, refusal: outcomes.Refusal) -> tuple[QueueOutcome, ...]:
         told = tuple(self._displaced)
         self._displaced = []
         waiting_ids = tuple(self._ask_by_waiting)
         self._ask_by_waiting.clear()
         for request_id in waiting_ids:
             self.queue.remove(request_id)
-        return told + tuple(Settled(each, refusal) for each in waiting_ids)
+        return told + tuple(QueueOutcome(each, refusal) for each in waiting_ids)
 
     def has_recent_report(self, now: float) -> bool:
         """Tell whether the replica was heard of lately."""
@@ -327,7 +325,7 @@
         return self._heard_at is None or now - self._heard_at > QUIET_S
 
     def _may_grant(self, now: float) -> bool:
-        return self.has_recent_report(now) and not self.leaving and not self.is_lost
+        return self.has_recent_report(now) and not self.leaving and not self.is_unreachable
 
     def _may_start(self, now: float) -> bool:
         """Tell whether a new request may go to the replica, as far as its prompts are read."""
@@ -350,17 +348,17 @@
         self.gate.started(self.replica, now)
         return self._grant(work, now)
 
-    def _enqueue(self, ask: _Ask, now: float) -> Waiting | outcomes.Refusal:
+    def _enqueue(self, ask: _PendingRequest, now: float) -> Queued | outcomes.Refusal:
         answer = self.queue.offer(ask.work, ask.weight, now, ask.deadline, ask.due)
         if isinstance(answer, outcomes.Refusal):
             return answer
         self._ask_by_waiting[ask.work.request_id] = ask
         self._displaced += [self._refuse(each) for each in answer.displaced]
-        return Waiting(ask.work.request_id, self.replica)
+        return Queued(ask.work.request_id, self.replica)
 
-    def _refuse(self, expired: waiting.Expired) -> Settled:
+    def _refuse(self, expired: fairqueue.RemovedRequest) -> QueueOutcome:
         self._ask_by_waiting.pop(expired.work.request_id, None)
-        return Settled(expired.work.request_id, expired.refusal)
+        return QueueOutcome(expired.work.request_id, expired.refusal)
 
 
 def owner_moved(replica: str) -> outcomes.Refusal:
--- a/hornbeamglade/grants/schedulerset.py
+++ b/hornbeamglade/grants/schedulerset.py
@@ -7,12 +7,12 @@
 
 from hornbeamglade.admission import policies, replicaadmission
 from hornbeamglade.core import clocks, outcomes
-from hornbeamglade.fairness import queuesettings, waiting
+from hornbeamglade.fairness import fairqueue, queuesettings
 from hornbeamglade.grants import replicascheduler
 from hornbeamglade.lengths import lengthmodel
 from hornbeamglade.replicas import startgate
 
-Notify = collections.abc.Callable[[replicascheduler.Settled], None]
+Notify = collections.abc.Callable[[replicascheduler.QueueOutcome], None]
 
 NOT_OWNER_RETRY_S = 0.5
 PRESENT_MEMORY = "present_memory"
@@ -24,23 +24,23 @@
     """What a scheduler tells of itself to routing, other nodes and operators.
 
     :param replica: the replica's name.
-    :param room_tokens: memory that may still be planned, in tokens.
+    :param headroom_tokens: memory that may still be planned, in tokens.
     :param running: grants held.
     :param waiting: requests that wait.
-    :param ahead: those of them that a newcomer stands behind.
+    :param waiting_ahead: those of them that a newcomer stands behind.
     :param expected_wait_s: seconds until a request behind all others starts.
     :param leaving: whether the replica takes no new work.
-    :param is_lost: whether the replica cannot be reached just now.
+    :param is_unreachable: whether the replica cannot be reached just now.
     """
 
     replica: str
-    room_tokens: float
+    headroom_tokens: float
     running: int
     waiting: int
-    ahead: int
+    waiting_ahead: int
     expected_wait_s: float
     leaving: bool
-    is_lost: bool = False
+    is_unreachable: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
 
     memory_tokens: int
     admission: replicaadmission.AdmissionSettings
-    queue: queuesettings.WaitingSettings
+    queue: queuesettings.QueueSettings
     policy: str = "probabilistic"
 
     def make(
@@ -66,7 +66,7 @@
     ) -> replicascheduler.ReplicaScheduler:
         """Make an empty scheduler."""
         return replicascheduler.ReplicaScheduler(
-            replica, self._policy(lengths), waiting.WaitingQueue(self.queue), gate
+            replica, self._policy(lengths), fairqueue.FairQueue(self.queue), gate
         )
 
     def _policy(self, lengths: lengthmodel.LengthModel) -> policies.AdmissionPolicy:
@@ -119,7 +119,7 @@
             for name, scheduler in tuple(self._scheduler_by_replica.items()):
                 spec = spec_by_replica.get(name)
                 if spec is None:
-                    settled += scheduler.leave()
+                    settled += scheduler.drain()
                     del self._scheduler_by_replica[name]
                 elif spec != self._spec_by_replica[name]:
                     successor = spec.make(name, self._lengths, self._gate)
@@ -128,7 +128,7 @@
             self._spec_by_replica = dict(spec_by_replica)
         self._tell(settled)
 
-    def own(self, replicas: frozenset[str]) -> None:
+    def set_owned(self, replicas: frozenset[str]) -> None:
         """Take the replicas that this node owns now, and give up the others."""
         with self._lock:
             for replica in replicas:
@@ -139,10 +139,10 @@
                 self._scheduler_by_replica[name]
                 for name in lost & self._scheduler_by_replica.keys()
             )
-            settled = [each for scheduler in schedulers for each in scheduler.disown()]
+            settled = [each for scheduler in schedulers for each in scheduler.relinquish()]
         self._tell(settled)
 
-    def ask(
+    def request_grant(
         self,
         replica: str,
         work: outcomes.Work,
@@ -150,7 +150,7 @@
         deadline: float,
         notify: Notify,
         due: float = math.inf,
-    ) -> replicascheduler.Granted | replicascheduler.Waiting | outcomes.Refusal:
+    ) -> replicascheduler.Granted | replicascheduler.Queued | outcomes.Refusal:
         """Ask for permission to start; ``notify`` hears the later answer, if any.
 
         :param replica: the replica's name.
@@ -164,16 +164,16 @@
             if scheduler is None:
                 return _unknown_replica(replica)
             now = self._clock.now()
-            if not self.admits_to(replica):
+            if not self.can_admit(replica):
                 return replicascheduler.owner_moved(replica)
-            answer = scheduler.ask(work, weight, now, deadline, due)
-            if isinstance(answer, replicascheduler.Waiting):
+            answer = scheduler.request_grant(work, weight, now, deadline, due)
+            if isinstance(answer, replicascheduler.Queued):
                 self._notify_by_request[work.request_id] = notify
-            settled = scheduler.settle(now)
+            settled = scheduler.process_queue(now)
         self._tell(settled)
         return answer
 
-    def admits_to(self, replica: str) -> bool:
+    def can_admit(self, replica: str) -> bool:
         """Tell whether this node may grant requests to a replica.
 
         A node that owns the replica only in the asker's view reads no reports of it: the
@@ -185,7 +185,7 @@
                 return scheduler is not None
             return scheduler is not None and scheduler.has_recent_report(self._clock.now())
 
-    def ask_at_once(
+    def try_grant(
         self, replica: str, work: outcomes.Work, due: float = math.inf
     ) -> replicascheduler.Granted | None:
         """Ask for permission to start now at a replica that this node owns.
@@ -194,11 +194,9 @@
         """
         with self._lock:
             scheduler = self._scheduler(replica) if replica in self._owned else None
-            return (
-                None if scheduler is None else scheduler.ask_at_once(work, self._clock.now(), due)
-            )
+            return None if scheduler is None else scheduler.try_grant(work, self._clock.now(), due)
 
-    def take_in(
+    def admit_migration(
         self, replica: str, work: outcomes.Work, produced: int
     ) -> replicascheduler.Granted | outcomes.Refusal:
         """Ask for a run that goes on from another replica; answered at once."""
@@ -206,13 +204,13 @@
             scheduler = self._scheduler(replica)
             if scheduler is None:
                 return _unknown_replica(replica)
-            return scheduler.take_in(work, produced, self._clock.now())
+            return scheduler.admit_migration(work, produced, self._clock.now())
 
-    def taken_in_lately(self, replica: str) -> int:
+    def recent_migrations(self, replica: str) -> int:
         """Return how many runs a replica took in from others within a notice of a stop."""
         with self._lock:
             scheduler = self._scheduler_by_replica.get(replica)
-            return 0 if scheduler is None else scheduler.taken_in_lately(self._clock.now())
+            return 0 if scheduler is None else scheduler.recent_migrations(self._clock.now())
 
     def progress(self, replica: str, request_id: str, produced: int) -> None:
         """Note how many tokens a running request has produced."""
@@ -230,10 +228,10 @@
                 return
             now = self._clock.now()
             scheduler.finish(request_id, now)
-            settled = scheduler.settle(now)
+            settled = scheduler.process_queue(now)
         self._tell(settled)
 
-    def learn(self, service: str, team: str, tokens: int, *, censored: bool) -> None:
+    def observe_length(self, service: str, team: str, tokens: int, *, censored: bool) -> None:
         """Learn from an answer that has ended.
 
         :param tokens: tokens produced.
@@ -243,38 +241,38 @@
             self._lengths.observe(service, team, tokens, censored)
 
     @property
-    def is_waited_at(self) -> bool:
+    def has_waiting_requests(self) -> bool:
         """Whether any request waits at a scheduler."""
         return bool(self._notify_by_request)
 
-    def settle(self) -> None:
+    def process_queues(self) -> None:
         """Grant and refuse by the passage of time; called several times a second."""
         with self._lock:
             now = self._clock.now()
             settled = [
                 each
                 for scheduler in self._scheduler_by_replica.values()
-                for each in scheduler.settle(now)
+                for each in scheduler.process_queue(now)
             ]
         self._tell(settled)
 
-    def leave(self, replica: str) -> None:
+    def drain(self, replica: str) -> None:
         """Give no more work to a replica that leaves."""
         with self._lock:
             scheduler = self._scheduler_by_replica.get(replica)
-            settled = scheduler.leave() if scheduler is not None else ()
+            settled = scheduler.drain() if scheduler is not None else ()
         self._tell(settled)
 
-    def lost(self, replica: str) -> bool:
+    def mark_unreachable(self, replica: str) -> bool:
         """Give no more work to a replica that cannot be reached; return whether it is new."""
         with self._lock:
             scheduler = self._scheduler_by_replica.get(replica)
-            is_new = scheduler is not None and not scheduler.is_lost
-            settled = scheduler.lost(self._clock.now()) if is_new else ()
+            is_new = scheduler is not None and not scheduler.is_unreachable
+            settled = scheduler.mark_unreachable(self._clock.now()) if is_new else ()
         self._tell(settled)
         return is_new
 
-    def change(
+    def apply(
         self,
         replica: str,
         act: collections.abc.Callable[[replicascheduler.ReplicaScheduler, float], None],
@@ -311,7 +309,7 @@
             self._scheduler_by_replica[replica] = scheduler
         return scheduler
 
-    def _tell(self, settled: collections.abc.Iterable[replicascheduler.Settled]) -> None:
+    def _tell(self, settled: collections.abc.Iterable[replicascheduler.QueueOutcome]) -> None:
         for each in settled:
             with self._lock:
                 notify = self._notify_by_request.pop(each.request_id, None)
@@ -322,24 +320,24 @@
 def _state(scheduler: replicascheduler.ReplicaScheduler, now: float) -> SchedulerState:
     return SchedulerState(
         replica=scheduler.replica,
-        room_tokens=_room(scheduler, now),
+        headroom_tokens=_room(scheduler, now),
         running=scheduler.running_count,
-        waiting=scheduler.waiting_count,
-        ahead=scheduler.ahead(now),
+        waiting=scheduler.queued_count,
+        waiting_ahead=scheduler.count_ahead(now),
         expected_wait_s=scheduler.expected_wait_s(now),
         leaving=scheduler.leaving,
-        is_lost=scheduler.is_lost,
+        is_unreachable=scheduler.is_unreachable,
     )
 
 
 def _room(scheduler: replicascheduler.ReplicaScheduler, now: float) -> float:
     # A replica that its owner has not heard of yet looks empty, and so does one whose
     # link has stalled: requests would be drawn to it and wait there while others have room.
-    if scheduler.admission.is_at_bound() or scheduler.is_quiet(now) or scheduler.is_lost:
+    if scheduler.admission.is_at_limit() or scheduler.is_quiet(now) or scheduler.is_unreachable:
         return 0.0
     if scheduler.gate.refusal(scheduler.replica, now) is not None:
         return 0.0
-    return scheduler.admission.room(now)
+    return scheduler.admission.headroom(now)
 
 
 def _unknown_replica(replica: str) -> outcomes.Refusal:
--- a/hornbeamglade/lengths/survival.py
+++ b/hornbeamglade/lengths/survival.py
@@ -48,7 +48,7 @@
     ========
 
     >>> table = SurvivalTable((0.5,) * buckets.COUNT)
-    >>> table.at(0), table.at(8), table.at(16)
+    >>> table.survival(0), table.survival(8), table.survival(16)
     (1.0, 0.5, 0.25)
     >>> table.ratio(8, 8)
     0.5
@@ -60,7 +60,7 @@
             survival.append(max(_TINY, survival[-1] * (1.0 - hazard)))
         self._survival = tuple(survival)
 
-    def at(self, tokens: float) -> float:
+    def survival(self, tokens: float) -> float:
         """Return the probability that a whole answer is longer than ``tokens``."""
         if tokens >= buckets.LAST_EDGE:
             return self._survival[-1] * (buckets.LAST_EDGE / tokens) ** _TAIL_EXPONENT
@@ -76,7 +76,7 @@
         :param produced: tokens produced so far.
         :param horizon: tokens from now.
         """
-        return self.at(produced + horizon) / self.at(produced)
+        return self.survival(produced + horizon) / self.survival(produced)
 
     def growth(self, produced: float, horizon: float) -> Growth:
         """Return mean and variance of min(remaining, horizon).
@@ -87,13 +87,13 @@
         The first two moments are the integrals of S and of 2 t S, where S is the
         survival given ``produced``; both are exact for a piecewise linear S.
         """
-        present = self.at(produced)
+        present = self.survival(produced)
         first = second = passed = 0.0
         start = 1.0
         while passed < horizon:
             end = min(self._next_edge(produced + passed) - produced, horizon)
             width = end - passed
-            stop = self.at(produced + end) / present
+            stop = self.survival(produced + end) / present
             area = width * (start + stop) / 2
             first += area
             second += 2 * passed * area + width * width * (start + 2 * stop) / 3
@@ -102,7 +102,7 @@
 
     def quantile(self, produced: float, probability: float) -> float:
         """Return the remaining tokens that are not exceeded with ``probability``."""
-        wanted = self.at(produced) * (1.0 - probability)
+        wanted = self.survival(produced) * (1.0 - probability)
         if wanted <= self._survival[-1]:
             return max(0.0, buckets.LAST_EDGE - produced)
         i = bisect.bisect_left(self._survival, -wanted, key=lambda value: -value)
--- a/hornbeamglade/node/applying.py
+++ b/hornbeamglade/node/applying.py
@@ -103,12 +103,12 @@
 
 
 def _scheduler_spec(pool: models.Pool, memory_tokens: int) -> schedulerset.SchedulerSpec:
-    margin = margincontrol.MarginSettings(start=pool.admission.overflow_z)
+    margin = margincontrol.MarginSettings(initial=pool.admission.overflow_z)
     queue = pool.queue
     return schedulerset.SchedulerSpec(
         memory_tokens,
         replicaadmission.AdmissionSettings(margin=margin),
-        queuesettings.WaitingSettings(
+        queuesettings.QueueSettings(
             max_waiting=queue.max_waiting,
             team_share=min(1.0, queue.max_waiting_per_team / queue.max_waiting),
         ),
--- a/hornbeamglade/node/daemon.py
+++ b/hornbeamglade/node/daemon.py
@@ -270,7 +270,7 @@
         self._applier.apply()
         self._applier.follow_members()
         self.peering.tick()
-        self._schedulers.settle()
+        self._schedulers.process_queues()
 
     def _place_models(self) -> None:
         view = self._parts.views.current()
@@ -279,7 +279,7 @@
 
     def _report(self) -> None:
         self._register()
-        self._parts.acquirer.report()
+        self._parts.acquirer.report_progress()
         self._claims.write_pending()
         self._senders.sweep()
         self._parts.deadlines.sweep()
--- a/hornbeamglade/node/delivery.py
+++ b/hornbeamglade/node/delivery.py
@@ -226,7 +226,7 @@
         scope.parts.metrics.stream_finished(scope.service_name, self._times, now)
         tokens = self._state.next_offset
         if tokens:
-            scope.parts.schedulers.learn(
+            scope.parts.schedulers.observe_length(
                 scope.service_name, scope.team, tokens, censored=not self._is_whole
             )
         mean_gap_s = _mean_gap_s(self._times, now, scope.started)
--- a/hornbeamglade/node/generationhandler.py
+++ b/hornbeamglade/node/generationhandler.py
@@ -172,7 +172,7 @@
         placement = grantacquirer.PlacementRequest(
             work, team.weight, self._queue_ends, self._request.link.is_gone, attempt
         )
-        return self._parts.acquirer.find(placement, self._candidates)
+        return self._parts.acquirer.acquire(placement, self._candidates)
 
     def _candidates(self) -> tuple:
         pool = self._scope.service.pool
--- a/hornbeamglade/node/loadpoller.py
+++ b/hornbeamglade/node/loadpoller.py
@@ -101,11 +101,11 @@
             report.used_tokens,
             report.preemptions,
         )
-        self._schedulers.change(
-            known.name, lambda scheduler, now: scheduler.reported(view, leaving, now)
+        self._schedulers.apply(
+            known.name, lambda scheduler, now: scheduler.apply_report(view, leaving, now)
         )
         if leaving:
-            self._schedulers.leave(known.name)
+            self._schedulers.drain(known.name)
         self._read_events(known.name, reader)
 
     def _read_events(self, name: str, reader: loadreports.ReportReader) -> None:
--- a/hornbeamglade/node/peering.py
+++ b/hornbeamglade/node/peering.py
@@ -26,7 +26,7 @@
 DIGEST_PREFIX = "sha256-"
 
 
-class Peering(grantacquirer.Owners):
+class Peering(grantacquirer.ReplicaOwners):
     """One node's side of the exchange.
 
     :param told: the node's settings.
@@ -83,11 +83,11 @@
         endpoint = transport.Endpoint.parse(told.exchange)
         self.transport = transport.UdpTransport(endpoint, self.codec, self._handle)
         self.grants = grantclient.GrantClient(incarnation, self.transport, clock)
-        self._names = remotescheduler.AskNames()
+        self._names = remotescheduler.ConfiguredNames()
         self._named_revision = 0
         scheduler = remotescheduler.RemoteScheduler(schedulers, clock, self._names)
         self._server = grantserver.GrantServer(scheduler, self.transport, clock)
-        scheduler.connect(self._server.push)
+        scheduler.set_push(self._server.push)
         identity = membershipview.Identity(
             told.name, told.failure_domain, address, str(self.transport.endpoint)
         )
@@ -179,7 +179,7 @@
             for known in known_by_name.values()
         ]
         moves = self._ownership.update(replicas, nodes)
-        self._schedulers.own(self.owned())
+        self._schedulers.set_owned(self.owned())
         for move in moves:
             peer = None if move.after is None else self.heartbeats.peer(move.after)
             if peer is not None and move.after != self._name:
@@ -211,7 +211,7 @@
         quarantine = self.quarantine.digest
         return heartbeats.Digest(number, closings + replicas + plain, quarantine=quarantine)
 
-    def unanswered(self, owner: str) -> None:
+    def record_no_response(self, owner: str) -> None:
         """Note that an owner left an ask unanswered."""
         self.heartbeats.record_no_reply(owner)
 
@@ -275,7 +275,7 @@
     def close(self, replica: str) -> None:
         """Keep new work from a replica that this node owns."""
         self._catalog.close(replica)
-        self._schedulers.leave(replica)
+        self._schedulers.drain(replica)
 
     def _demands(self) -> tuple[messages.TeamDemand, ...]:
         told = self._in_flight.tell_shares(messages.MAX_DEMANDS)
@@ -340,7 +340,7 @@
 ) -> messages.ReplicaDigest:
     return messages.ReplicaDigest(
         replica=messages.key_hash(state.replica),
-        room_tokens=max(0, min(MOST_ROOM_TOKENS, int(state.room_tokens))),
+        room_tokens=max(0, min(MOST_ROOM_TOKENS, int(state.headroom_tokens))),
         queued=state.waiting,
         expected_wait_ms=int(state.expected_wait_s * MILLISECONDS),
         leaving=state.leaving or not catalog.takes_new_work(state.replica),
--- a/hornbeamglade/node/replicacatalog.py
+++ b/hornbeamglade/node/replicacatalog.py
@@ -233,7 +233,7 @@
 
 def _room(state: schedulerset.SchedulerState | None, heard: digestcache.HeardDigest | None) -> int:
     if state is not None:
-        return int(state.room_tokens)
+        return int(state.headroom_tokens)
     return UNKNOWN_ROOM_TOKENS if heard is None else heard.digest.room_tokens
 
 
--- a/hornbeamglade/node/statuses.py
+++ b/hornbeamglade/node/statuses.py
@@ -93,7 +93,7 @@
             failure_domain=known.replica.failure_domain,
             owner=self._peers.owner_name(known.name),
             state=self._state_of(known.name, is_owned, age_s),
-            room_tokens=int(state.room_tokens) if is_owned and state is not None else None,
+            room_tokens=int(state.headroom_tokens) if is_owned and state is not None else None,
             capacity_tokens=known.replica.memory_tokens,
             running=0 if report is None else report.running,
             waiting=0 if state is None else state.waiting,
--- a/hornbeamglade/routed/enginecatalog.py
+++ b/hornbeamglade/routed/enginecatalog.py
@@ -154,13 +154,13 @@
                 replica=replica.id,
                 owner="",
                 local=True,
-                room_tokens=int(state.room_tokens),
-                queued=state.ahead,
+                room_tokens=int(state.headroom_tokens),
+                queued=state.waiting_ahead,
                 expected_wait_s=state.expected_wait_s,
                 report_age_s=0.0,
                 failure_domain=replica.failure_domain,
                 leaving=state.leaving,
-                ejected=state.is_lost,
+                ejected=state.is_unreachable,
             )
         heard = self._digests.newest(replica.id)
         digest = None if heard is None else heard.digest
--- a/hornbeamglade/routed/migration.py
+++ b/hornbeamglade/routed/migration.py
@@ -9,7 +9,7 @@
 pause is then as long as the copy, and longer than a steady stream may pause.
 
 A run is stopped only when its copy is there, and only at its turn
-(:mod:`hornbeamglade.grants.moveturns`): what is copied last would else wait behind the
+(:mod:`hornbeamglade.grants.migrationslots`): what is copied last would else wait behind the
 copies of other runs with its stream stopped. It looks for room before its turn, so that no
 turn is spent on looking. The engine that it goes to takes in one copy at a time, too: where
 several engines stop at once, runs of all of them meet there, and most streams that share a
@@ -27,7 +27,7 @@
 
 from hornbeamglade.core import clocks
 from hornbeamglade.engines import control, models
-from hornbeamglade.grants import asyncgrantacquirer, turntaker
+from hornbeamglade.grants import asyncgrantacquirer, migrationcoordinator
 from hornbeamglade.replicas import models as replicamodels
 from hornbeamglade.routed import calls, enginecatalog
 
@@ -107,11 +107,11 @@
             return
         found_at = self._parts.clock.now()
         try:
-            await turns.take(self._source.id, self._request_id, tokens)
+            await turns.acquire(self._source.id, self._request_id, tokens)
             self._found_at = found_at
             await self._copy_and_stop(placement, target)
         finally:
-            turns.done(self._source.id, self._request_id)
+            turns.release(self._source.id, self._request_id)
             self._release()
 
     @property
@@ -172,10 +172,14 @@
         turns = self._parts.turns
         arrival = (replica.id, self._request_id)
         try:
-            await turns.take(*arrival, self._placement.work.prompt_tokens, turntaker.Way.ARRIVE)
+            await turns.acquire(
+                *arrival,
+                self._placement.work.prompt_tokens,
+                migrationcoordinator.SlotDirection.ARRIVE,
+            )
             return await self._move_to(grant, replica)
         finally:
-            turns.done(*arrival, turntaker.Way.ARRIVE)
+            turns.release(*arrival, migrationcoordinator.SlotDirection.ARRIVE)
 
     async def _move_to(
         self, grant: asyncgrantacquirer.Grant, replica: replicamodels.Replica
@@ -239,7 +243,9 @@
     async def _look_for_room(
         self, placement: asyncgrantacquirer.PlacementRequest
     ) -> "_Target | None":
-        grant = await self._parts.acquirer.find_near(placement, self._source.failure_domain)
+        grant = await self._parts.acquirer.acquire_for_migration(
+            placement, self._source.failure_domain
+        )
         if grant is None:
             return None
         replica = self._parts.catalog.replica(grant.replica)
@@ -286,7 +292,7 @@
 
     engines: control.EngineControl
     acquirer: asyncgrantacquirer.AsyncGrantAcquirer
-    turns: turntaker.TurnTaker
+    turns: migrationcoordinator.MigrationCoordinator
     catalog: enginecatalog.EngineCatalog
     clock: clocks.Clock
     arrivals_in_turn: bool = True
--- a/hornbeamglade/routed/placefinder.py
+++ b/hornbeamglade/routed/placefinder.py
@@ -79,7 +79,9 @@
         if refusal is not None:
             self._parts.acquirer.release(grant)
             return refusal
-        if not grant.is_bound and self._parts.catalog.is_cold(replica.id, self._parts.clock.now()):
+        if not grant.is_granted and self._parts.catalog.is_cold(
+            replica.id, self._parts.clock.now()
+        ):
             # Nobody counts what goes there, and each instance would send its own crowd.
             return self.failure()
         return Place(replica, grant)
@@ -90,7 +92,7 @@
         deadline = enginework.queue_deadline(routed, parts.clock.now())
         while True:
             placement = self.placement(deadline, frozenset(self._log.tried))
-            grant = await parts.acquirer.find(placement)
+            grant = await parts.acquirer.acquire(placement)
             if isinstance(grant, asyncgrantacquirer.Grant):
                 if parts.catalog.may_send(grant.replica):
                     return grant
@@ -127,12 +129,12 @@
             work=enginework.work(self._routed),
             weight=1.0,
             deadline=deadline,
-            known=lambda: catalog.candidates(service, excluded, regions, spread),
-            find=lambda chosen: catalog.find(chosen, service, excluded, regions),
+            list_candidates=lambda: catalog.candidates(service, excluded, regions, spread),
+            resolve_replica=lambda chosen: catalog.find(chosen, service, excluded, regions),
             attempt=self._asks,
             avoid=excluded,
             due=enginework.due(self._routed),
-            is_bound=regions is not None,
+            known_only=regions is not None,
         )
 
     def may_run_again(self) -> bool:
--- a/hornbeamglade/routed/streamrun.py
+++ b/hornbeamglade/routed/streamrun.py
@@ -253,7 +253,7 @@
             self._first_event.set()
         grant = self._place.grant
         if grant is not None:
-            self._parts.acquirer.progress(grant, self._produced())
+            self._parts.acquirer.record_progress(grant, self._produced())
 
     def _produced(self) -> int:
         engine = self._routed.service.engine
--- a/tests/admission/test_replicaadmission.py
+++ b/tests/admission/test_replicaadmission.py
@@ -45,7 +45,7 @@
     for number in range(15):
         policy.admit(_work(number, max_tokens=max_tokens), 0.0)
         policy.progress(f"r{number}", 400, 0.0)
-    return policy.room(0.0)
+    return policy.headroom(0.0)
 
 
 def test_room_is_left_for_the_growth_of_long_streams():
@@ -81,18 +81,18 @@
     # crowd would be admitted into full memory and most of it preempted.
     policy = _policy(ledger=admission.LedgerSettings(unreported_share=0.0))
     _filled(policy, now=10.0)
-    room = policy.room(10.0)
+    room = policy.headroom(10.0)
     policy.report(admission.LoadView(1, 5.0, 12_000, 0), 11.0)
     policy.report(admission.LoadView(2, 0.0, 12_000, 0), 12.0)
-    assert policy.room(12.0) == pytest.approx(room, abs=1e-6)
+    assert policy.headroom(12.0) == pytest.approx(room, abs=1e-6)
 
 
 def test_the_use_of_others_is_counted_and_grows_uncertain_with_age():
     policy = _policy()
-    alone = policy.room(0.0)
+    alone = policy.headroom(0.0)
     policy.report(admission.LoadView(1, 0.0, 12_000, 6000), 1.0)
-    assert policy.room(1.0) < alone - 5000
-    assert policy.room(5.0) < policy.room(1.0)
+    assert policy.headroom(1.0) < alone - 5000
+    assert policy.headroom(5.0) < policy.headroom(1.0)
 
 
 def test_an_older_report_changes_nothing():
@@ -156,10 +156,10 @@
 
 def test_calls_for_unknown_requests_change_nothing():
     policy = _policy()
-    room = policy.room(0.0)
+    room = policy.headroom(0.0)
     policy.progress("gone", 500, 0.0)
     policy.finish("gone", 0.0)
-    assert policy.room(0.0) == room
+    assert policy.headroom(0.0) == room
 
 
 @SETTINGS
@@ -182,11 +182,11 @@
             policy.finish(name, 0.0)
             produced_by_id.pop(name, None)
     assert policy.ledger.held == sum(108 + n for n in produced_by_id.values())
-    fresh = _policy(margin=admission.MarginSettings(start=policy.margin.deviations))
+    fresh = _policy(margin=admission.MarginSettings(initial=policy.margin.deviations))
     for name, produced in produced_by_id.items():
         fresh.admit(_work(name[1:]), 0.0)
         fresh.progress(name, produced, 0.0)
-    assert policy.room(0.0) == pytest.approx(fresh.room(0.0), abs=200)
+    assert policy.headroom(0.0) == pytest.approx(fresh.headroom(0.0), abs=200)
 
 
 def test_no_more_is_kept_free_than_all_streams_could_take():
@@ -195,10 +195,10 @@
     # room that nothing can fill.
     policy = _policy(
         horizons=(0, 100),
-        margin=admission.MarginSettings(start=4.0),
+        margin=admission.MarginSettings(initial=4.0),
         ledger=admission.LedgerSettings(unreported_share=0.0),
     )
     for number in range(3):
         policy.admit(_work(number), 0.0)
         policy.progress(f"r{number}", 900, 0.0)
-    assert policy.room(0.0) == pytest.approx(12_000 - 3 * (108 + 900 + 20 + 100))
+    assert policy.headroom(0.0) == pytest.approx(12_000 - 3 * (108 + 900 + 20 + 100))
--- a/tests/docs/test_callers.py
+++ b/tests/docs/test_callers.py
@@ -38,7 +38,7 @@
     found = refusalcodes.find()
     assert found.unresolved == {
         "callers.application: code",
-        "grants.grantanswers: answer.code",
+        "grants.grantresponses: response.code",
         "node.pages: reason",
     }
     assert found.exported == {"fairness.refusals.refusal", "node.siteview.not_ready"}
--- a/tests/entry/test_ticks.py
+++ b/tests/entry/test_ticks.py
@@ -30,15 +30,16 @@
     node = begun_node()
     schedulers = node.instance._schedulers
     schedulers.configure({"e1": partsettings.scheduler(_Engine(), policysettings.Policy())})
-    schedulers.own(frozenset(("e1",)))
+    schedulers.set_owned(frozenset(("e1",)))
     assert node.instance.tick_s == instance.IDLE_TICK_S
     deadline = clocks.SystemClock().now() + 60
     told = []
     # More of them than the engine takes at a time.
     answers = [
-        schedulers.ask("e1", _work(number), 1.0, deadline, told.append) for number in range(12)
+        schedulers.request_grant("e1", _work(number), 1.0, deadline, told.append)
+        for number in range(12)
     ]
-    waiting = [one.request_id for one in answers if isinstance(one, replicascheduler.Waiting)]
+    waiting = [one.request_id for one in answers if isinstance(one, replicascheduler.Queued)]
     assert waiting
     assert node.instance.tick_s == instance.TICK_S
     for number in range(12):
--- a/tests/exchange/lossynetwork.py
+++ b/tests/exchange/lossynetwork.py
@@ -66,7 +66,7 @@
         self.adopted = []
         self.refuse = False
 
-    def ask(self, key, ask):
+    def decide(self, key, ask):
         self.ask_by_key[key] = ask
         if self.refuse:
             return self._answer(key, messages.GrantKind.REFUSED, "queue_full")
@@ -78,10 +78,10 @@
     def progress(self, key, produced):
         pass
 
-    def returned(self, key, produced):
+    def release(self, key, produced):
         self._free(key)
 
-    def lapse(self, key):
+    def expire(self, key):
         self.lapsed.append(key)
         self._free(key)
 
--- a/tests/exchange/test_grantclient.py
+++ b/tests/exchange/test_grantclient.py
@@ -30,7 +30,7 @@
 
 def test_a_grant_wakes_the_asking_thread_and_is_returned_once_closed():
     owner = ScriptedOwner(KIND.GRANTED)
-    answer = owner.client.ask(OWNER, lossynetwork.make_ask())
+    answer = owner.client.request_grant(OWNER, lossynetwork.make_ask())
     assert answer.kind is KIND.GRANTED
     assert owner.returned == []
     owner.client.close(answer.grant_id)
@@ -40,12 +40,14 @@
 
 def test_a_queued_ask_polls_until_it_is_granted():
     owner = ScriptedOwner(KIND.QUEUED, KIND.GRANTED)
-    assert owner.client.ask(OWNER, lossynetwork.make_ask()).kind is KIND.GRANTED
+    assert owner.client.request_grant(OWNER, lossynetwork.make_ask()).kind is KIND.GRANTED
 
 
 def test_a_silent_owner_ends_the_ask_and_is_told():
     owner = ScriptedOwner()
-    assert owner.client.ask(OWNER, lossynetwork.make_ask()) == grantrequests.NoResponse("b")
+    assert owner.client.request_grant(OWNER, lossynetwork.make_ask()) == grantrequests.NoResponse(
+        "b"
+    )
     assert owner.returned == [1]
 
 
@@ -53,11 +55,11 @@
     owner = ScriptedOwner(KIND.QUEUED)
     gone = iter([True, True, False])
     ask = lossynetwork.make_ask(deadline_ms=60_000)
-    assert owner.client.ask(OWNER, ask, wanted=lambda: next(gone, False)) is None
+    assert owner.client.request_grant(OWNER, ask, wanted=lambda: next(gone, False)) is None
     assert owner.returned == [1]
 
 
 def test_the_deadline_ends_a_queued_ask():
     owner = ScriptedOwner(KIND.QUEUED)
-    assert owner.client.ask(OWNER, lossynetwork.make_ask(deadline_ms=100)) is None
+    assert owner.client.request_grant(OWNER, lossynetwork.make_ask(deadline_ms=100)) is None
     assert owner.returned == [1]
--- a/tests/exchange/test_grantserver.py
+++ b/tests/exchange/test_grantserver.py
@@ -76,13 +76,13 @@
     # The return arrives on another thread while the scheduler decides. Without the
     # check afterwards the grant stays until it lapses.
     owner = Owner()
-    decide = owner.scheduler.ask
+    decide = owner.scheduler.decide
 
     def ask(key, message):
         owner.report(1, done=True)
         return decide(key, message)
 
-    owner.scheduler.ask = ask
+    owner.scheduler.decide = ask
     assert owner.ask(1).code == grantserver.RETURNED
     assert not owner.scheduler.granted
 
@@ -91,7 +91,7 @@
     # The slot frees on another thread between the scheduler's "queued" and its being
     # remembered. Overwritten, the polls would be told "queued" for ever.
     owner = Owner(slots=0)
-    decide = owner.scheduler.ask
+    decide = owner.scheduler.decide
 
     def ask(key, message):
         answer = decide(key, message)
@@ -99,7 +99,7 @@
         owner.scheduler.serve(owner.server)
         return answer
 
-    owner.scheduler.ask = ask
+    owner.scheduler.decide = ask
     assert owner.ask(1).kind is KIND.GRANTED
 
 
--- a/tests/fairness/test_fairness_machine.py
+++ b/tests/fairness/test_fairness_machine.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as st
 
 from hornbeamglade.core import outcomes
-from hornbeamglade.fairness import queuesettings, waiting
+from hornbeamglade.fairness import fairqueue, queuesettings
 
 TEAM_WEIGHTS = {"a": 1.0, "b": 2.0, "c": 4.0}
 ANSWER = st.integers(0, 60)
@@ -14,8 +14,8 @@
 
     def __init__(self):
         super().__init__()
-        self.settings = queuesettings.WaitingSettings(max_waiting=8, max_passes=2, ageing_s=2.0)
-        self.queue = waiting.WaitingQueue(self.settings)
+        self.settings = queuesettings.QueueSettings(max_waiting=8, max_passes=2, ageing_s=2.0)
+        self.queue = fairqueue.FairQueue(self.settings)
         self.now = 0.0
         self.count = 0
         self.deadline_by_id = {}
@@ -52,7 +52,7 @@
             return
         assert work.prompt_tokens <= room
         assert self.end(work.request_id) > self.now
-        self.queue.served(work.team, answer)
+        self.queue.charge_output(work.team, answer)
 
     @stateful.rule()
     def expire(self):
@@ -94,7 +94,7 @@
 def test_shares_of_backlogged_teams_follow_their_weights(prompts, answers):
     # One team sends far larger requests than the others. In order of arrival it would
     # get nearly all tokens; by weight the teams' tokens stand as 1 to 2 to 4.
-    queue = waiting.WaitingQueue(queuesettings.WaitingSettings(max_waiting=60))
+    queue = fairqueue.FairQueue(queuesettings.QueueSettings(max_waiting=60))
     served = dict.fromkeys(TEAM_WEIGHTS, 0)
     for turn in range(700):
         for team, weight in TEAM_WEIGHTS.items():
@@ -104,7 +104,7 @@
                 queue.offer(work, weight, float(turn), 1e9)
         work = queue.take(lambda work: True, float(turn))
         answer = answers[turn % len(answers)]
-        queue.served(work.team, answer)
+        queue.charge_output(work.team, answer)
         served[work.team] += work.prompt_tokens + answer
     times = [served[team] / weight for team, weight in TEAM_WEIGHTS.items()]
     largest_step = max(prompts.values()) + max(answers)
--- a/tests/fairness/test_waiting.py
+++ b/tests/fairness/test_fairqueue.py
@@ -1,7 +1,7 @@
 import pytest
 
 from hornbeamglade.core import codederrors, outcomes
-from hornbeamglade.fairness import queuesettings, waiting
+from hornbeamglade.fairness import fairqueue, queuesettings
 
 FAR = 1e6
 
@@ -11,13 +11,13 @@
 
 
 def queue(**settings):
-    return waiting.WaitingQueue(queuesettings.WaitingSettings(**settings))
+    return fairqueue.FairQueue(queuesettings.QueueSettings(**settings))
 
 
 def fill(target, team, count, *, priority=0, prompt=10, deadline=FAR, now=0.0):
     for number in range(count):
         item = work(f"{team}{priority}-{number}", team, priority, prompt)
-        assert target.offer(item, 1.0, now, deadline) == waiting.Queued()
+        assert target.offer(item, 1.0, now, deadline) == fairqueue.Queued()
 
 
 def anything(_work):
@@ -52,7 +52,7 @@
     fill(target, "a", 3)
     fill(target, "b", 3)
     first = target.take(anything, 0.0)
-    target.served(first.team, 25)
+    target.charge_output(first.team, 25)
     other = {"a": "b", "b": "a"}[first.team]
     assert [target.take(anything, 0.0).team for _ in range(3)] == [other] * 3
 
@@ -175,7 +175,7 @@
     refused = target.offer(work("late"), 1.0, 10.0, deadline=25.0)
     assert refused.code == "cannot_start_in_time"
     assert refused.retry_after_s >= 60
-    assert target.offer(work("patient"), 1.0, 10.0, deadline=100.0) == waiting.Queued()
+    assert target.offer(work("patient"), 1.0, 10.0, deadline=100.0) == fairqueue.Queued()
 
 
 def test_quiet_time_does_not_count_as_slow_service():
@@ -209,7 +209,7 @@
     fill(target, "light", 10)
     served_each_second(target, 20)
     assert target.waiting("light") == 0
-    assert target.offer(work("next", "light"), 1.0, 20.0, deadline=22.0) == waiting.Queued()
+    assert target.offer(work("next", "light"), 1.0, 20.0, deadline=22.0) == fairqueue.Queued()
 
 
 def test_callers_refused_together_come_back_apart():
@@ -244,9 +244,9 @@
     waited there, and each newcomer queued somewhere else until it was late as well.
     """
     line = queue()
-    assert line.goes_first(due=0.0, now=1.0)
+    assert line.would_start_next(due=0.0, now=1.0)
     line.offer(work("late"), 1.0, 0.0, 60.0, due=1.0)
-    assert (line.ahead(0.5), line.goes_first(2.0, now=0.5)) == (1, False)
-    assert (line.ahead(1.0), line.goes_first(2.0, now=1.0)) == (0, True)
-    assert not line.goes_first(due=1.0, now=1.0)
+    assert (line.count_ahead(0.5), line.would_start_next(2.0, now=0.5)) == (1, False)
+    assert (line.count_ahead(1.0), line.would_start_next(2.0, now=1.0)) == (0, True)
+    assert not line.would_start_next(due=1.0, now=1.0)
     assert line.expected_wait_s(1.0) == 0.0
--- a/tests/fairness/test_on_time_first.py
+++ b/tests/fairness/test_on_time_first.py
@@ -3,7 +3,7 @@
 import math
 
 from hornbeamglade.core import outcomes
-from hornbeamglade.fairness import queuesettings, waiting
+from hornbeamglade.fairness import fairqueue, queuesettings
 
 AIM_S = 1.5
 PATIENCE_S = 4.0
@@ -16,8 +16,8 @@
 
     :param due_of: returns when a request that comes now must start to be on time.
     """
-    settings = queuesettings.WaitingSettings(max_waiting=500, team_share=1.0, optimism=10.0)
-    queue = waiting.WaitingQueue(settings)
+    settings = queuesettings.QueueSettings(max_waiting=500, team_share=1.0, optimism=10.0)
+    queue = fairqueue.FairQueue(settings)
     came_at = {}
     waits = []
     steps = round(seconds / COME_EVERY_S)
@@ -58,7 +58,7 @@
 
 
 def test_without_a_crowd_the_order_is_that_of_coming():
-    queue = waiting.WaitingQueue(queuesettings.WaitingSettings())
+    queue = fairqueue.FairQueue(queuesettings.QueueSettings())
     for number in range(3):
         work = outcomes.Work(f"r{number}", "tag", "t", 0, 10)
         queue.offer(work, 1.0, float(number), 60.0, 50.0)
@@ -67,6 +67,6 @@
 
 
 def test_one_that_is_late_is_served_when_no_other_waits():
-    queue = waiting.WaitingQueue(queuesettings.WaitingSettings())
+    queue = fairqueue.FairQueue(queuesettings.QueueSettings())
     queue.offer(outcomes.Work("late", "tag", "t", 0, 10), 1.0, 0.0, 60.0, 1.0)
     assert queue.take(lambda work: True, 5.0).request_id == "late"
--- a/tests/grants/test_asyncgrantacquirer.py
+++ b/tests/grants/test_asyncgrantacquirer.py
@@ -28,11 +28,11 @@
 
 KEYS = codec.KeyRing(1, {1: b"sixteen bytes at least"})
 SPEC = schedulerset.SchedulerSpec(
-    10_000, replicaadmission.AdmissionSettings(max_running=2), queuesettings.WaitingSettings()
+    10_000, replicaadmission.AdmissionSettings(max_running=2), queuesettings.QueueSettings()
 )
 
 
-class Node(grantacquirer.Owners):
+class Node(grantacquirer.ReplicaOwners):
     """One node's schedulers and both sides of its exchange."""
 
     def __init__(self, name, owned):
@@ -42,19 +42,19 @@
         self.silent = []
         self.schedulers = schedulerset.SchedulerSet(self.clock, lengthmodel.LengthModel())
         self.schedulers.configure(dict.fromkeys(("e0", "e1"), SPEC))
-        self.schedulers.own(frozenset(owned))
+        self.schedulers.set_owned(frozenset(owned))
         for replica in owned:
             self.report(replica)
         frames = codec.Codec(name, 1, KEYS, self.clock)
         self.transport = asyncudp.AsyncUdpTransport(frames, self._handle, self._failed)
         self.client = asyncgrantclient.AsyncGrantClient(1, self.transport, self.clock)
-        self.names = names = remotescheduler.AskNames()
+        self.names = names = remotescheduler.ConfiguredNames()
         names.replicas.replace(("e0", "e1"))
         names.services.replace(("draft",))
         names.teams.replace(("clinic",))
         self.remote = remotescheduler.RemoteScheduler(self.schedulers, self.clock, names)
         self.server = grantserver.GrantServer(self.remote, self.transport, self.clock)
-        self.remote.connect(self.server.push)
+        self.remote.set_push(self.server.push)
         self.acquirer = asyncgrantacquirer.AsyncGrantAcquirer(
             self.clock,
             self.schedulers,
@@ -66,14 +66,14 @@
 
     def report(self, replica):
         load = tokenledger.LoadView(1, 0.0, 10_000, 0)
-        self.schedulers.change(
-            replica, lambda scheduler, now: scheduler.reported(load, False, now)
+        self.schedulers.apply(
+            replica, lambda scheduler, now: scheduler.apply_report(load, False, now)
         )
 
     def owner(self, replica):
         return self.owner_by_replica.get(replica)
 
-    def unanswered(self, owner):
+    def record_no_response(self, owner):
         self.silent.append(owner)
 
     def _handle(self, message, sender, source):
@@ -122,7 +122,7 @@
 
 def test_grant_is_given_here_and_given_back():
     async def test(here, _there):
-        grant = await here.acquirer.find(placement("r1", here, candidate("e0")))
+        grant = await here.acquirer.acquire(placement("r1", here, candidate("e0")))
         held = running(here, "e0")
         here.acquirer.release(grant)
         here.acquirer.release(grant)
@@ -133,7 +133,7 @@
 
 def test_grant_is_given_by_another_owner_and_given_back():
     async def test(here, there):
-        grant = await here.acquirer.find(placement("r1", here, candidate("e1")))
+        grant = await here.acquirer.acquire(placement("r1", here, candidate("e1")))
         held = running(there, "e1")
         here.acquirer.release(grant)
         await eventloop.until(lambda: running(there, "e1") == 0)
@@ -145,9 +145,11 @@
 def test_request_waits_for_room_and_gets_it():
     async def test(here, _there):
         first = [
-            await here.acquirer.find(placement(f"r{n}", here, candidate("e0"))) for n in (1, 2)
+            await here.acquirer.acquire(placement(f"r{n}", here, candidate("e0"))) for n in (1, 2)
         ]
-        waiting = asyncio.ensure_future(here.acquirer.find(placement("r3", here, candidate("e0"))))
+        waiting = asyncio.ensure_future(
+            here.acquirer.acquire(placement("r3", here, candidate("e0")))
+        )
         await eventloop.until(lambda: here.schedulers.states()["e0"].waiting)
         here.acquirer.release(first[0])
         return (await waiting).replica
@@ -160,12 +162,13 @@
 
     async def test(here, there):
         for number in (1, 2):
-            await here.acquirer.find(placement(f"r{number}", here, candidate("e0")))
+            await here.acquirer.acquire(placement(f"r{number}", here, candidate("e0")))
         full = [
-            await there.acquirer.find(placement(f"s{n}", there, candidate("e1"))) for n in (1, 2)
+            await there.acquirer.acquire(placement(f"s{n}", there, candidate("e1")))
+            for n in (1, 2)
         ]
         both = (candidate("e0"), candidate("e1"))
-        waiting = asyncio.ensure_future(here.acquirer.find(placement("r3", here, *both)))
+        waiting = asyncio.ensure_future(here.acquirer.acquire(placement("r3", here, *both)))
         await asyncio.sleep(0.3)
         there.acquirer.release(full[0])
         grant = await waiting
@@ -178,8 +181,8 @@
 def test_refusal_after_the_wait_says_when_to_come_back():
     async def test(here, _there):
         for number in (1, 2):
-            await here.acquirer.find(placement(f"r{number}", here, candidate("e0")))
-        return await here.acquirer.find(placement("r3", here, candidate("e0"), wait_s=0.2))
+            await here.acquirer.acquire(placement(f"r{number}", here, candidate("e0")))
+        return await here.acquirer.acquire(placement("r3", here, candidate("e0"), wait_s=0.2))
 
     refusal = play(test)
     assert isinstance(refusal, outcomes.Refusal)
@@ -190,7 +193,7 @@
     async def test(here, there):
         there.transport.close()
         both = (candidate("e1", room=9_500), candidate("e0", room=5_000))
-        grant = await here.acquirer.find(placement("r1", here, *both))
+        grant = await here.acquirer.acquire(placement("r1", here, *both))
         return grant.replica, here.silent
 
     assert play(test) == ("e0", ["n1"])
@@ -204,9 +207,9 @@
 
     async def test(here, there):
         there.transport.close()
-        grant = await here.acquirer.find(placement("r1", here, candidate("e1")))
+        grant = await here.acquirer.acquire(placement("r1", here, candidate("e1")))
         here.acquirer.release(grant)
-        return grant.replica, grant.is_bound
+        return grant.replica, grant.is_granted
 
     assert play(test) == ("e1", False)
 
@@ -220,8 +223,8 @@
     async def test(here, there):
         for names in (there.names.replicas, there.names.services, there.names.teams):
             names.replace(())
-        grant = await here.acquirer.find(placement("r1", here, candidate("e1")))
-        return grant.replica, grant.is_bound
+        grant = await here.acquirer.acquire(placement("r1", here, candidate("e1")))
+        return grant.replica, grant.is_granted
 
     assert play(test) == ("e1", False)
 
@@ -234,18 +237,18 @@
     """
 
     async def test(here, there):
-        there.schedulers.own(frozenset())
+        there.schedulers.set_owned(frozenset())
         there.schedulers.configure({})
         there.schedulers.configure({"e1": SPEC})
-        grant = await here.acquirer.find(placement("r1", here, candidate("e1")))
-        return grant.replica, grant.is_bound
+        grant = await here.acquirer.acquire(placement("r1", here, candidate("e1")))
+        return grant.replica, grant.is_granted
 
     assert play(test) == ("e1", False)
 
 
 def test_no_engine_at_all_is_refused():
     async def test(here, _there):
-        return await here.acquirer.find(placement("r1", here))
+        return await here.acquirer.acquire(placement("r1", here))
 
     assert play(test).code == "no_replica"
 
@@ -253,8 +256,10 @@
 def test_cancelled_wait_leaves_nothing_behind():
     async def test(here, there):
         for number in (1, 2):
-            await there.acquirer.find(placement(f"s{number}", there, candidate("e1")))
-        waiting = asyncio.ensure_future(here.acquirer.find(placement("r1", here, candidate("e1"))))
+            await there.acquirer.acquire(placement(f"s{number}", there, candidate("e1")))
+        waiting = asyncio.ensure_future(
+            here.acquirer.acquire(placement("r1", here, candidate("e1")))
+        )
         await eventloop.until(lambda: there.schedulers.states()["e1"].waiting)
         waiting.cancel()
         await eventloop.until(lambda: not there.schedulers.states()["e1"].waiting)
@@ -265,10 +270,10 @@
 
 def test_run_that_goes_on_is_taken_in_by_the_memory_that_is_held():
     async def test(here, there):
-        near = await here.acquirer.find_near(
+        near = await here.acquirer.acquire_for_migration(
             placement("r1", here, candidate("e0"), candidate("e1"), produced=300), "a"
         )
-        too_large = await here.acquirer.find_near(
+        too_large = await here.acquirer.acquire_for_migration(
             placement("r2", here, candidate("e0"), candidate("e1"), produced=9_400), "a"
         )
         return near is not None, too_large
@@ -281,12 +286,12 @@
     schedulers = schedulerset.SchedulerSet(clock, lengthmodel.LengthModel())
     schedulers.configure({"e0": SPEC})
     work = outcomes.Work("r1", "draft", "clinic", 1, 500, 100)
-    assert schedulers.take_in("e0", work, 40) == replicascheduler.Granted("r1", "e0")
-    assert schedulers.take_in("e0", work, 40) == replicascheduler.Granted("r1", "e0")
+    assert schedulers.admit_migration("e0", work, 40) == replicascheduler.Granted("r1", "e0")
+    assert schedulers.admit_migration("e0", work, 40) == replicascheduler.Granted("r1", "e0")
     assert schedulers.states()["e0"].running == 1
-    schedulers.leave("e0")
+    schedulers.drain("e0")
     other = outcomes.Work("r2", "draft", "clinic", 1, 500, 100)
-    assert schedulers.take_in("e0", other, 1).code == "replica_leaving"
+    assert schedulers.admit_migration("e0", other, 1).code == "replica_leaving"
 
 
 def old(replica, **changes):
@@ -297,8 +302,8 @@
     """At 82 nodes a node hears of most engines once in 20 s."""
 
     async def test(here, there):
-        grant = await here.acquirer.find_room(placement("r1", here, old("e1", room=0)))
-        fresh = await here.acquirer.find_room(placement("r2", here, candidate("e1", room=0)))
+        grant = await here.acquirer.acquire_now(placement("r1", here, old("e1", room=0)))
+        fresh = await here.acquirer.acquire_now(placement("r2", here, candidate("e1", room=0)))
         return grant.replica, fresh, running(there, "e1")
 
     assert play(test) == ("e1", None, 1)
@@ -307,9 +312,11 @@
 def test_owner_that_grants_another_engine_is_taken_at_its_word():
     async def test(here, there):
         there.report("e0")
-        there.schedulers.own(frozenset(("e0", "e1")))
-        there.remote.offer_others(lambda replica, work: ("e0", "e1"))
-        grant = await here.acquirer.find(placement("r1", here, old("e1"), candidate("e0", room=0)))
+        there.schedulers.set_owned(frozenset(("e0", "e1")))
+        there.remote.set_alternatives(lambda replica, work: ("e0", "e1"))
+        grant = await here.acquirer.acquire(
+            placement("r1", here, old("e1"), candidate("e0", room=0))
+        )
         held = running(there, "e0")
         here.acquirer.release(grant)
         await eventloop.until(lambda: running(there, "e0") == 0)
@@ -323,9 +330,9 @@
 
     async def test(here, there):
         there.report("e0")
-        there.schedulers.own(frozenset(("e0", "e1")))
-        there.remote.offer_others(lambda replica, work: ("e0",))
-        grant = await here.acquirer.find_room(placement("r1", here, old("e1")))
+        there.schedulers.set_owned(frozenset(("e0", "e1")))
+        there.remote.set_alternatives(lambda replica, work: ("e0",))
+        grant = await here.acquirer.acquire_now(placement("r1", here, old("e1")))
         await eventloop.until(lambda: running(there, "e0") == 0)
         return grant
 
@@ -337,9 +344,11 @@
 
     async def test(here, there):
         asked = []
-        there.remote.offer_others(lambda replica, work: asked.append(replica) or ())
+        there.remote.set_alternatives(lambda replica, work: asked.append(replica) or ())
         here.owner_by_replica["e2"] = here.owner_by_replica["e1"]
-        await here.acquirer.find_room(placement("r1", here, old("e1", room=0), old("e2", room=0)))
+        await here.acquirer.acquire_now(
+            placement("r1", here, old("e1", room=0), old("e2", room=0))
+        )
         return len(asked)
 
     assert play(test) == 1
@@ -353,22 +362,23 @@
 
     async def test(here, there):
         asked = []
-        ask = there.remote.ask
+        ask = there.remote.decide
 
         def count(key, message):
             asked.append(message.at_once)
             return ask(key, message)
 
-        there.remote.ask = count
+        there.remote.decide = count
         for number in range(2):
-            await here.acquirer.find(placement(f"a{number}", here, candidate("e0")))
+            await here.acquirer.acquire(placement(f"a{number}", here, candidate("e0")))
         held = [
-            await here.acquirer.find(placement(f"b{n}", here, candidate("e1"))) for n in range(2)
+            await here.acquirer.acquire(placement(f"b{n}", here, candidate("e1")))
+            for n in range(2)
         ]
         asked.clear()
         known = (candidate("e0", queued=5), candidate("e1"))
         waiting = [
-            asyncio.ensure_future(here.acquirer.find(placement(f"r{n}", here, *known)))
+            asyncio.ensure_future(here.acquirer.acquire(placement(f"r{n}", here, *known)))
             for n in range(40)
         ]
         await asyncio.sleep(1.0)
--- a/tests/grants/test_grantacquirer.py
+++ b/tests/grants/test_grantacquirer.py
@@ -14,7 +14,7 @@
 REMOTE = transport.Peer("n2", transport.Endpoint("127.0.0.1", 7000))
 
 
-class Owners(grantacquirer.Owners):
+class Owners(grantacquirer.ReplicaOwners):
     def __init__(self, remote):
         self.remote = remote
         self.silent = []
@@ -22,7 +22,7 @@
     def owner(self, replica):
         return REMOTE if replica in self.remote else None
 
-    def unanswered(self, owner):
+    def record_no_response(self, owner):
         self.silent.append(owner)
 
 
@@ -34,7 +34,7 @@
         self.asked = []
         self.calls = []
 
-    def ask(self, owner, ask, wanted):
+    def request_grant(self, owner, ask, wanted):
         names = {messages.key_hash(name): name for name in test_schedulerset.REPLICAS}
         self.asked.append(names[ask.replica])
         return self.answer_by_replica[self.asked[-1]]
@@ -74,7 +74,7 @@
         return grantacquirer.PlacementRequest(work, 1.0, deadline, is_gone or self.gone.is_set)
 
     def find(self, *args, **kwargs):
-        return self.acquirer.find(self.placement(*args, **kwargs), self.known)
+        return self.acquirer.acquire(self.placement(*args, **kwargs), self.known)
 
     def known(self):
         return [
@@ -105,7 +105,7 @@
 def test_a_grant_here_is_given_back_once():
     site = Site()
     grant = site.find()
-    assert (grant.replica, grant.number, site.held()) == ("e1", None, 1)
+    assert (grant.replica, grant.grant_id, site.held()) == ("e1", None, 1)
     assert site.acquirer.active_count == 1
     grant.release()
     assert (site.held(), site.acquirer.active_count) == (0, 0)
@@ -118,10 +118,10 @@
     site = Site(remote={"e1"}, e1=granted(7))
     grant = site.find()
     grant.produced = 5
-    site.acquirer.report()
+    site.acquirer.report_progress()
     grant.release()
     grant.release()
-    site.acquirer.report()
+    site.acquirer.report_progress()
     assert site.client.calls == [("note", 7, 5), ("note", 7, 5), ("close", 7)]
 
 
@@ -201,7 +201,7 @@
     asking.schedulers.configure(specs)
     asking.schedulers.finish("e1", "r1")
     asking.ask("e2", "r1")
-    asking.schedulers.settle()
+    asking.schedulers.process_queues()
     assert asking.told["r1"] == []
     assert asking.schedulers.states()["e2"].waiting == 1
 
@@ -217,7 +217,7 @@
     site = Site(remote={"e1", "e2"}, e1=answer, e2=answer)
     begun = site.asking.clock.now()
     grant = site.find()
-    assert (grant.replica, grant.number) == ("e1", None)
+    assert (grant.replica, grant.grant_id) == ("e1", None)
     waited_s = site.asking.clock.now() - begun
     assert grantacquirer.UNOWNED_S <= waited_s <= grantacquirer.UNOWNED_S + 0.2
     grant.release()
--- a/tests/grants/test_turntaker.py
+++ b/tests/grants/test_migrationcoordinator.py
@@ -5,7 +5,7 @@
 
 from hornbeamglade.core import clocks
 from hornbeamglade.exchange import codec, messages, transport
-from hornbeamglade.grants import grantacquirer, turntaker
+from hornbeamglade.grants import grantacquirer, migrationcoordinator
 from tests import eventloop
 
 OWNER = "n0"
@@ -26,10 +26,10 @@
         sender = codec.Sender(self._name, 1)
         endpoint = transport.Endpoint("10.0.0.1", 1)
         taker = self._taker_by_name[peer.name]
-        asyncio.get_running_loop().call_soon(taker.heard, message, sender, endpoint)
+        asyncio.get_running_loop().call_soon(taker.handle_message, message, sender, endpoint)
 
 
-class Owners(grantacquirer.Owners):
+class Owners(grantacquirer.ReplicaOwners):
     """One node owns every replica."""
 
     def __init__(self, name):
@@ -40,7 +40,7 @@
             return None
         return transport.Peer(OWNER, transport.Endpoint("10.0.0.1", 1))
 
-    def unanswered(self, owner):
+    def record_no_response(self, owner):
         raise AssertionError(owner)
 
 
@@ -49,7 +49,9 @@
     rng = random.Random(1)
     for name in names:
         network = Network(name, taker_by_name, rng, loss)
-        taker = turntaker.TurnTaker(name, Owners(name), network, clocks.SystemClock())
+        taker = migrationcoordinator.MigrationCoordinator(
+            name, Owners(name), network, clocks.SystemClock()
+        )
         taker_by_name[name] = taker
     return taker_by_name
 
@@ -68,13 +70,13 @@
                 await asyncio.sleep(0.01)
 
         async def move(taker, run, tokens):
-            await taker.take("e", run, tokens)
+            await taker.acquire("e", run, tokens)
             now_moving.append(run)
             most[0] = max(most[0], len(now_moving))
             await asyncio.sleep(work_s)
             now_moving.remove(run)
             order.append(tokens)
-            taker.done("e", run)
+            taker.release("e", run)
 
         ticking = asyncio.create_task(tick())
         takers = list(taker_by_name.values())
@@ -104,8 +106,8 @@
 
     async def main():
         taker = site(0.0, names=("n1",))["n1"]
-        await taker.take("e", "r", 100)
-        taker.done("e", "r")
+        await taker.acquire("e", "r", 100)
+        taker.release("e", "r")
 
     eventloop.run(main())
 
@@ -114,13 +116,13 @@
     async def main():
         taker_by_name = site(0.0)
         owner, other = taker_by_name["n0"], taker_by_name["n1"]
-        waiting = asyncio.create_task(other.take("e", "r1", 1))
+        waiting = asyncio.create_task(other.acquire("e", "r1", 1))
         await asyncio.sleep(0)
         waiting.cancel()
-        other.done("e", "r1")
+        other.release("e", "r1")
         await asyncio.sleep(0)
-        await owner.take("e", "r2", 2)
-        owner.done("e", "r2")
+        await owner.acquire("e", "r2", 2)
+        owner.release("e", "r2")
 
     eventloop.run(main())
 
@@ -130,7 +132,7 @@
         taker = site(0.0)["n1"]
         sender, endpoint = codec.Sender("n2", 1), transport.Endpoint("10.0.0.1", 1)
         for kind in messages.MigrationSlotKind:
-            taker.heard(messages.MigrationSlot(kind, 1, 2, 3), sender, endpoint)
+            taker.handle_message(messages.MigrationSlot(kind, 1, 2, 3), sender, endpoint)
         taker.tick()
 
     eventloop.run(main())
@@ -145,15 +147,15 @@
     async def main():
         taker_by_name = site(0.0)
         first, second = taker_by_name["n1"], taker_by_name["n2"]
-        arrive = turntaker.Way.ARRIVE
-        await first.take("e", "r1", 10, arrive)
-        waiting = asyncio.create_task(second.take("e", "r2", 10, arrive))
-        await second.take("e", "r3", 10)
-        second.done("e", "r3")
+        arrive = migrationcoordinator.SlotDirection.ARRIVE
+        await first.acquire("e", "r1", 10, arrive)
+        waiting = asyncio.create_task(second.acquire("e", "r2", 10, arrive))
+        await second.acquire("e", "r3", 10)
+        second.release("e", "r3")
         was_waiting = not waiting.done()
-        first.done("e", "r1", arrive)
+        first.release("e", "r1", arrive)
         await waiting
-        second.done("e", "r2", arrive)
+        second.release("e", "r2", arrive)
         return was_waiting
 
     assert eventloop.run(main())
--- a/tests/grants/test_moveturns.py
+++ b/tests/grants/test_migrationslots.py
@@ -3,7 +3,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from hornbeamglade.grants import moveturns
+from hornbeamglade.grants import migrationslots
 
 _STEPS = strategies.lists(
     strategies.tuples(
@@ -16,38 +16,38 @@
 
 
 def run(name, tokens):
-    return moveturns.Run(name, f"node-{name}", tokens)
+    return migrationslots.MigratingRun(name, f"node-{name}", tokens)
 
 
 @hypothesis.given(_STEPS)
 def test_at_most_one_run_has_the_turn_and_none_waits_for_ever(steps):
-    turns = moveturns.MoveTurns()
+    turns = migrationslots.MigrationSlots()
     now = 0.0
     for what, name, pause_s in steps:
         now += pause_s
         if what == "ask":
-            turns.ask("e", run(name, ord(name)), now)
+            turns.request("e", run(name, ord(name)), now)
         elif what == "done":
-            turns.done("e", name, now)
+            turns.release("e", name, now)
         assert len(turns.due(now)) <= 1
-    turns.ask("e", run("last", 1), now)
+    turns.request("e", run("last", 1), now)
     served = set()
     for _ in range(100):
         now += 0.1
-        turns.ask("e", run("last", 1), now)
+        turns.request("e", run("last", 1), now)
         served.update(turn.run.id for turn in turns.due(now))
     assert "last" in served
 
 
 def test_smallest_run_goes_first():
-    turns = moveturns.MoveTurns()
+    turns = migrationslots.MigrationSlots()
     for name, tokens in (("a", 300), ("b", 100), ("c", 200)):
-        turns.ask("e", run(name, tokens), 0.0)
+        turns.request("e", run(name, tokens), 0.0)
     order = []
     for step in range(3):
         turn = turns.due(0.1 + step / 10)[0]
         order.append(turn.run.id)
-        turns.done("e", turn.run.id, 0.1 + step / 10)
+        turns.release("e", turn.run.id, 0.1 + step / 10)
     assert order == ["b", "c", "a"]
     assert turns.due(2.0) == ()
     assert turns.is_idle
@@ -58,17 +58,17 @@
 
     Waited for, it would cost all other runs their place before the engine is gone.
     """
-    turns = moveturns.MoveTurns()
-    turns.ask("e", run("a", 1), 0.0)
-    turns.ask("e", run("b", 2), 0.0)
+    turns = migrationslots.MigrationSlots()
+    turns.request("e", run("a", 1), 0.0)
+    turns.request("e", run("b", 2), 0.0)
     assert turns.due(0.1)[0].run.id == "a"
-    now = 0.1 + moveturns.LAPSE_S
-    turns.ask("e", run("b", 2), now)
+    now = 0.1 + migrationslots.LAPSE_S
+    turns.request("e", run("b", 2), now)
     assert turns.due(now)[0].run.id == "b"
 
 
 def test_replicas_have_turns_of_their_own():
-    turns = moveturns.MoveTurns()
-    turns.ask("e1", run("a", 1), 0.0)
-    turns.ask("e2", run("b", 1), 0.0)
+    turns = migrationslots.MigrationSlots()
+    turns.request("e1", run("a", 1), 0.0)
+    turns.request("e2", run("b", 1), 0.0)
     assert len(turns.due(0.1)) == 2
--- a/tests/grants/test_remotescheduler.py
+++ b/tests/grants/test_remotescheduler.py
@@ -6,7 +6,7 @@
 from hornbeamglade.core import clocks
 from hornbeamglade.exchange import grantserver, messages
 from hornbeamglade.fairness import queuesettings
-from hornbeamglade.grants import grantanswers, remotescheduler, replicascheduler, schedulerset
+from hornbeamglade.grants import grantresponses, remotescheduler, replicascheduler, schedulerset
 from hornbeamglade.lengths import lengthmodel
 from tests.exchange import lossynetwork
 
@@ -21,11 +21,11 @@
         clock = clocks.ManualClock(100.0)
         self.schedulers = schedulerset.SchedulerSet(clock, lengthmodel.LengthModel())
         spec = schedulerset.SchedulerSpec(
-            100_000, replicaadmission.AdmissionSettings(), queuesettings.WaitingSettings()
+            100_000, replicaadmission.AdmissionSettings(), queuesettings.QueueSettings()
         )
         self.schedulers.configure({"engine-1": spec})
-        self.schedulers.own(frozenset({"engine-1"}))
-        self.names = remotescheduler.AskNames()
+        self.schedulers.set_owned(frozenset({"engine-1"}))
+        self.names = remotescheduler.ConfiguredNames()
         self.names.replicas.replace(["engine-1"])
         self.names.services.replace(["chat"])
         self.names.teams.replace(["clerks"])
@@ -38,7 +38,7 @@
 
 def test_an_ask_by_hashes_reaches_the_scheduler_of_the_name():
     owner = Owner()
-    assert owner.remote.ask(KEY, lossynetwork.make_ask(1)).kind is not KIND.REFUSED
+    assert owner.remote.decide(KEY, lossynetwork.make_ask(1)).kind is not KIND.REFUSED
     assert owner.held() == 1
 
 
@@ -48,8 +48,8 @@
     # not. Taken, its requests would be queued as those of a team of no name.
     owner = Owner()
     getattr(owner.names, unknown).replace([])
-    answer = owner.remote.ask(KEY, lossynetwork.make_ask(1))
-    assert (answer.kind, answer.code) == (KIND.REFUSED, grantanswers.NAMES_UNKNOWN)
+    answer = owner.remote.decide(KEY, lossynetwork.make_ask(1))
+    assert (answer.kind, answer.code) == (KIND.REFUSED, grantresponses.NAMES_UNKNOWN)
     assert answer.retry_after_ms > 0
     assert owner.held() == 0
 
@@ -59,26 +59,26 @@
     owner = Owner()
     schedulers = owner.schedulers
     now = dataclasses.replace(lossynetwork.make_ask(1), at_once=True)
-    assert not schedulers.states()["engine-1"].room_tokens
-    answer = owner.remote.ask(KEY, now)
-    assert (answer.kind, answer.code) == (KIND.REFUSED, grantanswers.NO_ROOM_NOW)
+    assert not schedulers.states()["engine-1"].headroom_tokens
+    answer = owner.remote.decide(KEY, now)
+    assert (answer.kind, answer.code) == (KIND.REFUSED, grantresponses.NO_ROOM_NOW)
     assert owner.held() == 0
     report = tokenledger.LoadView(1, 0.0, 100_000, 0)
-    schedulers.change("engine-1", lambda scheduler, at: scheduler.reported(report, False, at))
-    assert owner.remote.ask(KEY, now).kind is KIND.GRANTED
+    schedulers.apply("engine-1", lambda scheduler, at: scheduler.apply_report(report, False, at))
+    assert owner.remote.decide(KEY, now).kind is KIND.GRANTED
 
 
 def test_an_ask_that_may_only_start_now_learns_that_the_owner_has_changed():
     owner = Owner()
-    owner.schedulers.own(frozenset())
+    owner.schedulers.set_owned(frozenset())
     now = dataclasses.replace(lossynetwork.make_ask(1), at_once=True)
-    assert owner.remote.ask(KEY, now).code == replicascheduler.OWNER_MOVED
+    assert owner.remote.decide(KEY, now).code == replicascheduler.OWNER_MOVED
 
 
 def test_a_returned_ask_frees_its_place():
     owner = Owner()
-    owner.remote.ask(KEY, lossynetwork.make_ask(1))
-    owner.remote.returned(KEY, 0)
+    owner.remote.decide(KEY, lossynetwork.make_ask(1))
+    owner.remote.release(KEY, 0)
     assert owner.held() == 0
 
 
@@ -100,23 +100,25 @@
         spec = schedulerset.SchedulerSpec(
             1000,
             replicaadmission.AdmissionSettings(max_running=1),
-            queuesettings.WaitingSettings(),
+            queuesettings.QueueSettings(),
         )
         self.schedulers.configure(dict.fromkeys(("engine-1", "engine-2"), spec))
-        self.schedulers.own(frozenset(("engine-1", "engine-2")))
+        self.schedulers.set_owned(frozenset(("engine-1", "engine-2")))
         self.names.replicas.replace(["engine-1", "engine-2"])
-        self.remote.offer_others(lambda replica, work: (first, second))
+        self.remote.set_alternatives(lambda replica, work: (first, second))
         for name in ("engine-1", "engine-2"):
             self.report(name)
 
     def report(self, name):
         view = tokenledger.LoadView(1, 0.0, 1000, 0)
-        self.schedulers.change(name, lambda scheduler, now: scheduler.reported(view, False, now))
+        self.schedulers.apply(
+            name, lambda scheduler, now: scheduler.apply_report(view, False, now)
+        )
 
     def ask(self, number, **changes):
         key = grantserver.GrantKey("n2", 1, number)
         ask = dataclasses.replace(lossynetwork.make_ask(number), or_other=True, **changes)
-        return key, self.remote.ask(key, ask)
+        return key, self.remote.decide(key, ask)
 
     def running(self):
         return {name: state.running for name, state in self.schedulers.states().items()}
@@ -139,7 +141,7 @@
     key, _ = owner.ask(1)
     owner.remote.progress(key, 5)
     assert owner.running() == {"engine-1": 0, "engine-2": 1}
-    owner.remote.returned(key, 9)
+    owner.remote.release(key, 9)
     assert owner.running() == {"engine-1": 0, "engine-2": 0}
 
 
--- a/tests/grants/test_replicascheduler.py
+++ b/tests/grants/test_replicascheduler.py
@@ -2,7 +2,7 @@
 
 from hornbeamglade.admission import replicaadmission, tokenledger
 from hornbeamglade.core import outcomes
-from hornbeamglade.fairness import queuesettings, waiting
+from hornbeamglade.fairness import fairqueue, queuesettings
 from hornbeamglade.grants import replicascheduler
 from hornbeamglade.lengths import lengthmodel
 from hornbeamglade.replicas import startgate
@@ -16,7 +16,7 @@
     scheduler = replicascheduler.ReplicaScheduler(
         "e1",
         replicaadmission.ReplicaAdmission(MEMORY, lengthmodel.LengthModel()),
-        waiting.WaitingQueue(queuesettings.WaitingSettings(max_waiting, team_share=1.0)),
+        fairqueue.FairQueue(queuesettings.QueueSettings(max_waiting, team_share=1.0)),
     )
     if is_reported:
         report(scheduler, 0.0)
@@ -25,7 +25,7 @@
 
 def report(scheduler, now, leaving=False, age_s=0.0):
     view = tokenledger.LoadView(int(now * 10) + 1, age_s, MEMORY, 0)
-    scheduler.reported(view, leaving, now)
+    scheduler.apply_report(view, leaving, now)
 
 
 def work(request_id, prompt=SMALL, team="clerks"):
@@ -33,7 +33,7 @@
 
 
 def ask(scheduler, request_id, now=0.0, prompt=SMALL, team="clerks", weight=1.0, deadline=60.0):
-    return scheduler.ask(work(request_id, prompt, team), weight, now, deadline)
+    return scheduler.request_grant(work(request_id, prompt, team), weight, now, deadline)
 
 
 def answers(settled):
@@ -44,18 +44,18 @@
     scheduler = make_scheduler()
     for _ in range(2):
         assert ask(scheduler, "r1", prompt=HUGE) == replicascheduler.Granted("r1", "e1")
-        assert ask(scheduler, "r2", prompt=HUGE) == replicascheduler.Waiting("r2", "e1")
-    assert (scheduler.running_count, scheduler.waiting_count) == (1, 1)
+        assert ask(scheduler, "r2", prompt=HUGE) == replicascheduler.Queued("r2", "e1")
+    assert (scheduler.running_count, scheduler.queued_count) == (1, 1)
 
 
 def test_the_end_of_a_request_lets_the_next_one_start():
     scheduler = make_scheduler()
     ask(scheduler, "r1", prompt=HUGE)
     ask(scheduler, "r2", prompt=HUGE)
-    assert scheduler.settle(0.1) == ()
+    assert scheduler.process_queue(0.1) == ()
     scheduler.finish("r1", 0.2)
     scheduler.finish("r1", 0.2)
-    assert answers(scheduler.settle(0.2)) == {"r2": replicascheduler.Granted("r2", "e1")}
+    assert answers(scheduler.process_queue(0.2)) == {"r2": replicascheduler.Granted("r2", "e1")}
 
 
 def test_nobody_overtakes_those_that_wait():
@@ -63,8 +63,8 @@
     ask(scheduler, "r1", prompt=HUGE)
     ask(scheduler, "r2", prompt=HUGE)
     scheduler.finish("r1", 0.1)
-    assert isinstance(ask(scheduler, "r3", now=0.1), replicascheduler.Waiting)
-    assert next(iter(answers(scheduler.settle(0.1)))) == "r2"
+    assert isinstance(ask(scheduler, "r3", now=0.1), replicascheduler.Queued)
+    assert next(iter(answers(scheduler.process_queue(0.1)))) == "r2"
 
 
 def test_a_caller_that_gives_up_leaves_no_place_behind():
@@ -73,8 +73,8 @@
     ask(scheduler, "r2", prompt=HUGE)
     scheduler.finish("r2", 0.1)
     scheduler.finish("r1", 0.1)
-    assert scheduler.settle(0.1) == ()
-    assert (scheduler.running_count, scheduler.waiting_count) == (0, 0)
+    assert scheduler.process_queue(0.1) == ()
+    assert (scheduler.running_count, scheduler.queued_count) == (0, 0)
 
 
 def test_one_that_gives_way_is_told():
@@ -86,18 +86,18 @@
     scheduler = make_scheduler(max_waiting=2)
     for name in ("r1", "r2", "r3"):
         ask(scheduler, name, prompt=HUGE, team="flood")
-    assert isinstance(ask(scheduler, "r4", prompt=HUGE, team="quiet"), replicascheduler.Waiting)
-    told = answers(scheduler.settle(0.0))
+    assert isinstance(ask(scheduler, "r4", prompt=HUGE, team="quiet"), replicascheduler.Queued)
+    told = answers(scheduler.process_queue(0.0))
     assert told["r3"].code == "displaced"
     assert told["r3"].run is outcomes.RunStatus.NOT_RUN
 
 
 def test_a_replica_that_never_reported_is_waited_for():
     scheduler = make_scheduler(is_reported=False)
-    assert isinstance(ask(scheduler, "r1"), replicascheduler.Waiting)
-    assert scheduler.settle(1.0) == ()
+    assert isinstance(ask(scheduler, "r1"), replicascheduler.Queued)
+    assert scheduler.process_queue(1.0) == ()
     report(scheduler, 2.0)
-    assert isinstance(answers(scheduler.settle(2.0))["r1"], replicascheduler.Granted)
+    assert isinstance(answers(scheduler.process_queue(2.0))["r1"], replicascheduler.Granted)
 
 
 @pytest.mark.parametrize("age_s", [0.0, 3.0])
@@ -114,13 +114,15 @@
         ask(scheduler, "r1", now=silent_at - 0.2, prompt=HUGE), replicascheduler.Granted
     )
     assert isinstance(
-        ask(scheduler, "r2", now=silent_at - 0.2, prompt=HUGE), replicascheduler.Waiting
+        ask(scheduler, "r2", now=silent_at - 0.2, prompt=HUGE), replicascheduler.Queued
     )
     assert ask(scheduler, "r3", now=silent_at).code == "replica_silent"
     scheduler.finish("r1", silent_at)
-    assert scheduler.settle(silent_at) == ()
+    assert scheduler.process_queue(silent_at) == ()
     report(scheduler, silent_at + 1)
-    assert isinstance(answers(scheduler.settle(silent_at + 1))["r2"], replicascheduler.Granted)
+    assert isinstance(
+        answers(scheduler.process_queue(silent_at + 1))["r2"], replicascheduler.Granted
+    )
 
 
 def test_a_leaving_replica_refuses_whoever_waits_and_comes():
@@ -129,16 +131,16 @@
     ask(scheduler, "r2", prompt=HUGE)
     report(scheduler, 1.0, leaving=True)
     scheduler.finish("r1", 1.0)
-    assert scheduler.settle(1.0) == ()
+    assert scheduler.process_queue(1.0) == ()
     successor = make_scheduler(is_reported=False)
     successor.take_over(scheduler, 1.0)
     assert ask(successor, "r3", now=1.0).code == "replica_leaving"
-    assert answers(scheduler.leave())["r2"].code == "replica_leaving"
+    assert answers(scheduler.drain())["r2"].code == "replica_leaving"
     assert ask(scheduler, "r3", now=1.0).code == "replica_leaving"
-    assert scheduler.leave() == ()
+    assert scheduler.drain() == ()
     report(scheduler, 2.0)
     ask(scheduler, "r4", now=2.0, prompt=HUGE)
-    assert isinstance(ask(scheduler, "r2", now=2.0, prompt=HUGE), replicascheduler.Waiting)
+    assert isinstance(ask(scheduler, "r2", now=2.0, prompt=HUGE), replicascheduler.Queued)
 
 
 def test_other_settings_keep_what_runs_and_waits():
@@ -154,10 +156,10 @@
         ask(former, name, prompt=HUGE)
     scheduler = make_scheduler(max_waiting=1, is_reported=False)
     scheduler.take_over(former, 1.0)
-    assert (scheduler.running_count, scheduler.waiting_count) == (1, 1)
-    assert answers(scheduler.settle(1.0))["r3"].code in ("queue_full", "team_queue_full")
+    assert (scheduler.running_count, scheduler.queued_count) == (1, 1)
+    assert answers(scheduler.process_queue(1.0))["r3"].code in ("queue_full", "team_queue_full")
     scheduler.finish("r1", 2.0)
-    assert answers(scheduler.settle(2.0)) == {"r2": replicascheduler.Granted("r2", "e1")}
+    assert answers(scheduler.process_queue(2.0)) == {"r2": replicascheduler.Granted("r2", "e1")}
 
 
 def test_teams_are_charged_for_the_tokens_of_their_answers():
@@ -172,7 +174,7 @@
     ask(scheduler, "short-2", team="short", prompt=HUGE)
     scheduler.progress("long", 250, 1.0)
     scheduler.finish("long", 1.0)
-    assert list(answers(scheduler.settle(1.0))) == ["short-2"]
+    assert list(answers(scheduler.process_queue(1.0))) == ["short-2"]
 
 
 def test_an_engine_that_cannot_be_reached_gets_nothing_until_it_reports():
@@ -184,21 +186,21 @@
     scheduler = make_scheduler()
     ask(scheduler, "r1", prompt=HUGE)
     ask(scheduler, "r2", prompt=HUGE)
-    assert answers(scheduler.lost(1.0))["r2"].code == "replica_unreached"
+    assert answers(scheduler.mark_unreachable(1.0))["r2"].code == "replica_unreached"
     scheduler.finish("r1", 1.0)
     assert ask(scheduler, "r3", now=1.0).code == "replica_unreached"
-    assert scheduler.ask_at_once(work("r4"), 1.0) is None
-    assert scheduler.take_in(work("r5"), 10, 1.0).code == "replica_unreached"
-    assert scheduler.is_lost
+    assert scheduler.try_grant(work("r4"), 1.0) is None
+    assert scheduler.admit_migration(work("r5"), 10, 1.0).code == "replica_unreached"
+    assert scheduler.is_unreachable
     report(scheduler, 2.0)
     assert isinstance(ask(scheduler, "r3", now=2.0), replicascheduler.Granted)
-    assert not scheduler.is_lost
+    assert not scheduler.is_unreachable
 
 
 def test_an_engine_that_leaves_and_ends_stays_one_that_leaves():
     scheduler = make_scheduler()
     report(scheduler, 1.0, leaving=True)
-    scheduler.lost(2.0)
+    scheduler.mark_unreachable(2.0)
     assert ask(scheduler, "r1", now=2.0).code == "replica_leaving"
 
 
@@ -212,10 +214,10 @@
     scheduler.admission.ledger.capacity = 100_000
     many = [ask(scheduler, f"r{number}", prompt=3000) for number in range(4)]
     kinds = [type(answer) for answer in many]
-    granted, waits = replicascheduler.Granted, replicascheduler.Waiting
+    granted, waits = replicascheduler.Granted, replicascheduler.Queued
     assert kinds == [granted, granted, waits, waits]
-    assert [each.request_id for each in scheduler.settle(0.1)] == ["r2"]
-    assert [each.request_id for each in scheduler.settle(0.5)] == ["r3"]
+    assert [each.request_id for each in scheduler.process_queue(0.1)] == ["r2"]
+    assert [each.request_id for each in scheduler.process_queue(0.5)] == ["r3"]
 
 
 class PacedGate(startgate.StartGate):
@@ -237,8 +239,8 @@
     scheduler.gate = PacedGate(1)
     assert ask(scheduler, "r1") == replicascheduler.Granted("r1", "e1")
     assert ask(scheduler, "r2").code == "replica_cold"
-    assert scheduler.take_in(work("r3"), 5, 0.0).code == "replica_cold"
-    assert (scheduler.running_count, scheduler.waiting_count) == (1, 0)
+    assert scheduler.admit_migration(work("r3"), 5, 0.0).code == "replica_cold"
+    assert (scheduler.running_count, scheduler.queued_count) == (1, 0)
 
 
 def test_those_that_wait_when_the_gate_closes_are_refused():
@@ -246,6 +248,6 @@
     ask(scheduler, "r1", prompt=HUGE)
     ask(scheduler, "r2", prompt=HUGE)
     scheduler.gate = PacedGate(0)
-    assert answers(scheduler.settle(0.1))["r2"].code == "replica_cold"
+    assert answers(scheduler.process_queue(0.1))["r2"].code == "replica_cold"
     scheduler.finish("r1", 0.2)
-    assert (scheduler.running_count, scheduler.waiting_count) == (0, 0)
+    assert (scheduler.running_count, scheduler.queued_count) == (0, 0)
--- a/tests/grants/test_schedulerset.py
+++ b/tests/grants/test_schedulerset.py
@@ -18,7 +18,7 @@
     return schedulerset.SchedulerSpec(
         MEMORY,
         replicaadmission.AdmissionSettings(max_running=max_running),
-        queuesettings.WaitingSettings(max_waiting, team_share=1.0),
+        queuesettings.QueueSettings(max_waiting, team_share=1.0),
     )
 
 
@@ -29,23 +29,25 @@
         self.clock = clocks.ManualClock()
         self.schedulers = schedulerset.SchedulerSet(self.clock, lengthmodel.LengthModel())
         self.schedulers.configure(dict.fromkeys(REPLICAS, spec()))
-        self.schedulers.own(frozenset(REPLICAS))
+        self.schedulers.set_owned(frozenset(REPLICAS))
         self.told = collections.defaultdict(list)
         self.sequence = 0
 
     def report(self, replica, leaving=False):
         self.sequence += 1
         view = tokenledger.LoadView(self.sequence, 0.0, MEMORY, 0)
-        self.schedulers.change(
-            replica, lambda scheduler, now: scheduler.reported(view, leaving, now)
+        self.schedulers.apply(
+            replica, lambda scheduler, now: scheduler.apply_report(view, leaving, now)
         )
         if leaving:
-            self.schedulers.leave(replica)
+            self.schedulers.drain(replica)
 
     def ask(self, replica, request_id, team="clerks", prompt=20, patience_s=60.0):
         work = outcomes.Work(request_id, "chat", team, 0, prompt)
         deadline = self.clock.now() + patience_s
-        return self.schedulers.ask(replica, work, 1.0, deadline, self.told[request_id].append)
+        return self.schedulers.request_grant(
+            replica, work, 1.0, deadline, self.told[request_id].append
+        )
 
 
 class SchedulerSetMachine(stateful.RuleBasedStateMachine):
@@ -73,7 +75,7 @@
         answer = self.asking.ask(replica, name, team, prompt, patience_s)
         if isinstance(answer, replicascheduler.Granted):
             self.replica_by_running[name] = replica
-        elif isinstance(answer, replicascheduler.Waiting):
+        elif isinstance(answer, replicascheduler.Queued):
             self.replica_by_waiting[name] = replica
         else:
             assert answer.run is outcomes.RunStatus.NOT_RUN
@@ -88,7 +90,7 @@
         answer = self.asking.ask(known[name], name)
         is_running = name in self.replica_by_running
         assert isinstance(
-            answer, replicascheduler.Granted if is_running else replicascheduler.Waiting
+            answer, replicascheduler.Granted if is_running else replicascheduler.Queued
         )
 
     @stateful.precondition(lambda self: self.replica_by_waiting or self.replica_by_running)
@@ -129,7 +131,7 @@
 
     @stateful.invariant()
     def nothing_is_lost_or_told_twice(self):
-        self.asking.schedulers.settle()
+        self.asking.schedulers.process_queues()
         for name, told in self.asking.told.items():
             assert len(told) <= 1, name
             if told and name in self.replica_by_waiting:
@@ -180,7 +182,7 @@
     """
     node = Asking()
     node.ask("e1", "r1")
-    node.schedulers.own(frozenset())
+    node.schedulers.set_owned(frozenset())
     assert [settled.answer.code for settled in node.told["r1"]] == ["owner_moved"]
     assert node.ask("e1", "r2").code == "owner_moved"
 
@@ -192,7 +194,7 @@
     """
     node = Asking()
     node.report("e2")
-    rooms = {name: state.room_tokens for name, state in node.schedulers.states().items()}
+    rooms = {name: state.headroom_tokens for name, state in node.schedulers.states().items()}
     assert rooms["e1"] == 0
     assert rooms["e2"] > 0
 
@@ -205,6 +207,6 @@
     node = Asking()
     node.report("e1")
     node.clock.advance(replicascheduler.QUIET_S + 0.1)
-    assert node.schedulers.states()["e1"].room_tokens == 0
+    assert node.schedulers.states()["e1"].headroom_tokens == 0
     node.report("e1")
-    assert node.schedulers.states()["e1"].room_tokens > 0
+    assert node.schedulers.states()["e1"].headroom_tokens > 0
--- a/tests/lengths/test_lengthmodel.py
+++ b/tests/lengths/test_lengthmodel.py
@@ -55,8 +55,8 @@
         tokens = _lognormal(rng)
         cut = i % 2 == 0 and tokens > 100
         model.observe("drafts", "clinic", 100 if cut else tokens, censored=cut)
-    survival = model.table("drafts", "clinic").at(200)
-    assert survival == pytest.approx(_learned().table("drafts", "clinic").at(200), rel=0.15)
+    survival = model.table("drafts", "clinic").survival(200)
+    assert survival == pytest.approx(_learned().table("drafts", "clinic").survival(200), rel=0.15)
 
 
 def test_lengths_that_drift_are_followed():
@@ -74,7 +74,7 @@
 
 def test_survival_never_rises_and_the_quantile_inverts_it():
     table = _learned().table("drafts", "clinic")
-    values = [table.at(tokens) for tokens in range(0, 300_000, 97)]
+    values = [table.survival(tokens) for tokens in range(0, 300_000, 97)]
     assert values == sorted(values, reverse=True)
     assert table.ratio(50, table.quantile(50, 0.9)) == pytest.approx(0.1, rel=1e-6)
     assert table.quantile(0, 1.0) == buckets.LAST_EDGE
--- a/tests/node/fakeparts.py
+++ b/tests/node/fakeparts.py
@@ -60,7 +60,7 @@
         self.store = claims.ClaimStore(platform, platform, self.clock, "n1", settings)
         self.once = onceonly.OnceOnly(self.store)
 
-    def learn(self, service, team, tokens, *, censored):
+    def observe_length(self, service, team, tokens, *, censored):
         self.calls.append(("learn", tokens, censored))
 
     def succeeded(self, replica, latency_s):
--- a/tests/routed/test_drainadmission.py
+++ b/tests/routed/test_drainadmission.py
@@ -18,7 +18,7 @@
     pace = tokentimes.TokenTimes()
     return drainadmission.DrainAdmission(
         pace,
-        lambda route, team, tokens: model.table(route, team).at(tokens),
+        lambda route, team, tokens: model.table(route, team).survival(tokens),
         lambda: others_ready,
         ends_at,
         BEGUN_AT,
--- a/tests/routed/test_enginecatalog.py
+++ b/tests/routed/test_enginecatalog.py
@@ -15,7 +15,7 @@
 
 WORK = outcomes.Work("r1", "draft", "clinic", 1, 500, 100)
 SPEC = schedulerset.SchedulerSpec(
-    10_000, replicaadmission.AdmissionSettings(max_running=8), queuesettings.WaitingSettings()
+    10_000, replicaadmission.AdmissionSettings(max_running=8), queuesettings.QueueSettings()
 )
 
 
@@ -30,7 +30,7 @@
     replicas.replace([*listed, other], 1)
     schedulers = schedulerset.SchedulerSet(clock, lengthmodel.LengthModel())
     schedulers.configure(dict.fromkeys((*names, "x0"), SPEC))
-    schedulers.own(frozenset(owned))
+    schedulers.set_owned(frozenset(owned))
     catalog = enginecatalog.EngineCatalog(
         availability.Availability(
             replicas,
@@ -49,7 +49,7 @@
 
 def report(schedulers, replica, used):
     view = tokenledger.LoadView(1, 0.0, 10_000, used)
-    schedulers.change(replica, lambda scheduler, now: scheduler.reported(view, False, now))
+    schedulers.apply(replica, lambda scheduler, now: scheduler.apply_report(view, False, now))
 
 
 def test_own_engines_of_the_service_are_named_the_emptiest_first():
@@ -64,7 +64,7 @@
     schedulers, _, catalog = make()
     report(schedulers, "e0", 0)
     report(schedulers, "e1", 0)
-    schedulers.leave("e1")
+    schedulers.drain("e1")
     assert catalog.owned_alternatives("e0", WORK) == ("e0",)
 
 
--- a/tests/routed/test_migration.py
+++ b/tests/routed/test_migration.py
@@ -6,7 +6,7 @@
 
 from hornbeamglade.core import clocks, outcomes
 from hornbeamglade.engines import control, models
-from hornbeamglade.grants import asyncgrantacquirer, turntaker
+from hornbeamglade.grants import asyncgrantacquirer, migrationcoordinator
 from hornbeamglade.replicas import models as replicamodels
 from hornbeamglade.routed import migration
 from tests import eventloop
@@ -51,7 +51,7 @@
         self.has_room = True
         self.held = 0
 
-    async def find_near(self, placement, failure_domain):
+    async def acquire_for_migration(self, placement, failure_domain):
         self._done.append("room" if self.has_room else "full")
         if not self.has_room:
             return None
@@ -74,8 +74,10 @@
         self.may_arrive = asyncio.Event()
         self.may_arrive.set()
 
-    async def take(self, replica, request_id, tokens, way=turntaker.Way.LEAVE):
-        if way is turntaker.Way.ARRIVE:
+    async def acquire(
+        self, replica, request_id, tokens, direction=migrationcoordinator.SlotDirection.LEAVE
+    ):
+        if direction is migrationcoordinator.SlotDirection.ARRIVE:
             self.arrivals.append(("asks", replica))
             await self.may_arrive.wait()
             self.arrivals.append(("turn", replica))
@@ -84,8 +86,8 @@
         await self.go.wait()
         self._done.append("turn")
 
-    def done(self, replica, request_id, way=turntaker.Way.LEAVE):
-        if way is turntaker.Way.ARRIVE:
+    def release(self, replica, request_id, direction=migrationcoordinator.SlotDirection.LEAVE):
+        if direction is migrationcoordinator.SlotDirection.ARRIVE:
             self.arrivals.append(("done", replica))
             return
         self._done.append("done")
