--- a/hornbeamglade/engines/__init__.py
+++ b/hornbeamglade/engines/__init__.py
@@ -1,6 +1,6 @@
-"""Model engines beside their streams: what they report, and copies of runs' memory.
+"""Control calls to model engines: load reports and KV cache copies.
 
-- :mod:`hornbeamglade.engines.models`: reports and copies, as values
-- :mod:`hornbeamglade.engines.control`: the calls, behind an abstract class
-- :mod:`hornbeamglade.engines.reportpoller`: reads the reports of the replicas it is given
+- :mod:`hornbeamglade.engines.models`: reports and results of copies, as values
+- :mod:`hornbeamglade.engines.control`: the abstract class of the calls
+- :mod:`hornbeamglade.engines.reportpoller`: polls the reports of a set of engines
 """
--- a/hornbeamglade/engines/models.py
+++ b/hornbeamglade/engines/models.py
@@ -1,4 +1,4 @@
-"""What engines report, and what comes of copying a run's memory, as immutable values."""
+"""Engine reports and results of KV cache copies, as immutable values."""
 
 import dataclasses
 
@@ -9,9 +9,9 @@
 class ReportedRun:
     """One run at an engine.
 
-    :param request_id: the request that it answers.
-    :param tokens: memory that it holds.
-    :param events: events that it has made.
+    :param request_id: the request that it serves.
+    :param tokens: tokens of its KV cache.
+    :param events: events that it has produced.
     """
 
     request_id: str
@@ -21,16 +21,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself; as of some hundred milliseconds ago.
+    """An engine's report of its own state, some hundred milliseconds old.
 
-    :param memory_tokens: its memory.
-    :param used_tokens: memory that cannot yield.
-    :param waiting: requests that wait there.
-    :param runs: what it runs.
+    :param memory_tokens: tokens that its KV cache memory holds.
+    :param used_tokens: tokens of that memory that cannot be reclaimed.
+    :param waiting: requests in its queue.
+    :param runs: its runs.
     :param is_leaving: whether it has been told to stop.
-    :param leaves_in_s: seconds until it is gone, as of then, or None.
-    :param started_ms: Unix milliseconds of the start that it speaks of, or 0.
-    :param limit: what it takes at most, or None when it names no limit.
+    :param leaves_in_s: seconds until it stops, at the time of the report, or None.
+    :param started_ms: Unix milliseconds of the start of the reporting incarnation, or 0.
+    :param limit: the rate limit that it states, or None when it states none.
     """
 
     memory_tokens: int
@@ -45,10 +45,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportFailed:
-    """An engine gave no report.
+    """An engine's report could not be read.
 
-    :param is_refused: whether nothing listens at its address; else it was silent, or what
-        it said could not be read.
+    :param is_refused: whether the connection was refused, that is, nothing listens at its
+        address; otherwise it did not respond, or its response was malformed.
     """
 
     is_refused: bool
@@ -56,10 +56,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopySucceeded:
-    """A run's memory is at another engine.
+    """A run's KV cache was copied to another engine.
 
-    :param name: what the copy is called.
-    :param events: events that the run had made by then.
+    :param name: the name of the copy.
+    :param events: events that the run had produced by then.
     """
 
     name: str
@@ -68,10 +68,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyFailed:
-    """A run's memory was not copied.
+    """A run's KV cache was not copied.
 
     :param code: a stable identifier: ``no_run``, ``busy``, ``no_room`` or ``no_answer``.
-    :param name: what the memory is called that a stopped run keeps at its engine, or None.
+    :param name: the name of the KV cache that a stopped run keeps at its engine, or None.
     """
 
     code: str
--- a/tests/engines/test_reportpoller.py
+++ b/tests/engines/test_reportpoller.py
@@ -1,4 +1,4 @@
-"""Reading reports, and noticing an engine that gives none."""
+"""Polling of reports, and detection of engines that stop responding."""
 
 import asyncio
 import dataclasses
@@ -15,13 +15,13 @@
 
 
 class Engines(control.EngineControl):
-    """Answers in turn as told, the last answer for ever."""
+    """Returns the given reports in turn, and then the last one forever."""
 
-    def __init__(self, *answers):
-        self.answers = list(answers)
+    def __init__(self, *reports):
+        self.reports = list(reports)
 
     async def report(self, address):
-        return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
+        return self.reports.pop(0) if len(self.reports) > 1 else self.reports[0]
 
     async def copy_kv_cache(self, address, request_id, to, *, is_last, timeout_s):
         raise NotImplementedError
@@ -30,47 +30,47 @@
         raise NotImplementedError
 
 
-def told(monkeypatch, *answers, engine=ENGINE):
-    """Return what the poller tells for a row of answers."""
+def poll(monkeypatch, *reports, engine=ENGINE):
+    """Return what the poller passes to its callback for a sequence of reports."""
     monkeypatch.setattr(reportpoller, "PERIOD_S", 0.001)
-    heard = []
+    received = []
 
     async def main():
         poller = reportpoller.ReportPoller(
-            Engines(*answers),
+            Engines(*reports),
             lambda: (engine,),
-            lambda _, it: heard.append(it),
+            lambda _, it: received.append(it),
             clocks.SystemClock(),
         )
-        while len(heard) < len(answers):
+        while len(received) < len(reports):
             poller.tick()
             await asyncio.sleep(0.001)
 
     eventloop.run(main())
     return [
         "lost" if isinstance(each, reportpoller.EngineLost) else each
-        for each in heard[: len(answers)]
+        for each in received[: len(reports)]
     ]
 
 
-def test_a_closed_port_is_the_end_of_an_engine_at_once(monkeypatch):
-    assert told(monkeypatch, REPORT, REFUSED, REPORT) == [REPORT, "lost", REPORT]
+def test_engine_that_refuses_connections_is_lost_at_once(monkeypatch):
+    assert poll(monkeypatch, REPORT, REFUSED, REPORT) == [REPORT, "lost", REPORT]
 
 
-def test_one_report_that_does_not_come_is_no_end(monkeypatch):
-    """A link loses a datagram, or an engine is slow: others rely on it all the same."""
-    assert told(monkeypatch, SILENT, REPORT, SILENT, SILENT) == [None, REPORT, None, "lost"]
+def test_engine_is_not_lost_after_one_missed_report(monkeypatch):
+    """One lost packet or one slow response must not take an engine out of use."""
+    assert poll(monkeypatch, SILENT, REPORT, SILENT, SILENT) == [None, REPORT, None, "lost"]
 
 
-def test_report_of_another_start_is_not_the_engines_word(monkeypatch):
-    """An engine has crashed and started again under its name; the list does not tell yet.
+def test_report_of_another_incarnation_is_not_used(monkeypatch):
+    """An engine crashed and restarted, and the replica list does not show it yet.
 
-    Its report would free the memory that runs of its former start are thought to hold, and
-    a late one of the former start would fill that of the new one.
+    A report of the new incarnation would free memory that runs of the former one are
+    believed to hold. A late report of the former one would fill memory of the new one.
     """
     former, present, next_one = (
         dataclasses.replace(REPORT, started_ms=started) for started in (4, 5, 6)
     )
     engine = dataclasses.replace(ENGINE, id="e1@5", name="e1", started_ms=5)
-    heard = told(monkeypatch, former, present, next_one, REPORT, present, engine=engine)
-    assert heard == [None, present, "lost", None, present]
+    received = poll(monkeypatch, former, present, next_one, REPORT, present, engine=engine)
+    assert received == [None, present, "lost", None, present]
