--- a/hornbeamglade/backends/__init__.py
+++ b/hornbeamglade/backends/__init__.py
@@ -1,1 +1,1 @@
-"""The node's client towards backend servers."""
+"""The node's HTTP client for backend servers."""
--- a/hornbeamglade/backends/eventparser.py
+++ b/hornbeamglade/backends/eventparser.py
@@ -3,9 +3,9 @@
 Explanation
 ===========
 
-The parser is on the path of every token: it reads the offset and hands on the
-data line as it came. JSON is parsed only in the event that ends a generation.
-Whatever the bytes are, the result is events; the first malformed one is a
+The parser runs for every token: it parses the offset and passes the data line on
+unchanged. JSON is parsed only in the event that ends a generation. Arbitrary bytes
+result in events, never in an exception; the first malformed event yields a
 ``Failed`` and ends the stream.
 """
 
@@ -23,8 +23,8 @@
 class Token:
     """One token.
 
-    :param offset: its place in the generation, from 0.
-    :param data: the event's data line, from ``data: `` on, without a line end.
+    :param offset: its position in the generation, from 0.
+    :param data: the event's data line, including ``data: ``, without the line end.
     """
 
     offset: int
@@ -33,12 +33,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeepAlive:
-    """The engine lives and computes nothing for this stream now."""
+    """The engine is alive but currently computes nothing for this stream."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finished:
-    """The generation is whole.
+    """The generation is complete.
 
     :param data: the last event's data line.
     :param finish_reason: ``stop`` or ``length``.
@@ -52,10 +52,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """The engine failed midway, or sent what it may not send.
+    """The engine reported an error, or violated the event format.
 
     :param code: the engine's code, or ``event_malformed``, ``event_too_long``,
         ``end_without_finish``.
+    :param detail: one sentence for a person.
     """
 
     code: str
@@ -71,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stalled:
-    """Nothing came, not even a keep-alive: the link stalls or the engine hangs.
+    """No bytes arrived, not even a keep-alive: the network stalls or the engine hangs.
 
     :param silent_s: for how long, in seconds.
     """
@@ -84,7 +85,7 @@
 
 
 class EventParser:
-    r"""Turns bytes into events, wherever the bytes are cut.
+    r"""Parses events from byte chunks with arbitrary boundaries.
 
     Examples
     ========
@@ -96,40 +97,40 @@
     [Token(offset=0, data=b'data: {"a":1}'), KeepAlive()]
     """
 
-    __slots__ = ("_rest", "ended")
+    __slots__ = ("_buffer", "ended")
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
         self.ended = False
 
     def feed(self, data: bytes) -> list[Event]:
-        """Parse what has arrived; nothing follows an event that ends the stream."""
-        parts = (self._rest + data).split(b"\n\n")
-        self._rest = parts.pop()
+        """Parse received bytes; no event follows one that ends the stream."""
+        blocks = (self._buffer + data).split(b"\n\n")
+        self._buffer = blocks.pop()
         events: list[Event] = []
-        for part in parts:
-            event = _token(part) or self._other(part)
+        for block in blocks:
+            event = _parse_token(block) or self._parse_other(block)
             events.append(event)
             if self.ended:
                 return events
-        if len(self._rest) > _MAX_EVENT_BYTES:
+        if len(self._buffer) > _MAX_EVENT_BYTES:
             self.ended = True
             events.append(Failed("event_too_long", f"over {_MAX_EVENT_BYTES} bytes"))
         return events
 
-    def _other(self, part: bytes) -> Event:
-        if part.startswith(b":") and b"\n" not in part:
+    def _parse_other(self, block: bytes) -> Event:
+        if block.startswith(b":") and b"\n" not in block:
             return _KEEP_ALIVE
         self.ended = True
-        if part == _DONE:
+        if block == _DONE:
             return Failed("end_without_finish", "the engine ended without a finish reason")
-        return _ending(part)
+        return _parse_ending(block)
 
 
-def _token(part: bytes) -> Token | None:
-    if not part.startswith(_ID):
+def _parse_token(block: bytes) -> Token | None:
+    if not block.startswith(_ID):
         return None
-    digits, _, data = part[4:].partition(b"\n")
+    digits, _, data = block[4:].partition(b"\n")
     if not digits.isdigit() or len(digits) > _MAX_OFFSET_DIGITS:
         return None
     if not data.startswith(_DATA) or b"\n" in data:
@@ -137,12 +138,12 @@
     return Token(int(digits), data)
 
 
-def _ending(part: bytes) -> Finished | Failed:
-    malformed = Failed("event_malformed", repr(part[:80]))
-    if not part.startswith(_DATA) or b"\n" in part:
+def _parse_ending(block: bytes) -> Finished | Failed:
+    malformed = Failed("event_malformed", repr(block[:80]))
+    if not block.startswith(_DATA) or b"\n" in block:
         return malformed
     try:
-        chunk = json.loads(part[len(_DATA) :])
+        chunk = json.loads(block[len(_DATA) :])
         if "error" in chunk:
             error = chunk["error"]
             return Failed(str(error["code"]), str(error["message"]))
@@ -152,4 +153,4 @@
         return malformed
     if not isinstance(reason, str) or type(count) is not int:
         return malformed
-    return Finished(part, reason, count)
+    return Finished(block, reason, count)
--- a/hornbeamglade/backends/links.py
+++ b/hornbeamglade/backends/httpexchange.py
@@ -1,13 +1,12 @@
-"""One request over one connection of its own, with a truthful outcome.
+"""One HTTP request over a connection of its own, with an exact outcome.
 
 Explanation
 ===========
 
-Each request gets a fresh connection. A kept one may have been closed by the
-server at the moment it is used again; that shows as a failure after the request
-was offered, and a request that mustn't be repeated would end as "unknown"
-without need. A fresh connection also can't carry the late answer of an
-abandoned request to the next one.
+Each request gets a new connection. The server may close an idle connection at the
+moment it is reused; the request then fails after it was sent, and a request that
+mustn't be repeated would end as "unknown" unnecessarily. A new connection also
+can't deliver the late response of an abandoned request to the next one.
 """
 
 import dataclasses
@@ -25,20 +24,20 @@
 REQUEST_ID = "X-Request-Id"
 _NOT_RUN = "X-Not-Run"
 _READ_BYTES = 65_536
-_LINGER_NONE = struct.pack("ii", 1, 0)
+_LINGER_ZERO = struct.pack("ii", 1, 0)
 
-#: What urllib3 and http.client raise on a broken or malformed answer.
-ANSWER_ERRORS = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError, ValueError)
+#: What urllib3 and http.client raise on an incomplete or malformed response.
+RESPONSE_ERRORS = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError, ValueError)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timeouts:
-    """Bounds on waiting, in seconds.
+    """Timeouts of an exchange, in seconds.
 
-    :param connect_s: until the connection stands.
-    :param response_s: without a byte, until the answer's head.
-    :param progress_s: without a byte, within the answer's body; longer than the
-        engines' time between keep-alives.
+    :param connect_s: for establishing the connection.
+    :param response_s: without a byte, until the response head.
+    :param progress_s: without a byte, within the response body; longer than the
+        engines' interval between keep-alives.
     """
 
     connect_s: float = 1.0
@@ -47,10 +46,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Offer:
-    """A request as it goes to a backend server.
-
-    :param target: path and query, quoted.
+class OutgoingRequest:
+    """A request as it is sent to a backend server.
+
+    :param method: the HTTP method.
+    :param target: path and query, percent-encoded.
+    :param headers: the header fields, without the request id.
+    :param body: the body, or None.
+    :param request_id: unique for this attempt.
     """
 
     method: str
@@ -61,21 +64,21 @@
 
 
 class Cancellation:
-    """Ends one request from any thread, also while its answer is awaited."""
+    """Cancels one request from any thread, also while its response is awaited."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._socket: socket.socket | None = None
         self.cancelled = False
 
-    def attach(self, connected: socket.socket) -> bool:
-        """Name the socket to close; False when the request is cancelled already."""
+    def attach(self, sock: socket.socket) -> bool:
+        """Set the socket to shut down; return False when the request is already cancelled."""
         with self._lock:
-            self._socket = connected
+            self._socket = sock
             return not self.cancelled
 
     def cancel(self) -> None:
-        """Close the connection in order, which tells an engine to cancel."""
+        """Shut the connection down in order, which makes an engine cancel the stream."""
         with self._lock:
             self.cancelled = True
             if self._socket is not None:
@@ -83,7 +86,7 @@
 
 
 class _Connection(urllib3.connection.HTTPConnection):
-    """Keeps the standard library's response, whose reads cost less for each token."""
+    """Keeps the standard library's response object, whose reads cost less per token."""
 
     received: http.client.HTTPResponse
 
@@ -92,30 +95,32 @@
         return self.received
 
 
-class Link:
-    """A connection whose answer's head has come and bears the request's id."""
+class HttpExchange:
+    """A connection with a sent request and the response head that arrived for it."""
 
     __slots__ = ("_connection", "_socket", "cancellation", "read1", "response")
 
     def __init__(
         self,
         connection: _Connection,
-        connected: socket.socket,
+        sock: socket.socket,
         response: urllib3.HTTPResponse,
         cancellation: Cancellation,
     ) -> None:
         self._connection = connection
-        self._socket = connected
+        self._socket = sock
         self.response = response
         self.cancellation = cancellation
-        #: Reads what has arrived of the body, without urllib3's layers.
+        #: Reads the bytes of the body that have arrived, without urllib3's layers.
         self.read1 = connection.received.read1
 
-    def wait_in_kernel(self, progress_s: float) -> None:
-        """Have the kernel bound each wait, which saves a system call for each read.
+    def use_kernel_timeout(self, progress_s: float) -> None:
+        """Set a receive timeout in the kernel, which saves a system call per read.
+
+        A read that times out then returns no bytes, as at the end of the response;
+        :attr:`is_silent` tells the two apart.
 
-        A read that waits for too long then returns as at the end of the answer;
-        :attr:`silent` tells the two apart.
+        :param progress_s: the timeout of each read, in seconds.
         """
         seconds, fraction = divmod(progress_s, 1.0)
         bound = struct.pack("ll", int(seconds), int(fraction * 1e6))
@@ -123,8 +128,8 @@
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, bound)
 
     @property
-    def silent(self) -> bool:
-        """Whether the connection stands and nothing is there to be read."""
+    def is_silent(self) -> bool:
+        """Whether the connection is open and has no bytes to read."""
         try:
             self._socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -134,19 +139,19 @@
         return False
 
     def close(self) -> None:
-        """End the connection in order; an engine cancels the stream.
+        """Shut the connection down in order, which makes an engine cancel the stream.
 
-        Closing alone sends a reset when there are unread bytes. An engine takes that
-        for a lost connection and goes on with an answer that nobody reads, for as long
-        as it holds streams. The end that is sent before tells it to cancel.
+        Closing a socket with unread bytes sends only a reset. An engine would take that
+        for a lost connection and continue a generation that nobody reads, for as long as
+        it keeps lost streams. The shutdown before it makes the engine cancel.
         """
         _shut_down(self._socket)
         self._release()
 
-    def abandon(self) -> None:
-        """Reset the connection; an engine holds the stream so that it can be resumed."""
+    def reset(self) -> None:
+        """Reset the connection; an engine keeps the stream so that it can be resumed."""
         try:
-            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NONE)
+            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
         except OSError:
             pass
         self._release()
@@ -156,12 +161,15 @@
         self._connection.close()
 
 
-def offer(
-    address: str, request: Offer, timeouts: Timeouts, cancellation: Cancellation
-) -> Link | outcomes.NotRun | outcomes.Lost | outcomes.MismatchedResponse:
-    """Offer a request and wait for the head of its answer.
+def send_request(
+    address: str, request: OutgoingRequest, timeouts: Timeouts, cancellation: Cancellation
+) -> HttpExchange | outcomes.NotRun | outcomes.Lost | outcomes.MismatchedResponse:
+    """Send a request and wait for the response head.
 
     :param address: the backend server's ``ip:port``.
+    :param request: the request.
+    :param timeouts: of the connection and the response.
+    :param cancellation: lets another thread cancel the request at any time.
     """
     host, _, port = address.rpartition(":")
     connection = _Connection(host.strip("[]"), int(port), timeout=timeouts.connect_s)
@@ -171,30 +179,32 @@
         connection.close()
         port_closed = isinstance(error.__cause__ or error, ConnectionRefusedError)
         return outcomes.NotRun(f"no connection to {address}: {error}", False, port_closed)
-    connected = connection.sock
-    if not cancellation.attach(connected):
+    sock = connection.sock
+    if not cancellation.attach(sock):
         connection.close()
-        return outcomes.NotRun("cancelled before it was offered", False)
+        return outcomes.NotRun("cancelled before it was sent", False)
     outcome = _send(connection, request, timeouts)
     if isinstance(outcome, urllib3.HTTPResponse):
-        link = Link(connection, connected, outcome, cancellation)
-        outcome = _check_head(link, request.request_id)
-        if isinstance(outcome, Link):
-            connected.settimeout(timeouts.progress_s)
+        exchange = HttpExchange(connection, sock, outcome, cancellation)
+        outcome = _check_head(exchange, request.request_id)
+        if isinstance(outcome, HttpExchange):
+            sock.settimeout(timeouts.progress_s)
             return outcome
-        link.close()
+        exchange.close()
     connection.close()
     return outcome
 
 
-def read_body(link: Link, limit: int) -> bytes | None:
-    """Read the rest of an answer; None when it is longer than ``limit`` bytes.
+def read_body(exchange: HttpExchange, limit: int) -> bytes | None:
+    """Read the body of a response; return None when it is longer than ``limit`` bytes.
 
-    :raises Exception: one of :data:`ANSWER_ERRORS`.
+    :param exchange: the exchange.
+    :param limit: the maximum length, in bytes.
+    :raises Exception: one of :data:`RESPONSE_ERRORS`.
     """
     parts: list[bytes] = []
     size = 0
-    while part := link.response.read1(_READ_BYTES, decode_content=False):
+    while part := exchange.response.read1(_READ_BYTES, decode_content=False):
         parts.append(part)
         size += len(part)
         if size > limit:
@@ -203,7 +213,7 @@
 
 
 def _send(
-    connection: _Connection, request: Offer, timeouts: Timeouts
+    connection: _Connection, request: OutgoingRequest, timeouts: Timeouts
 ) -> urllib3.HTTPResponse | outcomes.NotRun | outcomes.Lost:
     connection.timeout = timeouts.response_s
     headers = request.headers.copy()
@@ -219,32 +229,32 @@
         )
     except (ValueError, http.client.InvalidURL) as error:
         # http.client encodes and checks the whole head before it sends its first
-        # byte, and a body of bytes needs no encoding: nothing was offered.
+        # byte, and a body of bytes needs no encoding: nothing was sent.
         return outcomes.NotRun(f"the request can't be sent: {error}", False)
     except (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError) as error:
-        return outcomes.Lost(f"lost while sending: {error}")
+        return outcomes.Lost(f"connection lost while sending: {error}")
     try:
         return connection.getresponse()
-    except ANSWER_ERRORS as error:
-        return outcomes.Lost(f"no answer: {error!r}")
+    except RESPONSE_ERRORS as error:
+        return outcomes.Lost(f"no response: {error!r}")
 
 
 def _check_head(
-    link: Link, request_id: str
-) -> Link | outcomes.NotRun | outcomes.Lost | outcomes.MismatchedResponse:
-    response = link.response
+    exchange: HttpExchange, request_id: str
+) -> HttpExchange | outcomes.NotRun | outcomes.Lost | outcomes.MismatchedResponse:
+    response = exchange.response
     found = response.headers.get(REQUEST_ID)
     if found != request_id:
-        # A server or a middle box that mixes up answers gives one caller another's
-        # text, or another's "not run". Only the id that was sent is accepted back.
+        # A server or middlebox that mixes up responses would give a caller the text of
+        # another one's request, or its "not run". Only the id that was sent is accepted.
         return outcomes.MismatchedResponse(found)
     if response.status == 503 and response.headers.get(_NOT_RUN, "").lower() == "true":
         return outcomes.NotRun("refused by the backend server", True)
-    return link
+    return exchange
 
 
-def _shut_down(connected: socket.socket) -> None:
+def _shut_down(sock: socket.socket) -> None:
     try:
-        connected.shutdown(socket.SHUT_RDWR)
+        sock.shutdown(socket.SHUT_RDWR)
     except OSError:
         pass
--- a/hornbeamglade/backends/loadreports.py
+++ b/hornbeamglade/backends/loadreports.py
@@ -14,11 +14,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A backend server's load, as it was some seconds ago.
-
-    :param sequence: grows with each state; restarts when the server restarts.
-    :param age_s: how old the state was when it was sent, in seconds.
-    :param received_at: the node's monotonic seconds when it came.
+    """A backend server's load, up to some seconds old.
+
+    :param sequence: grows with each state; starts over when the server restarts.
+    :param age_s: the age of the state when it was sent, in seconds.
+    :param capacity_tokens: tokens that its memory holds.
+    :param used_tokens: tokens that are in use.
+    :param running: running requests.
+    :param waiting: waiting requests.
+    :param preemptions: how often it has preempted a request.
+    :param leaving: whether it will stop soon.
+    :param models: names of the loaded models.
+    :param received_at: the node's monotonic seconds when it arrived.
     """
 
     sequence: int
@@ -35,7 +42,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """One change of an engine's prefix cache."""
+    """One change of an engine's prefix cache.
+
+    :param sequence: the number of the change.
+    :param kind: ``stored``, ``evicted`` or ``cleared``.
+    :param block: the block's hash; without meaning for ``cleared``.
+    """
 
     sequence: int
     kind: str
@@ -44,9 +56,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvents:
-    """Changes of an engine's prefix cache, with gaps in their sequence.
+    """Changes of an engine's prefix cache; their sequence may have gaps.
 
-    :param next_after: what to ask for the next time.
+    :param events: the changes.
+    :param next_after: the sequence number to pass to the next read.
     """
 
     events: tuple[CacheEvent, ...]
@@ -55,9 +68,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unreadable:
-    """There is no report.
+    """A report could not be read.
 
     :param code: ``unreachable``, ``status``, ``too_long`` or ``malformed``.
+    :param detail: one sentence for a person.
     """
 
     code: str
@@ -95,19 +109,21 @@
     next: _Count
 
 
-_B = typing.TypeVar("_B", bound=_Model)
+_BodyT = typing.TypeVar("_BodyT", bound=_Model)
 
 
 class ReportReader:
-    """Reads one backend server's reports over a kept connection.
+    """Reads one backend server's reports over a persistent connection.
 
     Explanation
     ===========
 
-    Reading twice does no harm, so unlike requests these use a kept connection.
+    Reports can be read again after a failure, so unlike requests they use a
+    persistent connection.
 
     :param address: the backend server's ``ip:port``.
-    :param timeout_s: bound on connecting, and on each wait for bytes.
+    :param timeout_s: timeout of connecting, and of each wait for bytes.
+    :param clock: dates the reports.
     """
 
     def __init__(self, address: str, timeout_s: float, clock: clocks.Clock) -> None:
@@ -133,16 +149,16 @@
         return CacheEvents(events, body.next)
 
     def close(self) -> None:
-        """Close the kept connection."""
+        """Close the persistent connection."""
         self._pool.close()
 
-    def _get(self, target: str, model: type[_B]) -> _B | Unreadable:
+    def _get(self, target: str, model: type[_BodyT]) -> _BodyT | Unreadable:
         try:
             response = self._pool.request("GET", target, preload_content=False)
             try:
                 raw = response.read(_MAX_BODY_BYTES + 1, decode_content=False)
             finally:
-                # An answer read to its end has given its connection back already.
+                # A response read to its end has already released its connection.
                 response.close()
         except (urllib3.exceptions.HTTPError, OSError, ValueError) as error:
             return Unreadable("unreachable", repr(error))
--- a/hornbeamglade/backends/orders.py
+++ b/hornbeamglade/backends/orders.py
@@ -1,13 +1,12 @@
-"""Orders to one engine: what it is to have loaded, stated in full.
+"""Orders to one engine, each with the complete state that it is to load.
 
 Explanation
 ===========
 
-Each order goes over a fresh connection: a kept one may have been closed by the
-engine, which shows as a failure after the order was sent and would count as an
-order that may yet take effect. The right to send is asked for when the connection
-stands, right before the first byte, so that a slow connect does not eat into the
-lease's margin.
+Each order uses a new connection: the engine may have closed a persistent one, so
+the order would fail after it was sent and count as one that may still take effect.
+``may_send`` is called when the connection is established, right before the first
+byte, so that a slow connect does not use up the lease's margin.
 """
 
 import collections.abc
@@ -26,12 +25,12 @@
 _MAX_BODY_BYTES = 1 << 18
 _READ_BYTES = 65_536
 _DETAIL_CHARACTERS = 200
-_ANSWER_ERRORS = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError, ValueError)
+_RESPONSE_ERRORS = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError, ValueError)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine has loaded, or is to have loaded.
+    """The state that an engine has loaded, or is to load.
 
     :param models: names of models, with their versions.
     :param adapters: names of adapters.
@@ -52,7 +51,7 @@
 
     @classmethod
     def from_configuration(cls, wanted: models.Wanted) -> "EngineState":
-        """Return what a pool's configuration wants."""
+        """Return the state that a pool's configuration wants."""
         return cls(frozenset(wanted.models), frozenset(wanted.adapters), wanted.role)
 
     @property
@@ -63,9 +62,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """The engine took the order, or was read.
+    """The engine accepted the order, or was read.
 
-    :param present: what it has now; loading may still be under way.
+    :param present: what it has loaded now; it may still be loading the rest.
     """
 
     present: EngineState
@@ -73,9 +72,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outdated:
-    """The engine has seen an order of a later holder; nothing took effect.
+    """The engine has seen an order of a later lease holder; this one had no effect.
 
-    :param newest: the largest fencing number it has seen.
+    :param newest: the largest fencing number that it has seen.
     """
 
     newest: int
@@ -83,7 +82,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The engine found the order wrong; nothing took effect."""
+    """The engine rejected the order as invalid; it had no effect.
+
+    :param status: the HTTP status.
+    :param detail: the beginning of the response body.
+    """
 
     status: int
     detail: str
@@ -91,7 +94,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """The order was sent and its answer is lost; it may take effect yet."""
+    """The order was sent and its response was lost; it may still take effect.
+
+    :param reason: for a person.
+    """
 
     reason: str
 
@@ -100,8 +106,9 @@
 class NotSent:
     """No byte of the order was sent.
 
-    :param is_unreachable: whether the engine cannot be reached; otherwise the right
-        to send was gone.
+    :param reason: for a person.
+    :param is_unreachable: whether the engine cannot be reached; otherwise
+        ``may_send`` returned False.
     """
 
     reason: str
@@ -110,7 +117,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Malformed:
-    """The answer cannot be read; an order may have taken effect."""
+    """The response is malformed; the order may have taken effect.
+
+    :param detail: for a person.
+    """
 
     detail: str
 
@@ -147,11 +157,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderTimeouts:
-    """Bounds on one call, in seconds.
+    """Timeouts of one call, in seconds.
 
-    :param connect_s: until the connection stands.
-    :param response_s: from then until the whole answer is read; each wait for bytes
-        is bounded by it too, so a call takes at most twice as long.
+    :param connect_s: for establishing the connection.
+    :param response_s: from then until the whole response is read; it also bounds each
+        wait for bytes, so a call takes at most twice as long.
     """
 
     connect_s: float = 1.0
@@ -159,10 +169,11 @@
 
 
 class OrderClient:
-    """Gives orders to one engine and reads it back.
+    """Sends orders to one engine and reads its state.
 
     :param address: the engine's ``ip:port``.
-    :param clock: bounds the reading of an answer.
+    :param clock: measures the time that reading a response takes.
+    :param timeouts: of each call.
     """
 
     def __init__(self, address: str, clock: clocks.Clock, timeouts: OrderTimeouts) -> None:
@@ -173,16 +184,17 @@
         self._timeouts = timeouts
 
     def read(self) -> OrderOutcome:
-        """Read what is present."""
+        """Read the state that is loaded."""
         return self._call("GET", None, lambda: True)
 
     def send(
         self, fencing: int, wanted: EngineState, may_send: collections.abc.Callable[[], bool]
     ) -> OrderOutcome:
-        """Order the engine to have just what is wanted.
+        """Order the engine to load exactly the wanted state.
 
-        :param fencing: the number of the lease that gives the right to.
-        :param may_send: asked right before the first byte is sent.
+        :param fencing: the fencing number of the lease.
+        :param wanted: the complete state.
+        :param may_send: called right before the first byte; False cancels the order.
         """
         state = _State(
             models=tuple(sorted(wanted.models)),
@@ -204,7 +216,7 @@
             except (urllib3.exceptions.HTTPError, OSError) as error:
                 return NotSent(f"no connection: {error}", True)
             if not may_send():
-                return NotSent("the right to send is gone", False)
+                return NotSent("the sender may no longer send orders", False)
             return self._exchange(connection, method, body)
         finally:
             connection.close()
@@ -224,21 +236,21 @@
                 preload_content=False,
             )
             response = connection.getresponse()
-            raw = self._body(response, deadline)
-        except _ANSWER_ERRORS as error:
+            raw = self._read_body(response, deadline)
+        except _RESPONSE_ERRORS as error:
             return Lost(repr(error))
         if raw is None:
-            return Lost("the answer is too long or too slow")
+            return Lost("the response is too long or too slow")
         return _outcome(response.status, raw)
 
-    def _body(self, response: urllib3.HTTPResponse, deadline: float) -> bytes | None:
+    def _read_body(self, response: urllib3.HTTPResponse, deadline: float) -> bytes | None:
         parts: list[bytes] = []
         size = 0
         while part := response.read1(_READ_BYTES, decode_content=False):
             parts.append(part)
             size += len(part)
-            # An engine that trickles its answer would hold up the orders to all
-            # others of the pool.
+            # An engine that sends its response very slowly would delay the orders to
+            # all other engines of the pool.
             if size > _MAX_BODY_BYTES or self._clock.now() > deadline:
                 return None
         return b"".join(parts)
@@ -257,5 +269,5 @@
     detail = raw[:_DETAIL_CHARACTERS].decode(errors="replace")
     if 400 <= status < 500:
         return Refused(status, detail)
-    # A server that failed midway may have taken the order.
+    # A server that failed midway may have accepted the order.
     return Lost(f"status {status}: {detail}")
--- a/hornbeamglade/backends/outcomes.py
+++ b/hornbeamglade/backends/outcomes.py
@@ -1,4 +1,4 @@
-"""What may come of offering a request to a backend server."""
+"""Outcomes of sending a request to a backend server."""
 
 import dataclasses
 
@@ -7,11 +7,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request wasn't run, as a fact.
+    """The request certainly wasn't run.
 
+    :param reason: for a person.
     :param refused_by_server: True when the backend server said so itself, False
-        when no byte of the request was offered to it.
-    :param port_closed: nobody listens at the server's port: its process has ended.
+        when no byte of the request was sent to it.
+    :param port_closed: whether the server's port refused the connection: its process
+        has ended.
     """
 
     reason: str
@@ -21,9 +23,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """The request was offered and its answer is lost.
+    """The request was sent and its response was lost.
 
-    :param run: ``RAN`` when the answer had begun, else ``UNKNOWN``.
+    :param reason: for a person.
+    :param run: ``RAN`` when the response had begun, else ``UNKNOWN``.
     """
 
     reason: str
@@ -32,9 +35,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MismatchedResponse:
-    """The answer bears another request's id; nothing of it may be used.
+    """The response has another request's id; no part of it may be used.
 
-    :param found: the id that the answer bears, or None.
+    :param found: the id in the response, or None.
     """
 
     found: str | None
@@ -42,10 +45,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """The backend server found the request wrong.
+    """The backend server rejected the request as invalid.
 
     :param status: 300 to 499; redirects aren't followed.
-    :param body: the beginning of the answer's body.
+    :param body: the beginning of the response body.
     """
 
     status: int
@@ -59,4 +62,4 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PortClosed:
-    """Nobody listens where the engine was: its process has ended, with its streams."""
+    """The engine's port refused the connection: its process and its streams have ended."""
--- a/hornbeamglade/backends/plaincalls.py
+++ b/hornbeamglade/backends/plaincalls.py
@@ -1,19 +1,19 @@
-"""One call of a plain service, passed through."""
+"""Forwards one call to a plain service."""
 
 import collections.abc
 import dataclasses
 
 import urllib3
 
-from hornbeamglade.backends import links, outcomes
+from hornbeamglade.backends import httpexchange, outcomes
 from hornbeamglade.core import outcomes as core_outcomes
 
 DEFAULT_MAX_RESPONSE_BYTES = 8 << 20
 
 Headers = tuple[tuple[str, str], ...]
 
-#: Fields of one connection (RFC 9110, section 7.6.1), and those made anew for each.
-_NOT_PASSED_ON = frozenset(
+#: Connection-specific fields (RFC 9110, section 7.6.1), and fields set per connection.
+_HOP_BY_HOP = frozenset(
     {
         "connection",
         "content-length",
@@ -35,8 +35,11 @@
 class PlainCall:
     """A call as the caller made it.
 
-    :param path: quoted, from the service's root.
-    :param query: quoted, without ``?``; empty for none.
+    :param method: the HTTP method.
+    :param path: percent-encoded, from the service's root.
+    :param query: percent-encoded, without ``?``; empty for none.
+    :param headers: the header fields.
+    :param body: the body; may be empty.
     """
 
     method: str
@@ -48,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainResponse:
-    """The service's whole answer, whatever its status."""
+    """The service's complete response, with any status."""
 
     status: int
     headers: Headers
@@ -62,36 +65,44 @@
     address: str,
     plain: PlainCall,
     request_id: str,
-    timeouts: links.Timeouts,
+    timeouts: httpexchange.Timeouts,
     max_response_bytes: int = DEFAULT_MAX_RESPONSE_BYTES,
-    cancellation: links.Cancellation | None = None,
+    cancellation: httpexchange.Cancellation | None = None,
 ) -> CallOutcome:
-    """Pass one call to a service and wait for its whole answer.
+    """Forward one call to a service and wait for its complete response.
 
     :param address: the backend server's ``ip:port``.
+    :param plain: the call.
     :param request_id: unique for this attempt.
+    :param timeouts: of the connection and the response.
+    :param max_response_bytes: the longest response body that is accepted.
+    :param cancellation: lets another thread cancel the call at any time.
     """
     target = f"{plain.path}?{plain.query}" if plain.query else plain.path
     fields = urllib3.HTTPHeaderDict()
-    for name, value in end_to_end(plain.headers):
+    for name, value in end_to_end_fields(plain.headers):
         fields.add(name, value)
-    offer = links.Offer(plain.method, target, fields, plain.body or None, request_id)
-    link = links.offer(address, offer, timeouts, cancellation or links.Cancellation())
-    if not isinstance(link, links.Link):
-        return link
+    request = httpexchange.OutgoingRequest(
+        plain.method, target, fields, plain.body or None, request_id
+    )
+    exchange = httpexchange.send_request(
+        address, request, timeouts, cancellation or httpexchange.Cancellation()
+    )
+    if not isinstance(exchange, httpexchange.HttpExchange):
+        return exchange
     try:
-        return _answer(link, max_response_bytes)
+        return _read_response(exchange, max_response_bytes)
     finally:
-        link.close()
+        exchange.close()
 
 
-def end_to_end(headers: collections.abc.Iterable[tuple[str, str]]) -> Headers:
-    """Leave out the fields that are one connection's own.
+def end_to_end_fields(headers: collections.abc.Iterable[tuple[str, str]]) -> Headers:
+    """Return the header fields without the hop-by-hop ones.
 
     Examples
     ========
 
-    >>> end_to_end((("Connection", "close, X-Hop"), ("X-Hop", "1"), ("Accept", "*/*")))
+    >>> end_to_end_fields((("Connection", "close, X-Hop"), ("X-Hop", "1"), ("Accept", "*/*")))
     (('Accept', '*/*'),)
     """
     pairs = tuple(headers)
@@ -101,17 +112,19 @@
         if name.lower() == "connection"
         for token in value.split(",")
     }
-    dropped = _NOT_PASSED_ON | named
+    dropped = _HOP_BY_HOP | named
     return tuple((name, value) for name, value in pairs if name.lower() not in dropped)
 
 
-def _answer(link: links.Link, limit: int) -> PlainResponse | outcomes.Lost:
+def _read_response(
+    exchange: httpexchange.HttpExchange, limit: int
+) -> PlainResponse | outcomes.Lost:
     ran = core_outcomes.RunStatus.RAN
     try:
-        body = links.read_body(link, limit)
-    except links.ANSWER_ERRORS as error:
-        return outcomes.Lost(f"the answer broke off: {error!r}", ran)
+        body = httpexchange.read_body(exchange, limit)
+    except httpexchange.RESPONSE_ERRORS as error:
+        return outcomes.Lost(f"the response broke off: {error!r}", ran)
     if body is None:
-        return outcomes.Lost(f"the answer is longer than {limit} bytes", ran)
-    response = link.response
-    return PlainResponse(response.status, end_to_end(response.headers.items()), body)
+        return outcomes.Lost(f"the response is longer than {limit} bytes", ran)
+    response = exchange.response
+    return PlainResponse(response.status, end_to_end_fields(response.headers.items()), body)
--- a/hornbeamglade/node/generationhandler.py
+++ b/hornbeamglade/node/generationhandler.py
@@ -4,7 +4,7 @@
 import dataclasses
 import itertools
 
-from hornbeamglade.backends import eventparser, generations, links
+from hornbeamglade.backends import eventparser, generations, httpexchange
 from hornbeamglade.backends import outcomes as backendoutcomes
 from hornbeamglade.callers import application, generationcalls, problems
 from hornbeamglade.configuration import models
@@ -219,7 +219,7 @@
             grant.replica,
             known.replica.address,
             grant.request_id,
-            links.Timeouts(CONNECT_S, service.first_token_s, service.progress_s),
+            httpexchange.Timeouts(CONNECT_S, service.first_token_s, service.progress_s),
         )
         opened = self._open(target)
         if isinstance(opened, generations.Opened):
@@ -230,7 +230,7 @@
     def _open(self, target: generationsource.Target) -> generations.OpenOutcome:
         team = self._view.site.team_by_name[self._scope.team]
         self._scope.run_sent()
-        cancellation = links.Cancellation()
+        cancellation = httpexchange.Cancellation()
         self._scope.end_in_time(cancellation.cancel)
         return generations.open_stream(
             target.address,
--- a/hornbeamglade/node/generationsource.py
+++ b/hornbeamglade/node/generationsource.py
@@ -4,7 +4,7 @@
 import concurrent.futures
 import dataclasses
 
-from hornbeamglade.backends import eventparser, generations, links, outcomes
+from hornbeamglade.backends import eventparser, generations, httpexchange, outcomes
 from hornbeamglade.core import clocks
 from hornbeamglade.streams import generationstream
 
@@ -31,7 +31,7 @@
     replica: str
     address: str
     generation: str
-    timeouts: links.Timeouts
+    timeouts: httpexchange.Timeouts
 
 
 class GenerationSource:
@@ -134,7 +134,7 @@
         dead makes this fail, and then the engine's own bound ends the stream.
         """
         target = self.target
-        timeouts = links.Timeouts(CANCEL_S, CANCEL_S, CANCEL_S)
+        timeouts = httpexchange.Timeouts(CANCEL_S, CANCEL_S, CANCEL_S)
         CANCELS.submit(generations.cancel_remote, target.address, target.generation, timeouts)
 
 
--- a/hornbeamglade/node/plainhandler.py
+++ b/hornbeamglade/node/plainhandler.py
@@ -4,7 +4,7 @@
 import collections.abc
 import threading
 
-from hornbeamglade.backends import links, plaincalls
+from hornbeamglade.backends import httpexchange, plaincalls
 from hornbeamglade.backends import outcomes as backendoutcomes
 from hornbeamglade.callers import application, problems
 from hornbeamglade.configuration import models
@@ -175,13 +175,13 @@
         service = self._scope.service
         started = self._parts.clock.now()
         self._scope.run_sent()
-        cancellation = links.Cancellation()
+        cancellation = httpexchange.Cancellation()
         self._scope.end_in_time(cancellation.cancel)
         outcome = plaincalls.call(
             known.replica.address,
             self._call,
             f"{self._scope.request_id}.{attempt}",
-            links.Timeouts(CONNECT_S, service.first_token_s, service.progress_s),
+            httpexchange.Timeouts(CONNECT_S, service.first_token_s, service.progress_s),
             cancellation=cancellation,
         )
         if isinstance(outcome, plaincalls.PlainResponse):
--- a/tests/backends/conftest.py
+++ b/tests/backends/conftest.py
@@ -1,4 +1,4 @@
-"""Stand-in backend servers for the client's tests."""
+"""Fixtures that start stand-in backend servers."""
 
 import json
 import time
@@ -18,8 +18,8 @@
         self._pool = urllib3.HTTPConnectionPool(server.address, timeout=WAIT_S)
 
     def faults(self, **faults):
-        answer = self._pool.request("PUT", "/standin/faults", body=json.dumps(faults))
-        assert answer.status == 200
+        response = self._pool.request("PUT", "/standin/faults", body=json.dumps(faults))
+        assert response.status == 200
 
     def ledger(self):
         return self._pool.request("GET", "/standin/ledger").json()
--- a/tests/backends/scripted.py
+++ b/tests/backends/scripted.py
@@ -1,4 +1,4 @@
-"""A backend server that plays given bytes, for answers no sound server gives."""
+"""A backend server that sends given bytes, for responses that no correct server sends."""
 
 import contextlib
 import socket
@@ -8,10 +8,10 @@
 
 
 @contextlib.contextmanager
-def server(answer, hold=False):
-    """Yield the address; ``hold`` keeps connections open after the answer."""
+def server(response, hold=False):
+    """Yield the address; ``hold`` keeps connections open after the response."""
     listener = socket.create_server(("127.0.0.1", 0))
-    over = threading.Event()
+    finished = threading.Event()
 
     def serve():
         with contextlib.suppress(OSError):
@@ -19,16 +19,16 @@
                 connection, _ = listener.accept()
                 with connection, contextlib.suppress(OSError):
                     _read_request(connection)
-                    connection.sendall(answer)
+                    connection.sendall(response)
                     if hold:
-                        over.wait(30)
+                        finished.wait(30)
 
     thread = threading.Thread(target=serve)
     thread.start()
     try:
         yield f"127.0.0.1:{listener.getsockname()[1]}"
     finally:
-        over.set()
+        finished.set()
         listener.shutdown(socket.SHUT_RDWR)
         listener.close()
         thread.join()
@@ -39,7 +39,7 @@
     while b"\r\n\r\n" not in data:
         received = connection.recv(65536)
         if not received:
-            raise ConnectionError("closed before a request came")
+            raise ConnectionError("connection closed before a request arrived")
         data += received
     head, _, body = data.partition(b"\r\n\r\n")
     fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])
--- a/tests/backends/test_generations.py
+++ b/tests/backends/test_generations.py
@@ -1,4 +1,4 @@
-"""Outcomes of generations are truthful under each failure of engine and link."""
+"""Outcomes of generations are exact under failures of the engine and of the network."""
 
 import json
 import threading
@@ -7,17 +7,19 @@
 import hypothesis.strategies as st
 import pytest
 
-from hornbeamglade.backends import eventparser, generations, links, outcomes
+from hornbeamglade.backends import eventparser, generations, httpexchange, outcomes
 from hornbeamglade.core import outcomes as core_outcomes
 from tests.backends import scripted
 
 UNKNOWN = core_outcomes.RunStatus.UNKNOWN
-PATIENT = links.Timeouts(connect_s=5.0, response_s=10.0, progress_s=10.0)
-BRIEF_HEAD = links.Timeouts(connect_s=5.0, response_s=0.4, progress_s=600.0)
-BRIEF_PROGRESS = links.Timeouts(connect_s=5.0, response_s=600.0, progress_s=0.4)
+LONG_TIMEOUTS = httpexchange.Timeouts(connect_s=5.0, response_s=10.0, progress_s=10.0)
+SHORT_HEAD_TIMEOUT = httpexchange.Timeouts(connect_s=5.0, response_s=0.4, progress_s=600.0)
+SHORT_PROGRESS_TIMEOUT = httpexchange.Timeouts(connect_s=5.0, response_s=600.0, progress_s=0.4)
 
 
-def open_stream(address, tokens=20, timeouts=PATIENT, headers=None, cancellation=None, **body):
+def open_stream(
+    address, tokens=20, timeouts=LONG_TIMEOUTS, headers=None, cancellation=None, **body
+):
     body = {"model": "draft", "stream": True, "prompt": "hi", "x_answer_tokens": tokens} | body
     return generations.open_stream(
         address,
@@ -49,8 +51,8 @@
 
 
 def test_no_connection_is_not_run():
-    # A caller gets "not run" when an engine's process is gone. No connection could be
-    # made, so no byte of the request was offered to anybody.
+    # The engine's process has ended. No connection was established, so no byte of the
+    # request was sent.
     with scripted.server(b"") as address:
         pass
     outcome = open_stream(address)
@@ -72,7 +74,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"",
         b"HTTP/1.1 503 Service Unavailable\r\nX-Request-Id: r1\r\nContent-Length: 0\r\n\r\n",
@@ -80,46 +82,46 @@
         b"garbage\r\n\r\n",
     ],
 )
-def test_after_the_first_byte_a_failure_is_unknown(answer):
-    # A caller repeats a reservation that was told to be "not run" and gets two.
-    # The engine took the request, then died or answered 503 without saying that it
-    # didn't run it: whether it ran can't be known.
-    with scripted.server(answer) as address:
+def test_a_failure_after_the_first_byte_is_unknown(response):
+    # The engine received the request, then died or returned 503 without stating that it
+    # didn't run it. Reported as "not run", the caller would repeat a request that may have
+    # run, such as a reservation.
+    with scripted.server(response) as address:
         outcome = open_stream(address)
     assert isinstance(outcome, outcomes.Lost) and outcome.run is UNKNOWN
 
 
-def test_silence_before_the_head_is_unknown(start_engine):
+def test_a_timeout_before_the_response_head_is_unknown(start_engine):
     backend = start_engine()
     backend.faults(stall=True)
-    outcome = open_stream(backend.address, timeouts=BRIEF_HEAD)
+    outcome = open_stream(backend.address, timeouts=SHORT_HEAD_TIMEOUT)
     assert isinstance(outcome, outcomes.Lost) and outcome.run is UNKNOWN
     assert backend.state() != []
 
 
 @pytest.mark.parametrize("refuse", [False, True])
-def test_an_answer_of_another_request_is_not_used(start_engine, refuse):
-    # A clerk reads a draft for another citizen, or is told "not run" of a reply that
-    # was sent. The engine mixes up two answers; each bears the other's request id.
+def test_a_response_to_another_request_is_not_used(start_engine, refuse):
+    # The engine mixes up two responses, each with the other's request id. A caller would
+    # read another caller's text, or get "not run" for a request that ran.
     backend = start_engine()
     backend.faults(wrong_request_id=True, refuse=refuse)
     assert open_stream(backend.address) == outcomes.MismatchedResponse("crossed-r1")
 
 
-def test_an_answer_without_an_id_is_crossed():
+def test_a_response_without_an_id_is_mismatched():
     with scripted.server(b"HTTP/1.1 200 OK\r\n\r\n") as address:
         assert open_stream(address) == outcomes.MismatchedResponse(None)
 
 
-def test_a_wrong_request_is_rejected(start_engine):
+def test_an_invalid_request_is_rejected(start_engine):
     outcome = open_stream(start_engine().address, model="other")
     assert (outcome.status, json.loads(outcome.body)["error"]["code"]) == (404, "model_not_found")
 
 
 @pytest.mark.parametrize("after", [0, 5])
-def test_an_engine_that_dies_is_a_lost_link(start_engine, after):
-    # A draft stops in the middle. The engine's process ends before its first token or
-    # after some; the answer ends without its last chunk, which mustn't pass for an end.
+def test_an_engine_that_dies_is_a_lost_connection(start_engine, after):
+    # The engine's process ends before the first token or after some. The response ends
+    # without its last chunk, which mustn't be taken for the end of the generation.
     backend = start_engine(resume=False)
     backend.faults(die_after_tokens=after)
     events = read(open_stream(backend.address))
@@ -127,17 +129,18 @@
     assert isinstance(events[-1], eventparser.ConnectionLost)
 
 
-def test_an_orderly_end_without_a_finish_is_a_lost_link():
+def test_an_orderly_end_without_a_finish_reason_is_a_lost_connection():
     with scripted.server(scripted.HEAD + b"id: 0\ndata: {}\n\n") as address:
         events = read(open_stream(address))
     assert offsets(events) == [0] and isinstance(events[-1], eventparser.ConnectionLost)
 
 
-def test_a_stalled_link_is_told_and_its_stream_can_be_resumed(start_engine):
-    # A draft freezes. The link delivers nothing any more, without an error; the engine
-    # goes on. The silence ends the wait, the same generation is continued elsewhere.
+def test_a_stalled_connection_is_detected_and_its_stream_can_be_resumed(start_engine):
+    # The network delivers nothing any more, without an error, while the engine continues.
+    # The progress timeout ends the wait, and the generation is resumed on another
+    # connection.
     backend = start_engine(step_s=0.01)
-    stream = open_stream(backend.address, 40, BRIEF_PROGRESS).stream
+    stream = open_stream(backend.address, 40, SHORT_PROGRESS_TIMEOUT).stream
     events = []
     for event in stream:
         events.append(event)
@@ -146,16 +149,16 @@
     assert isinstance(events[-1], eventparser.Stalled)
     backend.faults()
     last = offsets(events)[-1]
-    rest = read(generations.resume(backend.address, "r1", last, PATIENT))
+    rest = read(generations.resume(backend.address, "r1", last, LONG_TIMEOUTS))
     assert offsets(events) + offsets(rest) == list(range(40))
     assert isinstance(rest[-1], eventparser.Finished)
 
 
 def test_an_engine_that_keeps_alive_is_not_stalled(start_engine):
-    # Two drafts fill the memory and one waits for longer than the progress timeout. Its
-    # keep-alives tell it from a stalled link; taken for one, it would be run again.
+    # A request waits at the engine for longer than the progress timeout. Its keep-alives
+    # distinguish it from a stalled connection, whose request would be run again.
     backend = start_engine(max_running=1, step_s=0.01)
-    first = open_stream(backend.address, 100, cancellation=links.Cancellation())
+    first = open_stream(backend.address, 100, cancellation=httpexchange.Cancellation())
     second = generations.open_stream(
         backend.address,
         "/v1/completions",
@@ -163,7 +166,7 @@
         {},
         "r2",
         0,
-        BRIEF_PROGRESS,
+        SHORT_PROGRESS_TIMEOUT,
     )
     events = list(second.stream)
     assert events.count(eventparser.KeepAlive()) > 8
@@ -182,7 +185,7 @@
 
 
 def test_cancel_while_the_head_is_awaited():
-    cancellation = links.Cancellation()
+    cancellation = httpexchange.Cancellation()
     with scripted.server(b"", hold=True) as address:
         threading.Timer(0.1, cancellation.cancel).start()
         outcome = open_stream(address, cancellation=cancellation)
@@ -192,8 +195,8 @@
 
 
 def test_leaving_the_iteration_cancels_with_bytes_unread(start_engine):
-    # Drafts for clerks who hung up fill an engine's memory. Their connections were
-    # closed with tokens unread, which sends a reset, and the engine held the streams.
+    # Closing a socket with unread bytes sends a reset, after which the engine keeps the
+    # stream. Its memory would fill with generations that nobody reads.
     backend = start_engine()
     for event in open_stream(backend.address, tokens=4000).stream:
         if isinstance(event, eventparser.Token) and event.offset == 3:
@@ -204,27 +207,27 @@
 
 def test_resume_of_a_stream_that_is_gone(start_engine):
     backend = start_engine()
-    assert generations.resume(backend.address, "r9", 3, PATIENT) == outcomes.StreamGone()
+    assert generations.resume(backend.address, "r9", 3, LONG_TIMEOUTS) == outcomes.StreamGone()
     backend.server.stop()
-    assert generations.resume(backend.address, "r1", 3, PATIENT) == outcomes.PortClosed()
+    assert generations.resume(backend.address, "r1", 3, LONG_TIMEOUTS) == outcomes.PortClosed()
 
 
-def test_resume_whose_connection_closes_without_an_answer_is_lost():
-    # A clerk's draft stops with "internal error" and its run unknown. Order: the engine
-    # is killed, and the resuming connection is taken from its queue before its port
-    # closes. Cause: such a loss was read as if no connection had been made.
+def test_resume_whose_connection_closes_without_a_response_is_lost():
+    # The engine is killed after it accepted the resuming connection and before its port
+    # closes. Such a loss was handled as if no connection had been established, so the
+    # stream ended with an internal error and an unknown run.
     with scripted.server(b"") as address:
-        outcome = generations.resume(address, "r1", 3, PATIENT)
+        outcome = generations.resume(address, "r1", 3, LONG_TIMEOUTS)
     assert isinstance(outcome, outcomes.Lost)
     assert outcome.run is core_outcomes.RunStatus.RAN
 
 
-def test_remote_cancel_of_a_stream_whose_link_is_lost(start_engine):
+def test_remote_cancel_of_a_stream_whose_connection_is_lost(start_engine):
     backend = start_engine()
     backend.faults(die_after_tokens=2)
     read(open_stream(backend.address, tokens=4000))
     assert backend.state() == ["running"]
-    assert generations.cancel_remote(backend.address, "r1", PATIENT)
+    assert generations.cancel_remote(backend.address, "r1", LONG_TIMEOUTS)
     assert backend.state() == ["cancelled"]
 
 
@@ -241,7 +244,7 @@
         max_size=5,
     ),
 )
-def test_garbage_on_the_wire_is_an_outcome(head, parts):
+def test_arbitrary_response_bytes_result_in_an_outcome(head, parts):
     with scripted.server(head + b"".join(parts)) as address:
         outcome = open_stream(address)
         if isinstance(outcome, generations.Opened):
--- a/tests/backends/test_loadreports.py
+++ b/tests/backends/test_loadreports.py
@@ -1,4 +1,4 @@
-"""Load reports and cache events are checked before anything is decided on them."""
+"""Load reports and cache events are validated before they are used."""
 
 import pytest
 
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "code"),
+    ("response", "code"),
     [
         (b"", "unreachable"),
         (b"HTTP/1.1 500 Oops\r\n\r\n", "status"),
@@ -48,6 +48,6 @@
         (b"HTTP/1.1 200 OK\r\n\r\n" + b" " * (5 << 20), "too_long"),
     ],
 )
-def test_a_bad_report_is_a_coded_outcome(answer, code):
-    with scripted.server(answer) as address:
+def test_an_invalid_report_is_an_outcome_with_a_code(response, code):
+    with scripted.server(response) as address:
         assert reader(address).load().code == code
--- a/tests/backends/test_plaincalls.py
+++ b/tests/backends/test_plaincalls.py
@@ -1,12 +1,12 @@
-"""Calls of plain services pass through whole, with truthful outcomes."""
+"""Calls to plain services are forwarded unchanged and have exact outcomes."""
 
 import pytest
 
-from hornbeamglade.backends import links, outcomes, plaincalls
+from hornbeamglade.backends import httpexchange, outcomes, plaincalls
 from hornbeamglade.core import outcomes as core_outcomes
 from tests.backends import scripted
 
-TIMEOUTS = links.Timeouts(connect_s=5.0, response_s=10.0, progress_s=10.0)
+TIMEOUTS = httpexchange.Timeouts(connect_s=5.0, response_s=10.0, progress_s=10.0)
 CALL = plaincalls.PlainCall(
     "PATCH",
     "/holds/a%2Fb",
@@ -21,17 +21,17 @@
 
 
 def test_method_path_query_headers_and_body_are_kept(plain):
-    answer = call(plain.address)
-    assert answer.status == 200 and b'"ran": 1' in answer.body
+    response = call(plain.address)
+    assert response.status == 200 and b'"ran": 1' in response.body
     (run,) = plain.ledger()["runs"]
     assert (run["method"], run["body"], run["key"]) == ("PATCH", "body", "k")
     assert (run["path"], run["query"]) == ("/holds/a%2Fb", {"x": "2"})
     assert run["headers"]["cookie"] == "a" and "x-hop" not in run["headers"]
 
 
-def test_a_lost_answer_is_unknown_and_is_not_sent_again(plain):
-    # Two households get one unit. The service runs a hold, its answer is lost, and the
-    # client's library sends the request again by itself.
+def test_a_call_whose_response_is_lost_is_unknown_and_not_repeated(plain):
+    # The service runs a call, its response is lost, and the HTTP library repeats the
+    # request by itself, so that the call runs twice.
     plain.faults(lose_answers=True)
     outcome = call(plain.address)
     assert outcome.run is core_outcomes.RunStatus.UNKNOWN
@@ -43,21 +43,21 @@
     assert call(plain.address).refused_by_server
 
 
-def test_an_answer_of_another_call_is_not_used(plain):
+def test_a_response_to_another_call_is_not_used(plain):
     plain.faults(wrong_request_id=True)
     assert call(plain.address) == outcomes.MismatchedResponse("crossed-r1")
 
 
-def test_a_redirect_is_handed_on_and_not_followed():
+def test_a_redirect_is_forwarded_and_not_followed():
     head = b"HTTP/1.1 307 T\r\nX-Request-Id: r1\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"
     with scripted.server(head) as address:
-        answer = call(address)
-    assert (answer.status, dict(answer.headers)["Location"]) == (307, "/x")
+        response = call(address)
+    assert (response.status, dict(response.headers)["Location"]) == (307, "/x")
 
 
 @pytest.mark.parametrize(("limit", "reason"), [(60, "broke off"), (20, "longer than")])
-def test_an_answer_that_breaks_off_or_is_too_long_has_run(limit, reason):
-    answer = scripted.HEAD[:-2] + b"Content-Length: 50\r\n\r\n" + b"x" * 49
-    with scripted.server(answer) as address:
+def test_a_call_whose_response_is_incomplete_or_too_long_has_run(limit, reason):
+    response = scripted.HEAD[:-2] + b"Content-Length: 50\r\n\r\n" + b"x" * 49
+    with scripted.server(response) as address:
         outcome = call(address, max_response_bytes=limit)
     assert outcome.run is core_outcomes.RunStatus.RAN and reason in outcome.reason
--- a/tests/node/fakeparts.py
+++ b/tests/node/fakeparts.py
@@ -3,7 +3,7 @@
 import types
 
 from hornbeamglade import claims
-from hornbeamglade.backends import eventparser, links
+from hornbeamglade.backends import eventparser, httpexchange
 from hornbeamglade.callers import application, server
 from hornbeamglade.configuration import models
 from hornbeamglade.core import clocks
@@ -105,5 +105,5 @@
 def make_source(clock, link, repeatable=True, resumable=True, note=lambda _: None):
     state = generationstream.GenerationStream(repeatable, resumable)
     state.begin(GENERATION)
-    target = generationsource.Target("e1", "127.0.0.1:1", GENERATION, links.Timeouts())
+    target = generationsource.Target("e1", "127.0.0.1:1", GENERATION, httpexchange.Timeouts())
     return generationsource.GenerationSource(target, link, state, clock, note), state
