--- a/hornbeamglade/routes/__init__.py
+++ b/hornbeamglade/routes/__init__.py
@@ -1,7 +1,7 @@
-"""What the operator's configuration says of routed requests.
+"""The operator's configuration of routes.
 
 - :mod:`hornbeamglade.routes.models`: routes, services and limits, as values
-- :mod:`hornbeamglade.routes.routetable`: which route a host and a path select
-- :mod:`hornbeamglade.routes.splits`: which service of a split route a request goes to
-- :mod:`hornbeamglade.routes.teamkeys`: which team holds a key
+- :mod:`hornbeamglade.routes.routetable`: selects the route for a host and a path
+- :mod:`hornbeamglade.routes.splits`: selects the service of a route for a request
+- :mod:`hornbeamglade.routes.teamkeys`: finds the team that holds a key
 """
--- a/hornbeamglade/routes/models.py
+++ b/hornbeamglade/routes/models.py
@@ -5,10 +5,10 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated, and how an answer comes.
+    """Whether a route's requests may be repeated, and the form of its responses.
 
-    ``IDEMPOTENT`` requests may run more than once, ``SINGLE`` ones at most once;
-    ``STREAM`` answers are event streams, whose requests may run once.
+    ``IDEMPOTENT`` requests may run more than once, ``SINGLE`` ones at most once.
+    ``STREAM`` requests have event streams as responses and may run once.
     """
 
     IDEMPOTENT = "idempotent"
@@ -20,7 +20,7 @@
 class Split:
     """A share of a route's requests.
 
-    :param service: where they go.
+    :param service: the service that the requests go to.
     :param weight: relative to the other shares.
     """
 
@@ -34,17 +34,17 @@
 
     :param name: its name.
     :param host: the host that it belongs to, in lower case.
-    :param prefix: the beginning of its paths; begins and ends with a slash.
-    :param kind: what may be repeated.
-    :param splits: where its requests go; never empty.
-    :param timeout_s: the longest that a request is kept waiting.
-    :param goal_s: an answer (a stream's first event) within this time is on time.
-    :param gap_goal_s: the longest pause between events that is on time, or None.
-    :param urgency: its rank; 0 is the most urgent.
-    :param max_attempts: replicas that one request may be sent to.
-    :param is_public: whether no key is needed.
-    :param is_resumable: whether a stream may go on in another run.
-    :param allowed_regions: where its requests may be served; None for everywhere.
+    :param prefix: the prefix of its paths; begins and ends with a slash.
+    :param kind: whether its requests may be repeated, and the form of its responses.
+    :param splits: the services that its requests go to; never empty.
+    :param timeout_s: the timeout of a request.
+    :param goal_s: the latency objective for a response, or for a stream's first event.
+    :param gap_goal_s: the objective for the time between a stream's events, or None.
+    :param urgency: its priority class; 0 is the most urgent.
+    :param max_attempts: how many replicas one request may be sent to.
+    :param is_public: whether requests need no key.
+    :param is_resumable: whether a stream may continue in another run.
+    :param allowed_regions: the regions that may serve its requests; None for all.
     """
 
     name: str
@@ -69,16 +69,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What a service's replicas are as model engines.
-
-    :param slots: requests that run at once.
-    :param memory_tokens: tokens that running requests and cached prompts share.
-    :param token_bytes: bytes of one token's memory when it is copied.
-    :param link_bytes_per_s: speed at which an engine's memory is copied to another.
-    :param can_migrate: whether a run's memory may be moved to another engine.
-    :param can_back_up: whether a run's memory may be kept at a second engine.
-    :param tokens_per_event: tokens that one event of a stream holds.
-    :param copy_ttl_s: how long a copy is kept that is not renewed.
+    """Properties of a service's replicas that are model engines.
+
+    :param slots: requests that run concurrently.
+    :param memory_tokens: KV cache capacity, shared by running requests and cached prompts.
+    :param token_bytes: the size of one token's KV cache when it is copied.
+    :param link_bytes_per_s: the speed at which KV cache is copied between engines.
+    :param can_migrate: whether a run may be migrated to another engine.
+    :param can_back_up: whether a copy of a run's KV cache may be kept at a second engine.
+    :param tokens_per_event: tokens in one event of a stream.
+    :param copy_ttl_s: how long an engine keeps a copy that is not renewed.
     """
 
     slots: int
@@ -93,10 +93,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlowStart:
-    """What a replica bears that has just started.
+    """The rate limit of a replica that has just started.
 
-    :param requests_per_s: from all callers together.
-    :param duration_s: for so long after its start.
+    :param requests_per_s: the limit for all callers together.
+    :param duration_s: how long it applies after the start.
     """
 
     requests_per_s: float
@@ -105,13 +105,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A set of replicas that serve the same.
+    """A set of equivalent replicas.
 
     :param name: its name.
-    :param health_path: where a replica tells its health.
+    :param health_path: the path of a replica's health check.
     :param max_connections: connections that a replica accepts from all callers.
     :param engine: set when its replicas are model engines.
-    :param slow_start: set when its replicas bear few requests after their start.
+    :param slow_start: set when its replicas get limited traffic after their start.
     """
 
     name: str
@@ -123,12 +123,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Team:
-    """Callers with common keys.
+    """A group of callers that share keys.
 
     :param name: its name.
-    :param keys: the keys that it holds.
-    :param urgency: replaces that of the route; None leaves it.
-    :param allowed_regions: where its requests may be served; None for everywhere.
+    :param keys: its keys.
+    :param urgency: overrides the urgency of the route, unless None.
+    :param allowed_regions: the regions that may serve its requests; None for all.
     """
 
     name: str
@@ -139,12 +139,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, and how long they may take.
+    """Limits on requests of callers.
 
-    :param max_head_bytes: longest head of a request.
-    :param max_body_bytes: longest body.
-    :param head_timeout_s: seconds for a head.
-    :param idle_timeout_s: seconds of silence on an open connection.
+    :param max_head_bytes: the maximum size of a request head.
+    :param max_body_bytes: the maximum size of a request body.
+    :param head_timeout_s: how long a request head may take to arrive.
+    :param idle_timeout_s: how long an open connection may be idle.
     """
 
     max_head_bytes: int
@@ -155,13 +155,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """One accepted revision.
+    """One accepted revision of the configuration.
 
-    :param revision: grows with each change, in uneven steps.
+    :param revision: its number; grows with each change, by varying steps.
     :param routes: all routes.
     :param service_by_name: all services.
-    :param limits: what callers may send.
-    :param teams: all teams; empty when no key is needed.
+    :param limits: limits on requests of callers.
+    :param teams: all teams; empty when no requests need keys.
     """
 
     revision: int
--- a/hornbeamglade/routes/routetable.py
+++ b/hornbeamglade/routes/routetable.py
@@ -1,4 +1,4 @@
-"""Which route a request's host and path select."""
+"""Selects the route for the host and path of a request."""
 
 import collections.abc
 
@@ -6,7 +6,7 @@
 
 
 class RouteTable:
-    """Routes by host, the longest prefix first.
+    """Finds routes by host and longest matching path prefix.
 
     :param routes: all routes.
 
@@ -41,7 +41,7 @@
         if route_by_prefix is None:
             return None
         path = target.split("?", 1)[0]
-        # Every prefix ends with a slash: only the path's own slashes can end a match.
+        # Every prefix ends with a slash, so a match can only end at a slash of the path.
         end = path.rfind("/")
         while end >= 0:
             route = route_by_prefix.get(path[: end + 1])
--- a/hornbeamglade/routes/splits.py
+++ b/hornbeamglade/routes/splits.py
@@ -1,4 +1,4 @@
-"""Which service of a split route a request goes to."""
+"""Selects the service of a route for a request, by the weights of its splits."""
 
 import hashlib
 
@@ -9,7 +9,7 @@
 
 
 def choose_service(route: models.Route, request_id: str) -> str:
-    """Return the service for a request; the same request always goes to the same one.
+    """Return the service for a request; a request id always selects the same service.
 
     Examples
     ========
@@ -25,9 +25,9 @@
         return route.splits[0].service
     digest = hashlib.blake2b(request_id.encode(), digest_size=_HASH_BYTES).digest()
     total = sum(split.weight for split in route.splits)
-    left = int.from_bytes(digest, "big") / _HASH_RANGE * total
+    remaining = int.from_bytes(digest, "big") / _HASH_RANGE * total
     for split in route.splits:
-        left -= split.weight
-        if left < 0:
+        remaining -= split.weight
+        if remaining < 0:
             return split.service
     return route.splits[-1].service
--- a/hornbeamglade/routes/teamkeys.py
+++ b/hornbeamglade/routes/teamkeys.py
@@ -1,4 +1,4 @@
-"""Which team holds a caller's key."""
+"""Finds the team that holds a caller's key."""
 
 import collections.abc
 
@@ -8,7 +8,7 @@
 
 
 class TeamKeys:
-    """The keys of one revision.
+    """The keys of all teams in one revision of the configuration.
 
     :param teams: all teams.
 
@@ -31,12 +31,12 @@
     def is_required(self) -> bool:
         """Whether requests to routes that are not public need a key.
 
-        A revision whose teams hold no key at all lets nobody in.
+        With teams that hold no keys at all, every such request is refused.
         """
         return self._is_required
 
     def identify(self, authorization: str | None) -> models.Team | None:
-        """Return the team of an ``Authorization`` value, or None when nobody holds the key."""
+        """Return the team of an ``Authorization`` value, or None when no team holds the key."""
         if authorization is None or authorization[: len(_SCHEME)].lower() != _SCHEME:
             return None
         return self._team_by_key.get(authorization[len(_SCHEME) :].strip())
--- a/tests/routes/test_routetable.py
+++ b/tests/routes/test_routetable.py
@@ -1,12 +1,12 @@
-"""The longest prefix that begins a path, against a search of all routes."""
+"""Longest-prefix matching of routes, compared with a search of all routes."""
 
 import hypothesis
 from hypothesis import strategies
 
 from hornbeamglade.routes import models, routetable
 
-_PIECES = strategies.lists(strategies.sampled_from(["a", "b", "ab"]), max_size=4)
-_PREFIXES = _PIECES.map(lambda pieces: "/" + "".join(f"{piece}/" for piece in pieces))
+_SEGMENTS = strategies.lists(strategies.sampled_from(["a", "b", "ab"]), max_size=4)
+_PREFIXES = _SEGMENTS.map(lambda segments: "/" + "".join(f"{each}/" for each in segments))
 _PATHS = strategies.tuples(_PREFIXES, strategies.sampled_from(["", "a", "b?x=/a/b/", "?q"]))
 
 
@@ -19,8 +19,8 @@
 def test_longest_prefix_is_found(prefixes, path):
     target = "".join(path)
     found = routetable.RouteTable([route(prefix) for prefix in prefixes]).find("h.example", target)
-    begins = [prefix for prefix in prefixes if target.split("?")[0].startswith(prefix)]
-    expected = max(begins, key=len, default=None)
+    matching = [prefix for prefix in prefixes if target.split("?")[0].startswith(prefix)]
+    expected = max(matching, key=len, default=None)
     assert (found and found.prefix) == expected
 
 
--- a/tests/routes/test_teamkeys.py
+++ b/tests/routes/test_teamkeys.py
@@ -1,4 +1,4 @@
-"""Which team holds a key."""
+"""Identification of teams by their keys."""
 
 import pytest
 
@@ -7,20 +7,20 @@
 KEYS = teamkeys.TeamKeys((models.Team("clinic", frozenset(("k1", "k2"))),))
 
 
-@pytest.mark.parametrize("told", [None, "", "k1", "Bearer", "Bearer ", "Bearer k3", "Basic k1"])
-def test_what_is_no_key_identifies_nobody(told):
-    assert KEYS.identify(told) is None
+@pytest.mark.parametrize("value", [None, "", "k1", "Bearer", "Bearer ", "Bearer k3", "Basic k1"])
+def test_unknown_or_malformed_keys_identify_no_team(value):
+    assert KEYS.identify(value) is None
 
 
-@pytest.mark.parametrize("told", ["Bearer k1", "bearer k2", "Bearer  k1 "])
-def test_key_identifies_its_team(told):
-    assert KEYS.identify(told).name == "clinic"
+@pytest.mark.parametrize("value", ["Bearer k1", "bearer k2", "Bearer  k1 "])
+def test_key_identifies_its_team(value):
+    assert KEYS.identify(value).name == "clinic"
 
 
-def test_teams_without_keys_still_close_the_door():
-    """The last key of the last team is taken away.
+def test_keys_are_required_when_teams_hold_none():
+    """The last key of the last team was revoked.
 
-    Taken for a deployment without keys, the routes would be open to everyone.
+    Handled like a deployment without teams, the routes would be open to everyone.
     """
     assert teamkeys.TeamKeys((models.Team("clinic", frozenset()),)).is_required
     assert not teamkeys.TeamKeys(()).is_required
