--- a/hornbeamglade/grants/__init__.py
+++ b/hornbeamglade/grants/__init__.py
@@ -1,1 +1,1 @@
-"""Permission to start a request on a replica, given by the replica's owner."""
+"""Grants: permission to start a request on a replica, given by the replica's owner."""
--- a/hornbeamglade/grants/asyncgrantacquirer.py
+++ b/hornbeamglade/grants/asyncgrantacquirer.py
@@ -1,20 +1,21 @@
-"""Find a replica for a request and get its owner's grant, from a task of an event loop.
+"""Select a replica for a request and get a grant from its owner, in a task of an event loop.
 
 Explanation
 ===========
 
-The counterpart of :mod:`hornbeamglade.grants.grantacquirer` for the routed path; the order
-of replicas, the schedulers and what is asked are the same. Here a wait costs no thread, so a
-request asks every replica that seems to have room before it queues anywhere.
+The counterpart of :mod:`hornbeamglade.grants.grantacquirer` for the routed path. The ranking of
+replicas, the schedulers and the contents of grant requests are the same. A waiting request
+occupies no thread here, so it requests an immediate grant at every replica that appears to have
+headroom before it waits in any queue.
 
-A remote owner is left the choice among all its replicas that will do: it knows them as
-they are. So each owner is asked once in a round, and what heartbeats say only tells whom to
-ask first, and, while it is fresh, whom not to ask.
+A remote owner may choose among all its replicas that can serve the request, since it knows their
+present state. Each owner is therefore asked once in a round. Heartbeats only determine which
+owner to ask first and, as long as they are fresh, which owner not to ask.
 
-A node that owns a replica may have died or be cut off, while the replica itself serves.
-Where no owner of the replicas left answers, the request goes to the best of them without
-a grant: the engine's own queue takes it in, and a refusal would be false while there is
-room.
+A node that owns a replica may have crashed or be unreachable while the replica itself still
+serves. If no owner of the remaining replicas responds, the request goes to the best of them
+without a grant and the engine's own queue takes it: refusing it would be wrong while there is
+free capacity.
 """
 
 import asyncio
@@ -37,20 +38,21 @@
 from hornbeamglade.routing import candidates, placements
 from hornbeamglade.routing import choice as choicelib
 
-AT_ONCE_S = 0.06
-"""An ask for a grant at once waits for one round trip."""
+IMMEDIATE_TIMEOUT_S = 0.06
+"""An immediate grant request waits for one network round trip."""
 
-OWNERS_ASKED = 4
-"""Owners that are asked for a grant at once, one after the other, in a round: a request that
-finds none of them with room waits in a queue, and looks again soon."""
+MAX_OWNERS_ASKED = 4
+"""Owners that are asked for an immediate grant in one round, one after the other. A request that
+gets none waits in a queue, and the next round follows soon."""
 
-TRUSTED_S = 1.0
-"""What an owner said this lately is trusted when it says that a replica is full. Sites where
-all nodes hear each other are told each half second; at larger ones the owner is asked."""
+FRESH_REPORT_S = 1.0
+"""A report of an owner that is at most this old is believed when it says that a replica is full.
+At sites where all nodes exchange heartbeats directly, one arrives every half second; at larger
+sites the owner is asked instead."""
 
-LOOK_AGAIN_S = 0.1
-"""So often one of the requests that wait at a node looks for room elsewhere, each in turn: a
-look compares all replicas, and in a crowd dozens wait."""
+SEARCH_INTERVAL_S = 0.1
+"""The interval at which one of the requests that wait at a node looks for headroom elsewhere,
+each in turn. A search compares all replicas, and under overload dozens of requests wait."""
 
 ListCandidates = collections.abc.Callable[[], collections.abc.Sequence[candidates.Candidate]]
 ResolveReplica = collections.abc.Callable[[int], str | None]
@@ -62,8 +64,9 @@
 
     :param replica: the replica's id.
     :param admission_id: identifies the attempt at the schedulers.
-    :param grant_id: the ask's number at a remote owner; None when this node is the owner.
-    :param is_granted: False for a request that goes on without a grant.
+    :param grant_id: the number of the grant request at a remote owner; None when this node is
+        the owner.
+    :param is_granted: False for a request that proceeds without a grant.
     :param produced: tokens of the answer so far.
     """
 
@@ -76,19 +79,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """A request that looks for a replica.
+    """A request that is to be placed on a replica.
 
-    :param work: what is known of the request.
-    :param weight: the team's share.
+    :param work: the known properties of the request.
+    :param weight: the team's weight.
     :param deadline: monotonic seconds at which its wait ends.
-    :param list_candidates: returns replicas that may serve it, as this node knows them now.
-    :param resolve_replica: returns a replica that may serve it by the hash of its id, or None; by
-        default one of those known.
-    :param attempt: distinguishes several tries of one request at the same scheduler.
-    :param produced: tokens that its run has, when it goes on from another replica.
-    :param avoid: replicas that will not do.
+    :param list_candidates: returns the replicas that may serve it, as this node knows them
+        now.
+    :param resolve_replica: returns the id of a replica that may serve the request by the hash
+        of the id, or None; the default searches the candidates.
+    :param attempt: distinguishes several attempts of one request at the same scheduler.
+    :param produced: tokens generated so far by a run that is migrated from another replica.
+    :param avoid: replicas that must not be chosen.
     :param due: monotonic seconds at which it must start to be on time.
-    :param known_only: whether only known replicas will do: no owner may choose another one.
+    :param known_only: whether only the listed candidates are acceptable, so that no owner may
+        choose another replica.
     """
 
     work: outcomes.Work
@@ -104,26 +109,26 @@
 
     @property
     def admission_id(self) -> str:
-        """Name the grant of this attempt."""
+        """The request id under which the schedulers know this attempt."""
         return f"{self.work.request_id}.{self.attempt}"
 
-    def chosen(self, replica_hash: int) -> str | None:
-        """Return the replica that an owner chose, or None if it may not serve the request."""
+    def granted_replica(self, replica_hash: int) -> str | None:
+        """Return the replica that an owner granted, or None if it may not serve the request."""
         if self.resolve_replica is not None:
             return self.resolve_replica(replica_hash)
-        known = (each.replica for each in self.list_candidates())
-        return next((each for each in known if messages.key_hash(each) == replica_hash), None)
+        replicas = (each.replica for each in self.list_candidates())
+        return next((each for each in replicas if messages.key_hash(each) == replica_hash), None)
 
 
 class AsyncGrantAcquirer:
-    """The asking side of grants, of one node's event loop.
+    """The requesting side of grants in one node's event loop.
 
     :param clock: monotonic time.
     :param schedulers: this node's own schedulers.
-    :param client: asks other owners.
-    :param owners: who owns which replica.
+    :param client: sends grant requests to other owners.
+    :param owners: which node owns which replica.
     :param rng: breaks ties between replicas.
-    :param settings: rates of the routing choice.
+    :param settings: rates that the ranking of replicas uses.
     """
 
     def __init__(
@@ -144,19 +149,19 @@
         self._placements = placements.Placements(settings)
         self._backoff = ownerbackoff.OwnerBackoff(clock)
         self._active: set[str] = set()
-        self._lookers: collections.deque[PlacementRequest] = collections.deque()
-        self._look_at = clock.now()
+        self._searchers: collections.deque[PlacementRequest] = collections.deque()
+        self._next_search_at = clock.now()
 
     async def acquire(self, placement: PlacementRequest) -> Grant | outcomes.Refusal:
-        """Get a grant, or the refusal that the caller is to hear at once.
+        """Get a grant, or the refusal to return to the caller.
 
-        Cancelling gives up whatever was asked for.
+        Cancelling withdraws the outstanding grant requests.
         """
         refused: list[outcomes.Refusal] = []
         grant = await self.acquire_now(placement, refused)
         if grant is not None:
             return grant
-        for replica in self._one_each(self._ordered(placement), placement):
+        for replica in self._one_per_owner(self._ranked_replicas(placement), placement):
             answer = await self._queue_at(placement, replica)
             if isinstance(answer, Grant):
                 return answer
@@ -170,35 +175,35 @@
     async def acquire_now(
         self, placement: PlacementRequest, refused: list[outcomes.Refusal] | None = None
     ) -> Grant | None:
-        """Ask replicas that seem to have room for a grant at once.
+        """Request an immediate grant at replicas that appear to have headroom.
 
-        :param refused: takes the refusals.
+        :param refused: the refusals are appended to it.
         """
         needed = candidates.needed_tokens(placement.work, self._settings) + placement.produced
-        asked_count = 0
+        refused_count = 0
         for replica in self._worth_asking(placement, needed):
             owner = self._owners.owner(replica)
             if owner is not None and not self._backoff.may_ask(owner.name, needed):
                 continue
-            answer = await self._ask(placement, replica, 0.0)
+            answer = await self._request(placement, replica, 0.0)
             if isinstance(answer, Grant):
                 return answer
             if owner is not None and answer.code == grantresponses.NO_ROOM_NOW:
                 self._backoff.refused(owner.name, needed)
             if refused is not None:
                 refused.append(answer)
-            asked_count += 1
-            if asked_count >= OWNERS_ASKED:
+            refused_count += 1
+            if refused_count >= MAX_OWNERS_ASKED:
                 break
         return None
 
     async def acquire_for_migration(
         self, placement: PlacementRequest, failure_domain: str
     ) -> Grant | None:
-        """Ask replicas with room for a run that goes on there, the nearest first.
+        """Request a grant for a run that is to be migrated, at the nearest replicas first.
 
-        :param failure_domain: where the run's memory is; a copy to another one takes
-            twice as long.
+        :param failure_domain: where the run's KV cache is; copying it to another failure
+            domain takes twice as long.
         """
         needed = placement.work.prompt_tokens + placement.produced
         choices = sorted(
@@ -210,14 +215,14 @@
             ),
         )
         nearest = [each.replica for each in choices]
-        for replica in self._one_each(nearest, placement)[:OWNERS_ASKED]:
-            answer = await self._ask(placement, replica, 0.0)
+        for replica in self._one_per_owner(nearest, placement)[:MAX_OWNERS_ASKED]:
+            answer = await self._request(placement, replica, 0.0)
             if isinstance(answer, Grant):
                 return answer
         return None
 
     def record_progress(self, grant: Grant, produced: int) -> None:
-        """Note how far a granted request has come."""
+        """Record how many tokens a granted request has produced."""
         grant.produced = produced
         if not grant.is_granted:
             return
@@ -227,7 +232,7 @@
             self._client.note(grant.grant_id, produced)
 
     def release(self, grant: Grant) -> None:
-        """Give a grant back to its owner; idempotent."""
+        """Release a grant at its owner; idempotent."""
         if grant.admission_id not in self._active:
             return
         self._active.discard(grant.admission_id)
@@ -238,42 +243,42 @@
 
     @property
     def active_count(self) -> int:
-        """How many grants this node holds."""
+        """The number of grants that this node holds."""
         return len(self._active)
 
-    def _ordered(self, placement: PlacementRequest) -> list[str]:
+    def _ranked_replicas(self, placement: PlacementRequest) -> list[str]:
         choices = self._choices(placement)
         return [each.candidate.replica for each in choices]
 
     def _worth_asking(self, placement: PlacementRequest, needed: int) -> list[str]:
-        """Return replicas that may have room, best first, one of each remote owner."""
-        crowded = {each.replica for each in placement.list_candidates() if each.queued}
+        """Return replicas that may have headroom, best first, one of each remote owner."""
+        with_queue = {each.replica for each in placement.list_candidates() if each.queued}
         worth_asking = (
             each.candidate.replica
             for each in self._choices(placement)
-            if each.candidate.report_age_s > TRUSTED_S
-            or (each.candidate.room_tokens >= needed and each.candidate.replica not in crowded)
+            if each.candidate.report_age_s > FRESH_REPORT_S
+            or (each.candidate.room_tokens >= needed and each.candidate.replica not in with_queue)
         )
-        return self._one_each(worth_asking, placement)
+        return self._one_per_owner(worth_asking, placement)
 
-    def _one_each(
+    def _one_per_owner(
         self, replicas: collections.abc.Iterable[str], placement: PlacementRequest
     ) -> list[str]:
-        """Return replicas in order, the first of each remote owner and all of this node.
+        """Return replicas in order: the first of each remote owner, and all of this node.
 
-        All of them where an owner is not left the choice among its own.
+        All replicas are returned if the owners may not choose among their own.
         """
         if placement.known_only:
             return list(replicas)
-        chosen = []
+        selected = []
         owners = set()
         for replica in replicas:
             owner = self._owners.owner(replica)
             if owner is None or owner.name not in owners:
-                chosen.append(replica)
+                selected.append(replica)
             if owner is not None:
                 owners.add(owner.name)
-        return chosen
+        return selected
 
     def _choices(self, placement: PlacementRequest) -> tuple[choicelib.Choice, ...]:
         current = self._placements.applied(placement.list_candidates(), self._clock.now())
@@ -282,59 +287,60 @@
     async def _queue_at(
         self, placement: PlacementRequest, replica: str
     ) -> Grant | outcomes.Refusal:
-        """Wait in one replica's queue, and go elsewhere when there is room first."""
-        here = asyncio.ensure_future(
-            self._ask(placement, replica, placement.deadline - self._clock.now())
+        """Wait in one replica's queue, unless another replica has headroom first."""
+        queued = asyncio.ensure_future(
+            self._request(placement, replica, placement.deadline - self._clock.now())
         )
         elsewhere: Grant | None = None
-        self._lookers.append(placement)
+        self._searchers.append(placement)
         try:
-            while not here.done() and elsewhere is None:
-                await asyncio.wait((here,), timeout=LOOK_AGAIN_S)
-                if not here.done() and self._take_turn_to_look(placement):
+            while not queued.done() and elsewhere is None:
+                await asyncio.wait((queued,), timeout=SEARCH_INTERVAL_S)
+                if not queued.done() and self._take_search_slot(placement):
                     elsewhere = await self.acquire_now(placement)
-            if here.done() and isinstance(here.result(), Grant):
+            if queued.done() and isinstance(queued.result(), Grant):
                 if elsewhere is not None:
                     self.release(elsewhere)
-                return here.result()
-            return elsewhere or here.result()
+                return queued.result()
+            return elsewhere or queued.result()
         finally:
-            self._lookers.remove(placement)
-            if not here.done():
-                here.cancel()
+            self._searchers.remove(placement)
+            if not queued.done():
+                queued.cancel()
 
-    def _take_turn_to_look(self, placement: PlacementRequest) -> bool:
-        """Tell whether it is the turn of a waiting request to look for room elsewhere."""
+    def _take_search_slot(self, placement: PlacementRequest) -> bool:
+        """Tell whether this waiting request is the next to look for headroom elsewhere."""
         now = self._clock.now()
-        if self._lookers[0] is not placement or now < self._look_at:
+        if self._searchers[0] is not placement or now < self._next_search_at:
             return False
-        self._look_at = now + LOOK_AGAIN_S
-        self._lookers.rotate(-1)
+        self._next_search_at = now + SEARCH_INTERVAL_S
+        self._searchers.rotate(-1)
         return True
 
-    async def _ask(
+    async def _request(
         self, placement: PlacementRequest, replica: str, wait_s: float
     ) -> Grant | outcomes.Refusal:
-        """Ask the owner of one replica.
+        """Request a grant from the owner of one replica.
 
-        :param wait_s: seconds that the request may queue there; 0 asks for a grant at once.
+        :param wait_s: seconds that the request may wait in the queue there; 0 requests an
+            immediate grant.
         """
         owner = self._owners.owner(replica)
         if owner is None:
-            answer = await self._ask_here(placement, replica, wait_s)
+            answer = await self._request_locally(placement, replica, wait_s)
         else:
             message = grantresponses.grant_request(
                 placement.work,
                 replica,
                 placement.weight,
-                max(wait_s, AT_ONCE_S),
+                max(wait_s, IMMEDIATE_TIMEOUT_S),
                 placement.produced,
                 placement.avoid,
                 placement.due - self._clock.now(),
                 or_other=not placement.known_only,
                 at_once=wait_s <= 0.0,
             )
-            answer = await self._ask_there(placement, replica, owner.name, message)
+            answer = await self._request_remotely(placement, replica, owner.name, message)
         self._log(placement, replica, wait_s, answer)
         if isinstance(answer, Grant):
             if owner is not None:
@@ -370,7 +376,7 @@
             wait_s=round(wait_s, 3),
         )
 
-    async def _ask_here(
+    async def _request_locally(
         self, placement: PlacementRequest, replica: str, wait_s: float
     ) -> Grant | outcomes.Refusal:
         work = dataclasses.replace(
@@ -386,12 +392,12 @@
             if not self._schedulers.can_admit(replica):
                 return replicascheduler.owner_moved(replica)
             return grantresponses.no_headroom_now(replica)
-        settled: asyncio.Future[replicascheduler.QueueOutcome] = (
+        outcome: asyncio.Future[replicascheduler.QueueOutcome] = (
             asyncio.get_running_loop().create_future()
         )
         deadline = self._clock.now() + wait_s
         answer = self._schedulers.request_grant(
-            replica, work, placement.weight, deadline, settled.set_result, placement.due
+            replica, work, placement.weight, deadline, outcome.set_result, placement.due
         )
         if isinstance(answer, replicascheduler.Granted):
             return grant
@@ -399,7 +405,7 @@
             return answer
         try:
             async with asyncio.timeout(max(0.0, wait_s)):
-                later = (await settled).answer
+                later = (await outcome).answer
         except TimeoutError:
             later = grantresponses.queue_timeout(replica)
         except asyncio.CancelledError:
@@ -410,34 +416,35 @@
         self._schedulers.finish(replica, work.request_id)
         return later
 
-    async def _ask_there(
+    async def _request_remotely(
         self, placement: PlacementRequest, replica: str, owner: str, message: messages.GrantRequest
     ) -> Grant | outcomes.Refusal:
         peer = self._owners.owner(replica)
         if peer is None:
-            return await self._ask_here(placement, replica, message.deadline_ms / 1000)
-        answer = await self._client.request_grant(peer, message)
-        if isinstance(answer, messages.GrantResponse):
-            if answer.kind is messages.GrantKind.GRANTED:
-                return self._granted_there(placement, answer)
-            return grantresponses.owner_refusal(replica, answer)
-        if isinstance(answer, grantrequests.NoResponse):
+            return await self._request_locally(placement, replica, message.deadline_ms / 1000)
+        response = await self._client.request_grant(peer, message)
+        if isinstance(response, messages.GrantResponse):
+            if response.kind is messages.GrantKind.GRANTED:
+                return self._accept_remote_grant(placement, response)
+            return grantresponses.owner_refusal(replica, response)
+        if isinstance(response, grantrequests.NoResponse):
             self._owners.record_no_response(owner)
             return grantresponses.owner_silent(replica, owner)
         return grantresponses.queue_timeout(replica)
 
-    def _granted_there(
-        self, placement: PlacementRequest, answer: messages.GrantResponse
+    def _accept_remote_grant(
+        self, placement: PlacementRequest, response: messages.GrantResponse
     ) -> Grant | outcomes.Refusal:
-        replica = placement.chosen(answer.replica)
+        replica = placement.granted_replica(response.replica)
         if replica is not None:
-            return Grant(replica, f"{placement.admission_id}@{replica}", answer.grant_id)
-        # An engine that this node has not heard of yet, or that has refused the request.
-        self._client.close(answer.grant_id)
-        return grantresponses.unusable_replica(answer.replica)
+            return Grant(replica, f"{placement.admission_id}@{replica}", response.grant_id)
+        # The owner chose an engine that this node does not know yet, or that has already
+        # refused the request.
+        self._client.close(response.grant_id)
+        return grantresponses.unusable_replica(response.replica)
 
     def _without_grant(self, placement: PlacementRequest) -> Grant | None:
-        ordered = self._ordered(placement)
-        if not ordered:
+        replicas = self._ranked_replicas(placement)
+        if not replicas:
             return None
-        return Grant(ordered[0], f"{placement.admission_id}@{ordered[0]}", is_granted=False)
+        return Grant(replicas[0], f"{placement.admission_id}@{replicas[0]}", is_granted=False)
--- a/hornbeamglade/grants/migrationslots.py
+++ b/hornbeamglade/grants/migrationslots.py
@@ -1,54 +1,54 @@
-"""In which order runs leave a replica that is about to stop.
+"""The order in which runs are migrated away from a replica that is about to stop.
 
 Explanation
 ===========
 
-A run's memory is copied over the replica's one link, and its stream stands still while
-the last of it goes. Were all runs copied at once, each would wait behind the others with
-its stream stopped, and those copied last would not arrive at all. So the replica's owner
-gives one turn at a time, the run with the least memory first: that saves the most runs
-in the time that is left.
+A run's KV cache is copied over the replica's only network link, and its stream is paused while
+the last part is copied. If all runs were copied at once, each would compete with the others for
+the link while its stream is paused, and the last ones would not finish before the stop. So the
+replica's owner grants one migration slot at a time, to the run with the smallest KV cache first:
+this order saves the most runs in the time that remains.
 
-A turn lapses when its holder does not end it: the holder may have died, and the others
-must not wait for it until the replica is gone.
+A slot expires if its holder does not release it: the holder may have crashed, and the other runs
+must not wait for it until the replica has stopped.
 
 Examples
 ========
 
->>> turns = MigrationSlots()
->>> turns.request("engine-1", MigratingRun("a", "n1", 900), now=0.0)
+>>> slots = MigrationSlots()
+>>> slots.request("engine-1", MigratingRun("a", "n1", 900), now=0.0)
 True
->>> turns.request("engine-1", MigratingRun("b", "n2", 300), now=0.001)
+>>> slots.request("engine-1", MigratingRun("b", "n2", 300), now=0.001)
 False
->>> turns.due(now=0.002)
+>>> slots.due(now=0.002)
 ()
->>> turns.due(now=0.01)
+>>> slots.due(now=0.01)
 (Slot(replica='engine-1', run=MigratingRun(id='b', holder='n2', tokens=300)),)
->>> turns.release("engine-1", "b", now=0.3)
->>> [turn.run.id for turn in turns.due(now=0.3)]
+>>> slots.release("engine-1", "b", now=0.3)
+>>> [slot.run.id for slot in slots.due(now=0.3)]
 ['a']
 """
 
 import dataclasses
 
 COLLECT_S = 0.006
-"""The first turn waits for the asks of other nodes: they hear of the stop within a few
-milliseconds of one another."""
+"""The first slot is granted after this delay, to collect the requests of other nodes: they learn
+of the stop within a few milliseconds of one another."""
 
-LAPSE_S = 0.9
+SLOT_TIMEOUT_S = 0.9
 """Copying the largest run between failure domains takes about half a second."""
 
-FORGET_S = 1.0
-"""A run whose node no longer asks has ended, or has gone without its turn."""
+REQUEST_TIMEOUT_S = 1.0
+"""A run whose node no longer repeats its request has ended, or was migrated without a slot."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MigratingRun:
-    """A run that is to leave.
+    """A run that is to be migrated.
 
     :param id: the run.
     :param holder: the node that streams it.
-    :param tokens: memory that it holds.
+    :param tokens: size of its KV cache.
     """
 
     id: str
@@ -58,9 +58,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slot:
-    """A run's turn.
+    """A migration slot that is held by a run.
 
-    :param replica: what it leaves.
+    :param replica: the replica that the run leaves.
     :param run: the run.
     """
 
@@ -69,73 +69,73 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Waiting:
+class _Request:
     run: MigratingRun
-    heard_at: float
+    last_seen_at: float
 
 
 @dataclasses.dataclass(slots=True)
-class _Line:
-    began_at: float
-    waiting_by_run: dict[str, _Waiting] = dataclasses.field(default_factory=dict)
+class _Queue:
+    started_at: float
+    request_by_run: dict[str, _Request] = dataclasses.field(default_factory=dict)
     current: MigratingRun | None = None
-    lapses_at: float = 0.0
+    expires_at: float = 0.0
 
 
 class MigrationSlots:
-    """The lines of all replicas that this node owns and that are about to stop."""
+    """The slot queues of all replicas that this node owns and that are about to stop."""
 
     def __init__(self) -> None:
-        self._line_by_replica: dict[str, _Line] = {}
+        self._queue_by_replica: dict[str, _Queue] = {}
 
     def request(self, replica: str, run: MigratingRun, now: float) -> bool:
-        """Note that a run wants its turn; repeated while it waits.
+        """Queue a run for a slot; the request is repeated while the run waits.
 
-        :returns: whether it is the first one that asks there.
+        :returns: whether it is the first request for this replica.
         """
-        is_first = replica not in self._line_by_replica
-        line = self._line_by_replica.setdefault(replica, _Line(now))
-        line.waiting_by_run[run.id] = _Waiting(run, now)
+        is_first = replica not in self._queue_by_replica
+        queue = self._queue_by_replica.setdefault(replica, _Queue(now))
+        queue.request_by_run[run.id] = _Request(run, now)
         return is_first
 
     def release(self, replica: str, run_id: str, now: float) -> None:
-        """End a run's turn, or its wait for one; idempotent."""
-        line = self._line_by_replica.get(replica)
-        if line is None:
+        """Release a run's slot, or withdraw its request for one; idempotent."""
+        queue = self._queue_by_replica.get(replica)
+        if queue is None:
             return
-        line.waiting_by_run.pop(run_id, None)
-        if line.current is not None and line.current.id == run_id:
-            line.current = None
+        queue.request_by_run.pop(run_id, None)
+        if queue.current is not None and queue.current.id == run_id:
+            queue.current = None
 
     def due(self, now: float) -> tuple[Slot, ...]:
-        """Return the turns that hold now; those given before are repeated until done."""
-        given = []
-        for replica, line in list(self._line_by_replica.items()):
-            self._forget(line, now)
-            if line.current is None and now - line.began_at >= COLLECT_S:
-                self._give(line, now)
-            if line.current is not None:
-                given.append(Slot(replica, line.current))
-            elif not line.waiting_by_run:
-                del self._line_by_replica[replica]
-        return tuple(given)
+        """Return the slots that are held now; a slot is repeated until it is released."""
+        slots = []
+        for replica, queue in list(self._queue_by_replica.items()):
+            self._drop_expired(queue, now)
+            if queue.current is None and now - queue.started_at >= COLLECT_S:
+                self._grant_next(queue, now)
+            if queue.current is not None:
+                slots.append(Slot(replica, queue.current))
+            elif not queue.request_by_run:
+                del self._queue_by_replica[replica]
+        return tuple(slots)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nobody waits and nobody has a turn."""
-        return not self._line_by_replica
-
-    def _forget(self, line: _Line, now: float) -> None:
-        if line.current is not None and now >= line.lapses_at:
-            line.waiting_by_run.pop(line.current.id, None)
-            line.current = None
-        for run_id, waiting in list(line.waiting_by_run.items()):
-            if now - waiting.heard_at > FORGET_S:
-                del line.waiting_by_run[run_id]
-
-    def _give(self, line: _Line, now: float) -> None:
-        if not line.waiting_by_run:
+        """Whether no run waits for a slot or holds one."""
+        return not self._queue_by_replica
+
+    def _drop_expired(self, queue: _Queue, now: float) -> None:
+        if queue.current is not None and now >= queue.expires_at:
+            queue.request_by_run.pop(queue.current.id, None)
+            queue.current = None
+        for run_id, request in list(queue.request_by_run.items()):
+            if now - request.last_seen_at > REQUEST_TIMEOUT_S:
+                del queue.request_by_run[run_id]
+
+    def _grant_next(self, queue: _Queue, now: float) -> None:
+        if not queue.request_by_run:
             return
-        smallest = min(line.waiting_by_run.values(), key=lambda each: each.run.tokens)
-        line.current = smallest.run
-        line.lapses_at = now + LAPSE_S
+        smallest = min(queue.request_by_run.values(), key=lambda each: each.run.tokens)
+        queue.current = smallest.run
+        queue.expires_at = now + SLOT_TIMEOUT_S
--- a/hornbeamglade/grants/ownerbackoff.py
+++ b/hornbeamglade/grants/ownerbackoff.py
@@ -1,13 +1,14 @@
-"""Whom not to ask again just yet: owners that have refused to grant at once.
+"""Backoff from owners that have refused an immediate grant.
 
 Explanation
 ===========
 
-In a crowd every waiting request of every instance looks again and again for room that has
-become free. An owner answers each of these asks, and most answers are the same as the last
-one. After a refusal an instance asks that owner for no request of that size or larger for a
-pause, which doubles with each further refusal and ends with a grant. Nobody loses a place by
-it: whoever waits stands in one owner's queue all the while, and that queue is served first.
+Under overload, every waiting request of every instance repeatedly looks for headroom that has
+become free. An owner responds to each of these grant requests, mostly with the same response as
+before. After a refusal, an instance requests nothing of that size or larger from that owner for a
+pause, which doubles with each further refusal and ends with a grant. No request loses its
+position because of the pause: each one waits in some owner's queue meanwhile, and that queue is
+served first.
 """
 
 import dataclasses
@@ -15,9 +16,9 @@
 from hornbeamglade.core import clocks
 
 FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 0.8
-FORGOTTEN_S = 2.0
-"""A refusal this long ago says nothing of the crowd now."""
+MAX_PAUSE_S = 0.8
+REFUSAL_LIFE_S = 2.0
+"""A refusal older than this says nothing about the present load."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -28,7 +29,7 @@
 
 
 class OwnerBackoff:
-    """The owners that refused one instance's asks lately.
+    """The owners that have recently refused one instance's grant requests.
 
     :param clock: monotonic time.
 
@@ -50,25 +51,25 @@
         self._refusals_by_owner: dict[str, _Refusals] = {}
 
     def may_ask(self, owner: str, tokens: int) -> bool:
-        """Tell whether to ask an owner for a request of some size."""
-        known = self._refusals_by_owner.get(owner)
-        if known is None or tokens < known.tokens:
+        """Tell whether to request a grant of this size from an owner."""
+        refusals = self._refusals_by_owner.get(owner)
+        if refusals is None or tokens < refusals.tokens:
             return True
-        return self._clock.now() - known.refused_at >= known.pause_s
+        return self._clock.now() - refusals.refused_at >= refusals.pause_s
 
     def refused(self, owner: str, tokens: int) -> None:
-        """Note that an owner did not grant a request of some size."""
+        """Record that an owner refused a grant of this size."""
         now = self._clock.now()
-        known = self._refusals_by_owner.get(owner)
-        if known is None or now - known.refused_at > FORGOTTEN_S:
+        refusals = self._refusals_by_owner.get(owner)
+        if refusals is None or now - refusals.refused_at > REFUSAL_LIFE_S:
             self._refusals_by_owner[owner] = _Refusals(FIRST_PAUSE_S, now, tokens)
             return
-        # Asks that were under way together are one refusal.
-        if now - known.refused_at >= known.pause_s:
-            known.pause_s = min(LONGEST_PAUSE_S, 2 * known.pause_s)
-        known.refused_at = now
-        known.tokens = min(known.tokens, tokens)
+        # Refusals of requests that were in flight together count as one.
+        if now - refusals.refused_at >= refusals.pause_s:
+            refusals.pause_s = min(MAX_PAUSE_S, 2 * refusals.pause_s)
+        refusals.refused_at = now
+        refusals.tokens = min(refusals.tokens, tokens)
 
     def granted(self, owner: str) -> None:
-        """Note that an owner has room again."""
+        """Record that an owner has free capacity again."""
         self._refusals_by_owner.pop(owner, None)
--- a/hornbeamglade/grants/schedulerset.py
+++ b/hornbeamglade/grants/schedulerset.py
@@ -1,4 +1,4 @@
-"""All schedulers of one node, safe to use from any thread."""
+"""All schedulers of one node; thread-safe."""
 
 import collections.abc
 import dataclasses
@@ -14,23 +14,23 @@
 
 Notify = collections.abc.Callable[[replicascheduler.QueueOutcome], None]
 
-NOT_OWNER_RETRY_S = 0.5
+UNKNOWN_REPLICA_RETRY_S = 0.5
 PRESENT_MEMORY = "present_memory"
 LEAST_OUTSTANDING = "least_outstanding"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SchedulerState:
-    """What a scheduler tells of itself to routing, other nodes and operators.
+    """The state of a scheduler that is shown to routing, other nodes and operators.
 
     :param replica: the replica's name.
-    :param headroom_tokens: memory that may still be planned, in tokens.
-    :param running: grants held.
-    :param waiting: requests that wait.
-    :param waiting_ahead: those of them that a newcomer stands behind.
+    :param headroom_tokens: memory that may still be allocated, in tokens.
+    :param running: grants that are held.
+    :param waiting: requests that wait in the queue.
+    :param waiting_ahead: those of them that would start before a new request.
     :param expected_wait_s: seconds until a request behind all others starts.
-    :param leaving: whether the replica takes no new work.
-    :param is_unreachable: whether the replica cannot be reached just now.
+    :param leaving: whether the replica is leaving and takes no new work.
+    :param is_unreachable: whether the replica cannot be reached at the moment.
     """
 
     replica: str
@@ -45,11 +45,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SchedulerSpec:
-    """What a replica's scheduler is made from.
+    """The settings from which a replica's scheduler is created.
 
-    :param memory_tokens: the replica's memory, until a report tells it.
-    :param admission: horizons, bounds and margins.
-    :param queue: bounds of its queue.
+    :param memory_tokens: the replica's memory, until a load report contains it.
+    :param admission: horizons, limits and margins.
+    :param queue: limits of its queue.
     :param policy: the name of the admission policy, as in the configuration.
     """
 
@@ -64,7 +64,7 @@
         lengths: lengthmodel.LengthModel,
         gate: startgate.StartGate | None = None,
     ) -> replicascheduler.ReplicaScheduler:
-        """Make an empty scheduler."""
+        """Create an empty scheduler."""
         return replicascheduler.ReplicaScheduler(
             replica, self._policy(lengths), fairqueue.FairQueue(self.queue), gate
         )
@@ -84,12 +84,12 @@
     ===========
 
     One lock guards all schedulers: at 20 requests and 150 progress reports a second
-    the decisions take a few milliseconds of each second. Those who wait are told
-    through a callback, outside the lock.
+    the decisions take a few milliseconds of each second. Waiting requests are notified
+    through a callback that is called without the lock.
 
     :param clock: monotonic time.
-    :param lengths: what was learned of answer lengths; guarded by the same lock.
-    :param gate: may keep requests from a replica that has room.
+    :param lengths: the learned distribution of answer lengths; guarded by the same lock.
+    :param gate: may hold back requests from a replica that has headroom.
     """
 
     def __init__(
@@ -108,39 +108,39 @@
         self._notify_by_request: dict[str, Notify] = {}
 
     def configure(self, spec_by_replica: dict[str, SchedulerSpec]) -> None:
-        """Take the replicas of a revision; those that are gone refuse whoever waits.
+        """Apply the replicas of a configuration revision.
 
-        Schedulers are made when they are first asked for, since of many replicas a node
-        owns few.
+        The schedulers of removed replicas refuse all queued requests. Schedulers are created
+        on first use, as a node owns only a few of many replicas.
         """
         with self._lock:
             now = self._clock.now()
-            settled = []
+            decided = []
             for name, scheduler in tuple(self._scheduler_by_replica.items()):
                 spec = spec_by_replica.get(name)
                 if spec is None:
-                    settled += scheduler.drain()
+                    decided += scheduler.drain()
                     del self._scheduler_by_replica[name]
                 elif spec != self._spec_by_replica[name]:
                     successor = spec.make(name, self._lengths, self._gate)
                     successor.take_over(scheduler, now)
                     self._scheduler_by_replica[name] = successor
             self._spec_by_replica = dict(spec_by_replica)
-        self._tell(settled)
+        self._notify(decided)
 
     def set_owned(self, replicas: frozenset[str]) -> None:
-        """Take the replicas that this node owns now, and give up the others."""
+        """Set the replicas that this node owns, and relinquish all others."""
         with self._lock:
             for replica in replicas:
                 self._scheduler(replica)
-            lost = self._owned - replicas
+            relinquished = self._owned - replicas
             self._owned = replicas
             schedulers = (
                 self._scheduler_by_replica[name]
-                for name in lost & self._scheduler_by_replica.keys()
+                for name in relinquished & self._scheduler_by_replica.keys()
             )
-            settled = [each for scheduler in schedulers for each in scheduler.relinquish()]
-        self._tell(settled)
+            decided = [each for scheduler in schedulers for each in scheduler.relinquish()]
+        self._notify(decided)
 
     def request_grant(
         self,
@@ -151,11 +151,11 @@
         notify: Notify,
         due: float = math.inf,
     ) -> replicascheduler.Granted | replicascheduler.Queued | outcomes.Refusal:
-        """Ask for permission to start; ``notify`` hears the later answer, if any.
+        """Request permission to start; ``notify`` is called with the later answer, if any.
 
         :param replica: the replica's name.
-        :param work: what is known of the request.
-        :param weight: the team's share.
+        :param work: the known properties of the request.
+        :param weight: the team's weight.
         :param deadline: monotonic seconds of this node's clock.
         :param due: when it must start to be on time, in the same seconds.
         """
@@ -169,15 +169,15 @@
             answer = scheduler.request_grant(work, weight, now, deadline, due)
             if isinstance(answer, replicascheduler.Queued):
                 self._notify_by_request[work.request_id] = notify
-            settled = scheduler.process_queue(now)
-        self._tell(settled)
+            decided = scheduler.process_queue(now)
+        self._notify(decided)
         return answer
 
     def can_admit(self, replica: str) -> bool:
         """Tell whether this node may grant requests to a replica.
 
-        A node that owns the replica only in the asker's view reads no reports of it: the
-        request would wait there for nothing.
+        A node that owns the replica only in the view of the requesting node receives no load
+        reports of it, so the request would wait there in vain.
         """
         with self._lock:
             scheduler = self._scheduler(replica)
@@ -188,9 +188,9 @@
     def try_grant(
         self, replica: str, work: outcomes.Work, due: float = math.inf
     ) -> replicascheduler.Granted | None:
-        """Ask for permission to start now at a replica that this node owns.
+        """Request permission to start immediately at a replica that this node owns.
 
-        :param due: when it must start to be on time, monotonic seconds.
+        :param due: when it must start to be on time, in monotonic seconds.
         """
         with self._lock:
             scheduler = self._scheduler(replica) if replica in self._owned else None
@@ -199,7 +199,7 @@
     def admit_migration(
         self, replica: str, work: outcomes.Work, produced: int
     ) -> replicascheduler.Granted | outcomes.Refusal:
-        """Ask for a run that goes on from another replica; answered at once."""
+        """Request the admission of a run that is migrated from another replica."""
         with self._lock:
             scheduler = self._scheduler(replica)
             if scheduler is None:
@@ -207,20 +207,20 @@
             return scheduler.admit_migration(work, produced, self._clock.now())
 
     def recent_migrations(self, replica: str) -> int:
-        """Return how many runs a replica took in from others within a notice of a stop."""
+        """Return how many migrated runs a replica admitted within one notice period."""
         with self._lock:
             scheduler = self._scheduler_by_replica.get(replica)
             return 0 if scheduler is None else scheduler.recent_migrations(self._clock.now())
 
     def progress(self, replica: str, request_id: str, produced: int) -> None:
-        """Note how many tokens a running request has produced."""
+        """Record how many tokens a running request has produced."""
         with self._lock:
             scheduler = self._scheduler_by_replica.get(replica)
             if scheduler is not None:
                 scheduler.progress(request_id, produced, self._clock.now())
 
     def finish(self, replica: str, request_id: str) -> None:
-        """Take back a grant or a place in the queue, and serve whoever is next."""
+        """Release a grant or a queue position, and process the queue."""
         with self._lock:
             self._notify_by_request.pop(request_id, None)
             scheduler = self._scheduler_by_replica.get(replica)
@@ -228,14 +228,14 @@
                 return
             now = self._clock.now()
             scheduler.finish(request_id, now)
-            settled = scheduler.process_queue(now)
-        self._tell(settled)
+            decided = scheduler.process_queue(now)
+        self._notify(decided)
 
     def observe_length(self, service: str, team: str, tokens: int, *, censored: bool) -> None:
-        """Learn from an answer that has ended.
+        """Learn from the length of an answer that has ended.
 
         :param tokens: tokens produced.
-        :param censored: whether it would have been longer.
+        :param censored: whether the answer was cut off and would have been longer.
         """
         with self._lock:
             self._lengths.observe(service, team, tokens, censored)
@@ -246,52 +246,52 @@
         return bool(self._notify_by_request)
 
     def process_queues(self) -> None:
-        """Grant and refuse by the passage of time; called several times a second."""
+        """Grant and refuse queued requests as time passes; called several times a second."""
         with self._lock:
             now = self._clock.now()
-            settled = [
+            decided = [
                 each
                 for scheduler in self._scheduler_by_replica.values()
                 for each in scheduler.process_queue(now)
             ]
-        self._tell(settled)
+        self._notify(decided)
 
     def drain(self, replica: str) -> None:
-        """Give no more work to a replica that leaves."""
+        """Give no more work to a replica that is leaving."""
         with self._lock:
             scheduler = self._scheduler_by_replica.get(replica)
-            settled = scheduler.drain() if scheduler is not None else ()
-        self._tell(settled)
+            decided = scheduler.drain() if scheduler is not None else ()
+        self._notify(decided)
 
     def mark_unreachable(self, replica: str) -> bool:
-        """Give no more work to a replica that cannot be reached; return whether it is new."""
+        """Give no more work to an unreachable replica; return whether this is a change."""
         with self._lock:
             scheduler = self._scheduler_by_replica.get(replica)
-            is_new = scheduler is not None and not scheduler.is_unreachable
-            settled = scheduler.mark_unreachable(self._clock.now()) if is_new else ()
-        self._tell(settled)
-        return is_new
+            is_change = scheduler is not None and not scheduler.is_unreachable
+            decided = scheduler.mark_unreachable(self._clock.now()) if is_change else ()
+        self._notify(decided)
+        return is_change
 
     def apply(
         self,
         replica: str,
-        act: collections.abc.Callable[[replicascheduler.ReplicaScheduler, float], None],
+        function: collections.abc.Callable[[replicascheduler.ReplicaScheduler, float], None],
     ) -> None:
-        """Apply ``act`` to a scheduler under the lock; nothing when there is none.
+        """Call a function with a scheduler under the lock, if the replica is configured.
 
-        :param act: called with the scheduler and the clock's now.
+        :param function: called with the scheduler and the present time.
         """
         with self._lock:
             scheduler = self._scheduler(replica)
             if scheduler is not None:
-                act(scheduler, self._clock.now())
+                function(scheduler, self._clock.now())
 
     def states(self) -> dict[str, SchedulerState]:
         """Return the state of every scheduler by replica."""
         return self.states_of(self._scheduler_by_replica)
 
     def states_of(self, replicas: collections.abc.Iterable[str]) -> dict[str, SchedulerState]:
-        """Return the states of some replicas' schedulers, of those that there are."""
+        """Return the states of some replicas' schedulers, as far as these exist."""
         with self._lock:
             now = self._clock.now()
             schedulers = ((name, self._scheduler_by_replica.get(name)) for name in tuple(replicas))
@@ -309,8 +309,8 @@
             self._scheduler_by_replica[replica] = scheduler
         return scheduler
 
-    def _tell(self, settled: collections.abc.Iterable[replicascheduler.QueueOutcome]) -> None:
-        for each in settled:
+    def _notify(self, decided: collections.abc.Iterable[replicascheduler.QueueOutcome]) -> None:
+        for each in decided:
             with self._lock:
                 notify = self._notify_by_request.pop(each.request_id, None)
             if notify is not None:
@@ -320,7 +320,7 @@
 def _state(scheduler: replicascheduler.ReplicaScheduler, now: float) -> SchedulerState:
     return SchedulerState(
         replica=scheduler.replica,
-        headroom_tokens=_room(scheduler, now),
+        headroom_tokens=_headroom(scheduler, now),
         running=scheduler.running_count,
         waiting=scheduler.queued_count,
         waiting_ahead=scheduler.count_ahead(now),
@@ -330,10 +330,14 @@
     )
 
 
-def _room(scheduler: replicascheduler.ReplicaScheduler, now: float) -> float:
-    # A replica that its owner has not heard of yet looks empty, and so does one whose
-    # link has stalled: requests would be drawn to it and wait there while others have room.
-    if scheduler.admission.is_at_limit() or scheduler.is_quiet(now) or scheduler.is_unreachable:
+def _headroom(scheduler: replicascheduler.ReplicaScheduler, now: float) -> float:
+    # A replica that has not yet reported to its owner appears empty, and so does one whose
+    # connection has stalled. Requests would be sent to it and wait while others have headroom.
+    if (
+        scheduler.admission.is_at_limit()
+        or scheduler.is_report_overdue(now)
+        or scheduler.is_unreachable
+    ):
         return 0.0
     if scheduler.gate.refusal(scheduler.replica, now) is not None:
         return 0.0
@@ -341,5 +345,5 @@
 
 
 def _unknown_replica(replica: str) -> outcomes.Refusal:
-    detail = f"this node knows no replica {replica}"
-    return outcomes.Refusal("replica_unknown", 503, detail, retry_after_s=NOT_OWNER_RETRY_S)
+    detail = f"replica {replica} is not configured at this node"
+    return outcomes.Refusal("replica_unknown", 503, detail, retry_after_s=UNKNOWN_REPLICA_RETRY_S)
--- a/tests/grants/test_grantacquirer.py
+++ b/tests/grants/test_grantacquirer.py
@@ -219,6 +219,6 @@
     grant = site.find()
     assert (grant.replica, grant.grant_id) == ("e1", None)
     waited_s = site.asking.clock.now() - begun
-    assert grantacquirer.UNOWNED_S <= waited_s <= grantacquirer.UNOWNED_S + 0.2
+    assert grantacquirer.UNOWNED_TIMEOUT_S <= waited_s <= grantacquirer.UNOWNED_TIMEOUT_S + 0.2
     grant.release()
     assert (site.held(), site.client.calls) == (0, [])
--- a/tests/grants/test_migrationslots.py
+++ b/tests/grants/test_migrationslots.py
@@ -62,7 +62,7 @@
     turns.request("e", run("a", 1), 0.0)
     turns.request("e", run("b", 2), 0.0)
     assert turns.due(0.1)[0].run.id == "a"
-    now = 0.1 + migrationslots.LAPSE_S
+    now = 0.1 + migrationslots.SLOT_TIMEOUT_S
     turns.request("e", run("b", 2), now)
     assert turns.due(now)[0].run.id == "b"
 
--- a/tests/grants/test_schedulerset.py
+++ b/tests/grants/test_schedulerset.py
@@ -206,7 +206,7 @@
     """
     node = Asking()
     node.report("e1")
-    node.clock.advance(replicascheduler.QUIET_S + 0.1)
+    node.clock.advance(replicascheduler.REPORT_OVERDUE_S + 0.1)
     assert node.schedulers.states()["e1"].headroom_tokens == 0
     node.report("e1")
     assert node.schedulers.states()["e1"].headroom_tokens > 0
