--- a/hornbeamglade/membership/__init__.py
+++ b/hornbeamglade/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes there are, which replicas they own, and how one of them leaves."""
+"""Cluster membership, ownership of replicas, and the planned stop of a node."""
--- a/hornbeamglade/membership/addresses.py
+++ b/hornbeamglade/membership/addresses.py
@@ -1,25 +1,27 @@
-"""Which addresses a team's callers are told to use, and in which order.
+"""Selection and order of the node addresses that a team's callers use.
 
 Explanation
 ===========
 
-There is no balancer before the nodes, so this answer is the balancer. A team is
-sent to a *shuffle shard*, a few nodes chosen by rendezvous hashing of its name:
-the replicas of these nodes then hold its prompt prefixes, few nodes hold its limit,
-and a team that misbehaves crowds its own shard, which no other team shares in
-full. The shard grows with the team's share of the demand. It is spread over
-failure domains, so the loss of one leaves the answer usable until it is asked
-for anew. Each answer begins at another node of the shard, since callers use the
-first address and a large team would otherwise crowd one node.
-
-Weighed: *all nodes in random order* (even, but a team's prefixes and limits are
-then everywhere); *one node a team* (best for the prefixes, but a large team
-exceeds a node, and its loss stops the team until callers fall back); *by load
-reports* (callers keep an answer for long compared with a load's life, and all
-who ask at once get the same best node).
-
-Leaving nodes are left out. When no node is live, suspects are named, then
-leaving ones: an address that may work is better than an empty answer.
+No load balancer stands in front of the nodes, so the returned address list does
+the load balancing. A team is assigned a *shuffle shard*, a few nodes chosen by
+rendezvous hashing of its name. Its prompt prefixes are then cached at the replicas
+of these nodes only, its limit is split over few nodes, and a team that misbehaves
+overloads its own shard, which no other team shares completely. The shard grows with
+the team's share of the demand. It is spread over failure domains, so that the list
+remains usable after the loss of one until the caller fetches a new list. Each list
+starts at another node of the shard, since callers use the first address and a large
+team would otherwise overload one node.
+
+Alternatives considered: *all nodes in random order* (an even load, but the prefixes
+and limits of a team are then spread over all nodes); *one node per team* (best for
+prefix caching, but a large team exceeds the capacity of a node, and the loss of the
+node stops the team until its callers fall back); *selection by load reports* (callers
+keep a list for much longer than a load report stays valid, and all who ask at the
+same time get the same least loaded node).
+
+Leaving nodes are excluded. When no node is live, suspects are returned, or else
+leaving nodes: an address that may work is better than an empty list.
 """
 
 import dataclasses
@@ -41,10 +43,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AddressSelection:
-    """What a caller is told.
+    """The addresses returned to a caller.
 
-    :param addresses: ``ip:port`` each, best first; empty only if no node is known.
-    :param ttl_s: seconds that the caller may keep the answer.
+    :param addresses: ``ip:port`` each, most preferred first; empty only if no usable
+        node is known.
+    :param ttl_s: seconds for which the caller may cache the list.
     """
 
     addresses: tuple[str, ...]
@@ -55,9 +58,9 @@
     """Return how many nodes serve a team.
 
     :param nodes: the number of live nodes.
-    :param share: the team's share of all demand, 0 to 1. The shard is twice what
-        the share needs, as several teams fall on each node.
-    :param smallest: the least size, where there are as many nodes.
+    :param share: the team's share of the total demand, 0 to 1. The shard is twice as
+        large as the share requires, since each node serves several teams.
+    :param min_size: the minimum size, if there are that many nodes.
 
     Examples
     ========
@@ -80,12 +83,13 @@
     """Return the addresses for one caller of ``team``.
 
     :param team: the team's name.
-    :param members: all nodes as the answering node sees them.
-    :param share: the team's share of all demand, 0 to 1.
-    :param turn: grows with each answer, so that callers begin at different nodes.
-    :param ttl_s: seconds that the caller may keep the answer; a leaving node goes
-        on serving for at least this long.
-    :param smallest: the least number of addresses, where there are as many nodes.
+    :param members: all nodes in the membership view of the responding node.
+    :param share: the team's share of the total demand, 0 to 1.
+    :param rotation: incremented with each response, so that callers start at different
+        nodes.
+    :param ttl_s: seconds for which the caller may cache the list; a leaving node
+        continues to serve for at least this long.
+    :param min_size: the minimum number of addresses, if there are that many nodes.
     """
     shard = shard_members(team, members, share, min_size)
     if not shard:
@@ -101,7 +105,7 @@
     share: float,
     min_size: int = MIN_SHARD_SIZE,
 ) -> tuple[membership_view.Member, ...]:
-    """Return the nodes that serve a team, the most preferred first."""
+    """Return the nodes that serve a team, most preferred first."""
     usable = _usable(members)
     ranked = sorted(
         usable,
@@ -124,7 +128,8 @@
 def _spread_over_domains(
     ranked: list[membership_view.Member], size: int
 ) -> tuple[membership_view.Member, ...]:
-    # The n-th node of its domain competes in round n: one of each domain first.
+    # The n-th node of each domain is sorted into round n, so that the first nodes are
+    # all from different domains.
     seen_by_domain: dict[str, int] = {}
     rounds: list[tuple[int, int]] = []
     for rank, member in enumerate(ranked):
--- a/hornbeamglade/membership/discovery.py
+++ b/hornbeamglade/membership/discovery.py
@@ -1,11 +1,11 @@
-"""Finding the other nodes: by their own list in the store, or by asking one of them.
+"""Discovery of the other nodes, from their list in the store or from a seed node.
 
 Explanation
 ===========
 
-A node that starts while the store is away, or while the store turns it away, would know
-nobody. Its settings name a few addresses of nodes that may be up; each node answers
-there with those that it knows.
+A node that starts while the store is unavailable, or refuses its requests, would know no
+other node. Its settings therefore contain a few addresses of nodes that may be up, the
+seeds. Each node responds there with the nodes that it knows.
 """
 
 import collections.abc
@@ -36,9 +36,10 @@
 
 
 def members_page(members: collections.abc.Iterable[view.Member]) -> bytes:
-    """Return what a node answers to those that ask whom it knows.
+    """Return the response body with the nodes that a node knows.
 
-    :param members: all known nodes; those that leave or are gone are left out.
+    :param members: all known nodes; those not live, such as leaving or gone ones, are
+        left out.
     """
     identities = [each.identity for each in members if each.state is view.State.LIVE]
     nodes = tuple(
@@ -54,28 +55,28 @@
 
 
 class Discovery(contract.InstanceList):
-    """The list in the store, or while it is away that of a node that answers.
+    """The list in the store or, while the store is unavailable, the list of a seed node.
 
-    :param listed: the list in the store.
+    :param store_list: the list in the store.
     :param seeds: ``ip:port`` of nodes that may be up.
     """
 
-    def __init__(self, listed: contract.InstanceList, seeds: tuple[str, ...]) -> None:
-        self._listed = listed
+    def __init__(self, store_list: contract.InstanceList, seeds: tuple[str, ...]) -> None:
+        self._store_list = store_list
         self._seeds = Seeds(seeds)
 
     def list(self) -> tuple[contract.Instance, ...] | contract.Unavailable:
-        """Return the nodes that are listed, or those that a seed knows."""
-        listed = self._listed.list()
+        """Return the nodes listed in the store, or those that a seed knows."""
+        listed = self._store_list.list()
         if not isinstance(listed, contract.Unavailable):
             return listed
         return self._seeds.fetch() or listed
 
 
 class Seeds:
-    """Nodes that may be up, and know others while the store is away.
+    """Nodes that may be up and know other nodes while the store is unavailable.
 
-    :param addresses: ``ip:port`` of each.
+    :param addresses: ``ip:port`` of each seed.
     """
 
     def __init__(self, addresses: tuple[str, ...]) -> None:
@@ -83,7 +84,7 @@
         self._http = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
 
     def fetch(self) -> tuple[contract.Instance, ...]:
-        """Return the nodes that the first seed that answers knows; none when none does."""
+        """Return the nodes known to the first seed that responds; none if no seed responds."""
         for address in self._addresses:
             fetched = self._fetch_from(address)
             if fetched:
@@ -91,12 +92,13 @@
         return ()
 
     def _fetch_from(self, seed: str) -> tuple[contract.Instance, ...]:
-        """Return the nodes that a seed knows; none when it does not answer."""
+        """Return the nodes that a seed knows; none if it does not respond."""
         try:
-            answer = self._http.request("GET", f"http://{seed}{PATH}")
-            nodes = _Page.model_validate_json(answer.data).members
+            response = self._http.request("GET", f"http://{seed}{PATH}")
+            nodes = _Page.model_validate_json(response.data).members
         except (urllib3.exceptions.HTTPError, OSError, pydantic.ValidationError):
-            # A seed may be long gone, or its address belong to something else by now.
+            # The seed may have stopped long ago, and its address may be in use by another
+            # server.
             return ()
         return tuple(
             contract.Instance(each.name, each.failure_domain, each.address, each.exchange, False)
--- a/hornbeamglade/membership/dissemination.py
+++ b/hornbeamglade/membership/dissemination.py
@@ -1,24 +1,25 @@
-"""Who is sent a heartbeat when, and which rumours go with it, without I/O.
+"""Scheduling of heartbeats and gossip of membership updates, without I/O.
 
 Explanation
 ===========
 
-Up to :data:`FULL_MESH_MAX_NODES` nodes everyone sends to everyone each half second: every
-node then has every owner's load half a second old, for a few hundred bytes a
-second. Above, the same would grow with the square, so each node sends to
-:data:`FANOUT` sampled peers a second and asks them for a heartbeat in return [1]_. The
-traffic of a node then doesn't depend on the number of nodes; a change of state
-reaches all in a number of rounds that grows with its logarithm, as a rumour is
-passed on in ``UPDATE_ROUNDS_FACTOR * log2(nodes)`` rounds. A peer that owes an answer is
-asked again in each round, so it takes more than one lost datagram to suspect it.
-
-Weighed: *a shared table of heartbeats* in the platform's store (360 writes a second,
-most of what it can take, and membership would end with each of its outages);
-*full tables in every heartbeat* (360 entries of 12 bytes twice a second are 8 KB/s);
-*a ring of fixed observers* (nothing to sample, but two nodes with different views
-expect heartbeats that nobody sends). SWIM's indirect probes are left out: they
-tell a lossy link from a dead node, and here a wrong suspicion costs a second of
-moved ownership and is refuted by the next beat.
+Up to :data:`FULL_MESH_MAX_NODES` nodes, each node sends a heartbeat to every other node
+each half second: the load of every owner is then known everywhere and half a second
+old, at the cost of a few hundred bytes per second. With more nodes this traffic would
+grow with the square of their number, so each node sends to :data:`FANOUT` sampled peers
+per second and requests a heartbeat in return [1]_. The traffic of a node then does not
+depend on the number of nodes. A state change reaches all nodes in a number of rounds
+that grows with the logarithm of their number, since each membership update is sent in
+``UPDATE_ROUNDS_FACTOR * log2(nodes)`` rounds. A peer that has not replied is asked again
+in each round, so a single lost datagram does not make it suspect.
+
+Alternatives considered: *a shared table of heartbeats* in the platform's store (360
+writes per second, most of its capacity, and membership would fail with each outage of
+the store); *full tables in every heartbeat* (360 entries of 12 bytes twice a second are
+8 KB/s); *a ring of fixed observers* (no sampling, but two nodes with different views
+expect heartbeats that nobody sends). SWIM's indirect probes are omitted: they
+distinguish a lossy link from a dead node, and here a false suspicion only moves
+ownership for a second and is refuted by the next heartbeat.
 
 References
 ==========
@@ -39,8 +40,8 @@
 MESH_PERIOD_S = 0.5
 SAMPLED_PERIOD_S = 1.0
 UPDATE_PERIOD_S = 0.5
-"""While it knows of a change of state, a node sends twice as often: callers are told of a dead
-instance until the last of those they may ask has heard of its death."""
+"""A node that has membership updates to spread sends heartbeats twice as often: callers get the
+address of a dead instance until every instance that they may ask has learned of its failure."""
 
 FANOUT = 2
 RETRIES_PER_ROUND = 2
@@ -56,7 +57,7 @@
     """One heartbeat to send.
 
     :param member: the recipient.
-    :param wants_answer: ask for a heartbeat in return.
+    :param wants_answer: whether to request a heartbeat in return.
     """
 
     member: membership_view.Member
@@ -70,12 +71,12 @@
 
 
 class Dissemination:
-    """Plans the rounds of heartbeats of one node; not thread-safe."""
+    """Schedules the heartbeat rounds of one node; not thread-safe."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Begin with no rumours.
+        """Start without membership updates.
 
-        :param rng: samples the peers.
+        :param rng: source of randomness for sampling peers.
         """
         self._rng = rng
         self._pending_by_node: dict[int, _Pending] = {}
@@ -85,10 +86,10 @@
         self._is_sampled = False
 
     def add_change(self, change: membership_view.StateChange, nodes: int) -> None:
-        """Spread a change of state; a newer one about the same node replaces it."""
+        """Spread a state change; a newer one of the same node replaces it."""
         member = change.member
         if member.incarnation == 0:
-            # Known from the platform's list only, as it is to everyone else.
+            # The node is known from the platform's list only, which all nodes read.
             return
         update = messages.MembershipUpdate(
             messages.key_hash(member.identity.name),
@@ -100,7 +101,7 @@
         self._pending_by_node[update.node] = _Pending(update, rounds)
 
     def is_due(self, now: float) -> bool:
-        """Return whether the next round should begin."""
+        """Return whether the next round should start."""
         has_updates = self._is_sampled and bool(self._pending_by_node)
         early_s = SAMPLED_PERIOD_S - UPDATE_PERIOD_S if has_updates else 0.0
         return now >= self._next_round_at - early_s
@@ -108,9 +109,9 @@
     def plan(
         self, others: collections.abc.Sequence[membership_view.Member], now: float
     ) -> tuple[Target, ...]:
-        """Begin a round: choose its recipients and count down the rumours.
+        """Start a round: choose its recipients and count down the updates.
 
-        :param others: all known nodes but this one.
+        :param others: all known nodes except this one.
         :param now: monotonic seconds.
         """
         self._round += 1
@@ -123,19 +124,20 @@
         else:
             self._next_round_at = now + SAMPLED_PERIOD_S
             chosen = {member.identity.name: member for member in self._sample(present)}
-            # Guards against one lost datagram that makes a node suspect: at this size
-            # it may be minutes before the next sample meets it again.
+            # A peer that has not replied is asked again: otherwise a single lost datagram
+            # makes a node suspect, and at this cluster size it may take minutes until the
+            # node is sampled again.
             unanswered = [member for member in present if member.owes_reply]
             chosen |= {member.identity.name: member for member in unanswered[:RETRIES_PER_ROUND]}
             targets = [Target(member, True) for member in chosen.values()]
         return (*targets, *self._probe_gone(others))
 
     def updates(self) -> tuple[messages.MembershipUpdate, ...]:
-        """Return the rumours for this round's heartbeats, least spread first."""
+        """Return the updates for this round's heartbeats, those sent least often first."""
         pending = sorted(
-            self._pending_by_node.values(), key=lambda one: one.rounds_left, reverse=True
+            self._pending_by_node.values(), key=lambda entry: entry.rounds_left, reverse=True
         )
-        return tuple(one.update for one in pending[: messages.MAX_MEMBERSHIP_UPDATES])
+        return tuple(entry.update for entry in pending[: messages.MAX_MEMBERSHIP_UPDATES])
 
     def _count_down_updates(self) -> None:
         for update in self.updates():
@@ -145,8 +147,8 @@
                 del self._pending_by_node[update.node]
 
     def _sample(self, present: list[membership_view.Member]) -> list[membership_view.Member]:
-        # Peers are taken from a shuffled list that is used up before it is made
-        # anew, so every dead node is asked within a bounded time.
+        # Peers are taken from a shuffled list that is exhausted before it is shuffled
+        # again, so every dead node is probed within a bounded time.
         member_by_name = {member.identity.name: member for member in present}
         chosen: dict[str, membership_view.Member] = {}
         while len(chosen) < FANOUT:
@@ -161,8 +163,8 @@
     def _probe_gone(
         self, others: collections.abc.Sequence[membership_view.Member]
     ) -> tuple[Target, ...]:
-        # Guards against a healed partition that nobody notices: both halves hold
-        # each other for gone, and neither would ever speak first.
+        # Detects that a network partition has healed: each side considers the nodes of
+        # the other side gone, and without these probes neither would contact the other.
         gone = [member for member in others if member.state is _State.GONE]
         if not gone or self._round % GONE_PROBE_ROUNDS:
             return ()
@@ -170,7 +172,7 @@
 
 
 def heartbeats_per_second(nodes: int) -> float:
-    """Return the heartbeats that one node sends a second, answers included.
+    """Return the heartbeats that one node sends per second, replies included.
 
     Examples
     ========
--- a/hornbeamglade/membership/draining.py
+++ b/hornbeamglade/membership/draining.py
@@ -1,17 +1,17 @@
-"""A node's own planned stop, which cuts off no request.
+"""Planned stop of a node without aborting any request.
 
 Explanation
 ===========
 
-The order is: announce (heartbeats, the answer to callers), go on serving those who
-hold an old answer until its time to live is over and all streams have ended,
-close the listener, finish what slipped in before it closed, end. Draining takes
-as long as the longest stream does, a quarter of an hour or more; weighed against
-a bound on it, which would cut off a request at every planned stop that meets a
-long answer. An operator who must have a bound sets ``hard_limit_s``.
+The steps are: announce the stop (in heartbeats and by leaving the node out of address
+lists); continue to serve callers with a cached address list until its time to live has
+passed and all streams have ended; close the listener; finish the requests that were
+accepted before it closed; exit. Draining takes as long as the longest stream, a quarter
+of an hour or more. The alternative, a time limit, would abort a request at each planned
+stop during a long generation. An operator who requires a limit sets ``hard_limit_s``.
 
-A second signal to stop changes nothing: supervisors send them in haste, and the
-first one is being obeyed.
+A second stop signal has no effect: supervisors may send several, and the node is
+already draining after the first one.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
 
 
 class Phase(enum.Enum):
-    """Where a node is in its life."""
+    """The lifecycle phase of a node."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -31,10 +31,10 @@
 class Status:
     """What the daemon must do now.
 
-    :param phase: in ``SERVING`` and ``LEAVING`` requests are taken; in ``CLOSING`` the
-        listener is closed, and :meth:`Draining.listener_closed` called; at ``DONE`` the
-        process ends.
-    :param cut: requests cut off by the operator's hard limit; else 0.
+    :param phase: in ``SERVING`` and ``LEAVING``, requests are accepted; in ``CLOSING``,
+        the daemon closes the listener and calls :meth:`Draining.listener_closed`; in
+        ``DONE``, the process exits.
+    :param aborted_requests: requests aborted by the operator's hard limit; otherwise 0.
     """
 
     phase: Phase
@@ -42,12 +42,12 @@
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether new requests are served or passed on."""
+        """Whether new requests are served or forwarded."""
         return self.phase in (Phase.SERVING, Phase.LEAVING)
 
     @property
     def closes_connections(self) -> bool:
-        """Whether answers tell callers not to reuse their connection."""
+        """Whether responses ask callers not to reuse their connection."""
         return self.phase is not Phase.SERVING
 
 
@@ -74,12 +74,12 @@
     def __init__(
         self, address_ttl_s: float, propagation_s: float = 5.0, hard_limit_s: float | None = None
     ) -> None:
-        """Begin as serving.
+        """Start in the serving phase.
 
-        :param address_ttl_s: seconds that callers keep an answer.
-        :param spread_s: seconds until the last peer has heard that this node
-            leaves, and so stops naming it in its answers.
-        :param hard_limit_s: the operator's bound on the whole stop, or None.
+        :param address_ttl_s: seconds for which callers cache an address list.
+        :param propagation_s: seconds until every peer has learned that this node is
+            leaving and omits it from its address lists.
+        :param hard_limit_s: the operator's limit on the duration of the stop, or None.
         """
         self._announcement_s = address_ttl_s + propagation_s
         self._hard_limit_s = hard_limit_s
@@ -88,9 +88,9 @@
         self._status = Status(Phase.SERVING)
 
     def begin(self, now: float) -> bool:
-        """Begin to leave; idempotent.
+        """Start to leave; idempotent.
 
-        :returns: True the first time, when the stop must be announced.
+        :returns: True for the first call, after which the stop must be announced.
         """
         if self._began_at is not None:
             return False
@@ -99,12 +99,12 @@
         return True
 
     def listener_closed(self) -> None:
-        """Note that no further connection can arrive.
+        """Record that no further connection can arrive.
 
         Explanation
         ===========
 
-        Call it only after the last connection taken is counted in ``in_flight``.
+        Call this only after the last accepted connection is counted in ``in_flight``.
         """
         self._listener_is_closed = True
 
@@ -112,7 +112,7 @@
         """Return what to do now.
 
         :param now: monotonic seconds.
-        :param in_flight: requests taken and not finished, queued ones included.
+        :param in_flight: requests accepted and not finished, including queued ones.
         """
         if self._began_at is None or self._status.phase is Phase.DONE:
             return self._status
@@ -122,8 +122,8 @@
         elif self._status.phase is Phase.LEAVING:
             self._leave(elapsed_s, in_flight)
         elif self._listener_is_closed and in_flight == 0:
-            # Guards against a request that came between the last count and the
-            # closing of the listener: it shows as a connection cut unanswered.
+            # Done only once the listener is closed: a request that arrives between the last
+            # count and the closing of the listener would be aborted without a response.
             self._status = Status(Phase.DONE)
         return self._status
 
--- a/hornbeamglade/membership/followers.py
+++ b/hornbeamglade/membership/followers.py
@@ -1,17 +1,17 @@
-"""Which nodes follow the platform's store on behalf of the others.
+"""Selection of the nodes that watch the platform's store on behalf of the others.
 
 Explanation
 ===========
 
 Up to :data:`hornbeamglade.membership.dissemination.FULL_MESH_MAX_NODES` nodes, each
-follows the store itself. Above, one in :data:`NODES_PER_FOLLOWER` does, and tells
-the others what is new: the store is paid by the call, and a call of each node for each
-change is most of what a large site would spend there. Every node comes to the same choice
-from the nodes that it believes live; where beliefs differ, a node is told by one follower
-less, or follows for nobody.
-
-Weighed against *one follower*: its loss would leave all others behind for as long as it
-takes to notice. Each node is told by two.
+node follows the store itself. With more nodes, one in :data:`NODES_PER_FOLLOWER` is a
+follower and notifies the others of changes: the store is billed per call, and one call
+per node and change would be most of the store's cost at a large site. Every node makes the
+same selection from the nodes in its view that are live. Where views differ, a node is
+notified by one follower less, or a follower notifies nobody.
+
+The alternative, *one follower*, would leave all other nodes with stale data until its
+loss is detected. Each node is therefore notified by two.
 """
 
 import collections.abc
@@ -20,14 +20,16 @@
 from hornbeamglade.membership import dissemination, rendezvous
 
 NODES_PER_FOLLOWER = 24
-"""A follower makes a call for each change and every two seconds, whatever the number of those
-that it tells, and a call of the store costs more than a lookup brings. Each node is told by
-two, so a follower tells 48: hints of 4.8 KB/s, and a change within some milliseconds."""
+"""A follower calls the store for each change and every two seconds, however many nodes it
+notifies, and the price of a store call exceeds what a lookup brings. Each node is notified by two
+followers, so a follower notifies 48 nodes: announcements of 4.8 KB/s, and a change within some
+milliseconds."""
 
-NOTIFIERS_PER_NODE = 2
+NOTIFIERS = 2
 MIN_FOLLOWERS = 5
-"""The store may turn away a third of the nodes at once: that it turns away all followers must
-be rare, as those whom they tell then learn of changes by chance until they follow themselves."""
+"""The store may refuse a third of the nodes at once. It must be unlikely that it refuses all
+followers, since the nodes that they notify then learn of changes only by chance until they
+follow the store themselves."""
 
 _KEY = "followers of the store"
 
@@ -35,7 +37,7 @@
 def select(nodes: collections.abc.Sequence[str]) -> frozenset[str]:
     """Return the nodes that follow the store.
 
-    :param nodes: names of the nodes that live.
+    :param nodes: names of the live nodes.
 
     Examples
     ========
@@ -52,7 +54,7 @@
 
 
 def notifiers(node: str, followers: collections.abc.Iterable[str]) -> tuple[str, ...]:
-    """Return the followers that tell a node what is new; none if it is one itself.
+    """Return the followers that notify a node of changes; none if it is a follower itself.
 
     Examples
     ========
@@ -62,5 +64,5 @@
     >>> len(notifiers("z", ["a", "b", "c"]))
     2
     """
-    among = tuple(followers)
-    return () if node in among else tuple(rendezvous.best(node, among, NOTIFIERS_PER_NODE))
+    candidates = tuple(followers)
+    return () if node in candidates else tuple(rendezvous.best(node, candidates, NOTIFIERS))
--- a/hornbeamglade/membership/heartbeatcosts.py
+++ b/hornbeamglade/membership/heartbeatcosts.py
@@ -1,4 +1,4 @@
-"""What heartbeats cost on the wire, for the page on capacity."""
+"""Network traffic of heartbeats, for the capacity page of the documentation."""
 
 from hornbeamglade.exchange import framesizes, messages
 from hornbeamglade.membership import dissemination
@@ -12,12 +12,12 @@
 
 
 def heartbeat_bytes(nodes: int, replicas_per_node: int, teams: int = 0, updates: int = 0) -> float:
-    """Return the bytes of heartbeats that one node sends a second; it receives as many.
+    """Return the bytes of heartbeats that one node sends per second; it receives as many.
 
     :param nodes: the number of nodes.
-    :param replicas_per_node: replicas that each owns.
-    :param teams: teams whose demands are told.
-    :param updates: changes of state that are being spread, in every heartbeat.
+    :param replicas_per_node: replicas that each node owns.
+    :param teams: teams whose demands are announced.
+    :param updates: membership updates in every heartbeat.
 
     Examples
     ========
@@ -25,12 +25,12 @@
     >>> heartbeat_bytes(6, 0) < heartbeat_bytes(6, 2) < heartbeat_bytes(6, 2, teams=10)
     True
     """
-    whole = _packet_bytes(replicas_per_node, 0, updates, _IDENTITY)
-    plain = whole
+    full = _packet_bytes(replicas_per_node, 0, updates, _IDENTITY)
+    compact = full
     if nodes <= dissemination.FULL_MESH_MAX_NODES:
-        plain = _packet_bytes(replicas_per_node, 0, updates, _NO_IDENTITY)
-    demands = _packet_bytes(replicas_per_node, teams, updates, _IDENTITY) - whole
-    mean = plain + (whole - plain) / messages.IDENTITY_EVERY + demands / messages.DEMANDS_EVERY
+        compact = _packet_bytes(replicas_per_node, 0, updates, _NO_IDENTITY)
+    demands = _packet_bytes(replicas_per_node, teams, updates, _IDENTITY) - full
+    mean = compact + (full - compact) / messages.IDENTITY_EVERY + demands / messages.DEMANDS_EVERY
     return dissemination.heartbeats_per_second(nodes) * mean
 
 
--- a/hornbeamglade/membership/heartbeats.py
+++ b/hornbeamglade/membership/heartbeats.py
@@ -1,4 +1,4 @@
-"""The service that keeps a node's view up to date over a transport."""
+"""Service that keeps a node's membership view up to date by exchanging heartbeats."""
 
 import collections.abc
 import dataclasses
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Digest:
-    """What a node tells of itself in each heartbeat.
+    """The state of a node that each of its heartbeats contains.
 
     :param config_revision: the configuration revision in force.
-    :param replicas: the replicas it owns; the first :data:`messages.MAX_REPLICAS
+    :param replicas: the replicas that it owns; the first :data:`messages.MAX_REPLICAS
         <hornbeamglade.exchange.messages.MAX_REPLICAS>` are sent.
     :param list_version: the version of the platform's list of replicas, or 0.
     :param evacuations: the evacuated failure domains.
-    :param quarantine: digest of the requests that it refuses since they crash replicas.
+    :param quarantine: digest of the requests that it refuses because they crash replicas.
     """
 
     config_revision: int = 0
@@ -33,15 +33,15 @@
 
 
 class Heartbeats:
-    """Sends and takes heartbeats; safe to use from several threads.
+    """Sends and receives heartbeats; thread-safe.
 
     Explanation
     ===========
 
     Call :meth:`tick` several times a second and :meth:`receive` for each heartbeat from the
-    transport. The lock is not held while the transport or ``digest`` is called.
-    Reading is cheap, for the path of every request: it returns what the last tick,
-    list or :meth:`leave` saw.
+    transport. The lock is not held while the transport or ``digest`` is called. Reading is
+    cheap, since it is done for every request: it returns the members as of the last tick,
+    list or :meth:`leave`.
     """
 
     def __init__(
@@ -54,18 +54,18 @@
         digest: collections.abc.Callable[[], Digest],
         demands: collections.abc.Callable[[], tuple[messages.TeamDemand, ...]] = tuple,
     ) -> None:
-        """Begin with this node alone in its view.
+        """Start with this node as the only member of its view.
 
         :param own: this node.
         :param incarnation: this node's incarnation, as in its codec.
-        :param sender: carries the heartbeats.
-        :param clock: for periods and silences.
-        :param rng: samples peers.
-        :param digest: called for what each round's heartbeats tell.
-        :param demands: called once in each beat that tells demands, as shares of a
-            limit may move once for each time they are told; the first
+        :param sender: the transport that sends the heartbeats.
+        :param clock: the source of monotonic time.
+        :param rng: source of randomness for sampling peers.
+        :param digest: returns the state that the heartbeats of a round contain.
+        :param demands: called once in each beat that announces demands, since the shares of
+            a limit may be adjusted once for each announcement; the first
             :data:`messages.MAX_DEMANDS <hornbeamglade.exchange.messages.MAX_DEMANDS>`
-            are sent, so no share of another team may move.
+            are sent, so the share of any other team must not be adjusted.
         """
         self._own = own
         self._view = membership_view.MembershipView(own, incarnation)
@@ -77,11 +77,12 @@
         self._announced_demands: tuple[messages.TeamDemand, ...] = ()
         self._lock = threading.Lock()
         self._members = self._view.members(clock.now())
-        # Members and the live ones among them, in one place: threads may replace both.
+        # The members and the live ones among them are kept in one tuple, since several threads
+        # may replace both.
         self._live = (self._members, membership_view.live(self._members))
 
     def apply_list(self, instances: tuple[contract.Instance, ...]) -> None:
-        """Take the platform's list."""
+        """Apply the platform's list."""
         with self._lock:
             self._view.apply_list(instances)
             self._members = self._view.members(self._clock.now())
@@ -92,11 +93,11 @@
         origin: codec.Sender,
         source: transport.Endpoint,
     ) -> bool:
-        """Take a heartbeat from the transport, and answer it if it asks for that.
+        """Process a heartbeat from the transport, and reply if it asks for a heartbeat.
 
-        :returns: whether it is newer, by (incarnation, beat), than all heard of its
-            sender before. Only then may what it tells be taken over: a heartbeat that
-            was overtaken would put older load figures and shares back.
+        :returns: whether it is newer, by (incarnation, beat), than all received from its
+            sender before. Only then may its content be used: a heartbeat that arrives after
+            a newer one would restore older load figures and shares.
         """
         with self._lock:
             is_new = self._view.record_heartbeat(origin, heartbeat, self._clock.now())
@@ -105,30 +106,30 @@
         return is_new
 
     def record_no_reply(self, name: str) -> None:
-        """Note that a node left an ask for a grant unanswered."""
+        """Record that a node did not respond to a grant request."""
         with self._lock:
             self._view.expect_reply(name, self._clock.now())
 
     def raise_incarnation(self, incarnation: int) -> None:
-        """Go on under another incarnation, and tell everyone."""
+        """Continue with another incarnation, and announce it to all nodes."""
         with self._lock:
             self._view.raise_incarnation(incarnation)
             self._members = self._view.members(self._clock.now())
         self.announce()
 
     def leave(self) -> None:
-        """Announce that this node leaves, now and in all later heartbeats."""
+        """Announce that this node is leaving, now and in all later heartbeats."""
         with self._lock:
             self._view.leave()
             self._members = self._view.members(self._clock.now())
-        # Everyone is told at once, also at large sizes: a planned stop is rare, and
-        # each node that does not know of it sends one more caller or ask here.
+        # All nodes are informed at once, also in large clusters: planned stops are rare, and a
+        # node that does not know of this one sends further callers or grant requests here.
         self.announce()
 
     def announce(self) -> None:
-        """Send a heartbeat to all now, since what it tells cannot wait for its turn."""
+        """Send a heartbeat to all nodes now, without waiting for the next round."""
         with self._lock:
-            # What a second heartbeat of one beat tells is not taken.
+            # Recipients ignore the content of a second heartbeat with the same beat.
             self._view.begin_round()
         self._announced_demands = ()
         heartbeat = self._heartbeat(False)
@@ -136,9 +137,9 @@
             self._send_to(member, heartbeat)
 
     def tick(self) -> tuple[membership_view.StateChange, ...]:
-        """Send a round of heartbeats when one is due.
+        """Send a round of heartbeats if one is due.
 
-        :returns: the changes of state since the last call, for logs and ownership.
+        :returns: the state changes since the last call, for logging and ownership.
         """
         now = self._clock.now()
         with self._lock:
@@ -146,29 +147,27 @@
             self._members = self._view.members(now)
             for change in changes:
                 self._dissemination.add_change(change, len(self._members))
-            begins = self._dissemination.is_due(now)
+            is_round_due = self._dissemination.is_due(now)
             targets = self._begin_round(now)
-            tells = begins and self._view.own_beat % messages.DEMANDS_EVERY == 0
-        if tells:
+            announces_demands = is_round_due and self._view.own_beat % messages.DEMANDS_EVERY == 0
+        if announces_demands:
             self._announced_demands = self._demands()[: messages.MAX_DEMANDS]
         if targets:
-            whole = self._heartbeat(False)
-            asking = dataclasses.replace(whole, wants_answer=True)
-            plain = (
-                _without_identity(whole) if whole.beat % messages.IDENTITY_EVERY != 1 else whole
-            )
+            full = self._heartbeat(False)
+            requesting = dataclasses.replace(full, wants_answer=True)
+            compact = _without_identity(full) if full.beat % messages.IDENTITY_EVERY != 1 else full
             for target in targets:
-                self._send_to(target.member, asking if target.wants_answer else plain)
+                self._send_to(target.member, requesting if target.wants_answer else compact)
         return changes
 
     def members(self) -> tuple[membership_view.Member, ...]:
-        """Return all known nodes, in order of name."""
+        """Return all known nodes, sorted by name."""
         return self._members
 
     def live(self) -> tuple[membership_view.Member, ...]:
-        """Return the live nodes, this one included unless it leaves.
+        """Return the live nodes, including this one unless it is leaving.
 
-        The same tuple as before while nothing came in.
+        The same tuple is returned again if there is no new information.
         """
         members = self._members
         known, live = self._live
@@ -182,7 +181,7 @@
         return membership_view.owner_candidates(self._members)
 
     def peer(self, name: str) -> transport.Peer | None:
-        """Return where a node receives messages, or None when that is unknown."""
+        """Return the peer with the address for messages to a node, or None if unknown."""
         with self._lock:
             member = self._view.member(name, self._clock.now())
         return None if member is None else _peer(member)
@@ -191,11 +190,11 @@
         if not self._dissemination.is_due(now):
             return ()
         self._view.begin_round()
-        # Guards against an answer on another thread that tells the demands of a former
-        # beat under this one's number: peers would count one telling of a share as two,
-        # and raise theirs on a view that is too old.
+        # Otherwise a reply from another thread could announce the demands of an earlier beat
+        # with the number of this one: peers would count one announcement of a share twice, and
+        # raise their own shares based on a view that is too old.
         self._announced_demands = ()
-        others = [one for one in self._members if one.identity.name != self._own.name]
+        others = [each for each in self._members if each.identity.name != self._own.name]
         targets = self._dissemination.plan(others, now)
         for target in targets:
             if target.wants_answer:
@@ -234,16 +233,16 @@
 
 
 def _without_identity(heartbeat: messages.Heartbeat) -> messages.Heartbeat:
-    # Only those who hear each beat, and have been heard themselves, are sent this: a
-    # node that was not heard lately is asked for an answer, and told all.
+    # This is sent only to nodes that receive every beat and from which heartbeats have been
+    # received; a node not seen lately is sent a request for a reply, with the identity.
     return dataclasses.replace(heartbeat, failure_domain="", address="", exchange="")
 
 
 def _peer(member: membership_view.Member) -> transport.Peer | None:
     try:
         endpoint = transport.Endpoint.parse(member.identity.exchange)
-    # The platform's list may hold an address that is none; that node is not
-    # reached, and the others must be.
+    # The platform's list may contain an invalid address. That node cannot be reached, but
+    # heartbeats to the others must still be sent.
     except codederrors.CodedError:
         return None
     return transport.Peer(member.identity.name, endpoint)
--- a/hornbeamglade/membership/incarnations.py
+++ b/hornbeamglade/membership/incarnations.py
@@ -1,4 +1,4 @@
-"""What a node does that was told that others know it under a higher incarnation."""
+"""Recovery of a node whose peers know a higher incarnation of it."""
 
 from hornbeamglade.exchange import codec, grantrequests
 from hornbeamglade.membership import heartbeats
@@ -7,17 +7,18 @@
 
 def raise_above(
     incarnation: int,
-    frames: codec.Codec,
-    asker: grantrequests.GrantRequester,
-    beats: heartbeats.Heartbeats,
+    frame_codec: codec.Codec,
+    requester: grantrequests.GrantRequester,
+    own_heartbeats: heartbeats.Heartbeats,
 ) -> None:
-    """Go on above an incarnation that others know, with all that names the own one.
+    """Raise this node's incarnation above one that a peer knows, in every part that uses it.
 
-    :param incarnation: what a peer told; nothing changes when this node is above it.
+    :param incarnation: the incarnation reported by a peer; nothing changes if this node's
+        incarnation is already higher.
     """
-    risen = frames.rise_above(incarnation)
-    if risen <= incarnation:
+    raised = frame_codec.rise_above(incarnation)
+    if raised <= incarnation:
         return
-    asker.rise_to(risen)
-    beats.raise_incarnation(risen)
-    logs.state_changed("incarnation", "outrun", "raised", incarnation=risen)
+    requester.rise_to(raised)
+    own_heartbeats.raise_incarnation(raised)
+    logs.state_changed("incarnation", "outrun", "raised", incarnation=raised)
--- a/hornbeamglade/membership/liveness.py
+++ b/hornbeamglade/membership/liveness.py
@@ -1,12 +1,12 @@
-"""What is known of one node's life, and the rules by which it changes.
+"""Failure detection state of a single node, and the rules by which it changes.
 
 Explanation
 ===========
 
 The rules are those of :mod:`hornbeamglade.membership.view`, for a single node: a
-heartbeat is its own word, silence counts from an unanswered question, a rumour
-counts unless something newer is known here, and a mark of leaving lasts for the
-incarnation.
+heartbeat is authoritative, silence is measured from the first unanswered request, a
+membership update is applied unless something newer is known here, and a node marked
+as leaving remains so until its incarnation ends.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 from hornbeamglade.exchange import messages
 
 SUSPECT_AFTER_S = 2.0
-# Longer than a suspicion and its refutation take to reach hundreds of nodes.
+# Longer than a suspicion and its refutation take to spread to hundreds of nodes.
 GONE_AFTER_S = 20.0
 RECENT_HEARTBEAT_S = 1.0
 
@@ -24,15 +24,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Liveness:
-    """One node's life as one other node knows it; an entity of the view.
+    """The state of one node as another node sees it; an entity of the view.
 
-    :param incarnation: the newest known, 0 when it was never heard of.
-    :param beat: the newest beat heard of that incarnation.
-    :param refutation: the newest refutation known of that incarnation.
-    :param left_incarnation: the incarnation that is known to leave, or None.
-    :param heard_at: monotonic seconds of the last heartbeat, or None.
-    :param unanswered_since: since when it is held for silent, or None.
-    :param is_asked: whether a question of this node is unanswered.
+    :param incarnation: the highest known incarnation, 0 if none is known.
+    :param beat: the highest beat received from that incarnation.
+    :param refutation: the highest known refutation number of that incarnation.
+    :param leaving_incarnation: the incarnation that is known to be leaving, or None.
+    :param last_seen_at: monotonic seconds of the last heartbeat received, or None.
+    :param unanswered_since: monotonic seconds since which it counts as silent, or None.
+    :param owes_reply: whether a request of this node is unanswered.
 
     Examples
     ========
@@ -56,7 +56,7 @@
     owes_reply: bool = False
 
     def state(self, now: float) -> messages.NodeState:
-        """Return what the node is held for."""
+        """Return the state of the node."""
         silent_s = 0.0 if self.unanswered_since is None else now - self.unanswered_since
         if silent_s >= GONE_AFTER_S:
             return _State.GONE
@@ -67,40 +67,40 @@
         return _State.LIVE
 
     def next_change_at(self, now: float) -> float:
-        """Return when silence alone may next change the state; infinite without silence."""
+        """Return when silence alone may next change the state; infinite if it is not silent."""
         if self.unanswered_since is None:
             return math.inf
         silent_s = now - self.unanswered_since
-        bounds = (bound for bound in (SUSPECT_AFTER_S, GONE_AFTER_S) if silent_s < bound)
-        return self.unanswered_since + min(bounds, default=math.inf)
+        timeouts = (each for each in (SUSPECT_AFTER_S, GONE_AFTER_S) if silent_s < each)
+        return self.unanswered_since + min(timeouts, default=math.inf)
 
     def expect_reply(self, now: float) -> None:
-        """Note a question; only the first since the last sign counts."""
+        """Record a request; only the first one since the last heartbeat counts."""
         self.owes_reply = True
         if self.unanswered_since is None:
             self.unanswered_since = now
 
     def mark_leaving(self) -> None:
-        """Mark the present incarnation as leaving."""
+        """Mark the current incarnation as leaving."""
         self.leaving_incarnation = self.incarnation
 
     def accepts(self, incarnation: int, now: float) -> bool:
-        """Return whether a heartbeat of ``incarnation`` counts.
+        """Return whether a heartbeat of ``incarnation`` is accepted.
 
         Explanation
         ===========
 
-        The codec lets a lower incarnation through only after a long silence; then
-        it is a replaced node whose clock is behind, not an old heartbeat.
+        The codec accepts a lower incarnation only after a long silence. The sender is then a
+        replaced node whose clock is behind, and the heartbeat is not an old one.
         """
         return incarnation >= self.incarnation or self.state(now) is _State.GONE
 
     def record_heartbeat(
         self, incarnation: int, beat: int, refutation: int, leaving: bool, now: float
     ) -> bool:
-        """Take a heartbeat that counts.
+        """Record an accepted heartbeat.
 
-        :returns: whether it is the newest one, so that its content counts too.
+        :returns: whether it is the newest one, so that its content is to be used.
         """
         if incarnation != self.incarnation:
             self._reset(incarnation)
@@ -116,7 +116,7 @@
         return True
 
     def apply_update(self, update: messages.MembershipUpdate, now: float) -> None:
-        """Take what another node says of this one."""
+        """Apply an update about this node that another node has sent."""
         if update.incarnation < self.incarnation:
             return
         if update.incarnation > self.incarnation:
@@ -129,12 +129,12 @@
             self._apply_suspicion(update, now)
 
     def refute(self, update: messages.MembershipUpdate) -> bool:
-        """Raise the refutation number if a rumour holds this node itself for dead.
+        """Raise the refutation number if an update calls this node suspect or gone.
 
-        :returns: whether there is something new to spread.
+        :returns: whether there is a refutation to spread.
         """
-        doubted = update.state in (_State.SUSPECT, _State.GONE)
-        if not doubted or update.incarnation != self.incarnation:
+        is_suspicion = update.state in (_State.SUSPECT, _State.GONE)
+        if not is_suspicion or update.incarnation != self.incarnation:
             return False
         if update.refutation < self.refutation:
             return False
@@ -153,16 +153,16 @@
         if update.refutation <= self.refutation:
             return
         self.refutation = update.refutation
-        # Guards against a node that others reach and this one does not: asked for a
-        # grant it would cost each request a time-out, and be live again by hearsay.
+        # A node that other nodes reach and this one does not stays suspect: each grant request
+        # to it would time out, and the updates of others would make it live again.
         if not self.owes_reply:
             self.unanswered_since = None
 
     def _apply_suspicion(self, update: messages.MembershipUpdate, now: float) -> None:
-        # Guards against a healthy node that flaps: the suspicion is an echo of one
-        # that was refuted, or the node was heard here after its accuser asked it.
-        recent = self.last_seen_at is not None and now - self.last_seen_at < RECENT_HEARTBEAT_S
-        if update.refutation < self.refutation or recent:
+        # Prevents flapping of a healthy node: the suspicion is a late copy of one that was
+        # refuted, or the node was seen here after the suspecting node sent its request.
+        is_recent = self.last_seen_at is not None and now - self.last_seen_at < RECENT_HEARTBEAT_S
+        if update.refutation < self.refutation or is_recent:
             return
         self.refutation = update.refutation
         silent_s = SUSPECT_AFTER_S if update.state is _State.SUSPECT else GONE_AFTER_S
--- a/hornbeamglade/membership/membershiplog.py
+++ b/hornbeamglade/membership/membershiplog.py
@@ -1,11 +1,11 @@
-"""The log line on a change of a node's state."""
+"""Logging of state changes of nodes."""
 
 from hornbeamglade.membership import view
 from hornbeamglade.observability import logs
 
 
 def log_member_change(change: view.StateChange) -> None:
-    """Write the line on a change that a node sees in another one, or in itself."""
+    """Log a state change of another node or of this node in the membership view."""
     logs.state_changed(
         "member",
         "unknown" if change.before is None else change.before.name.lower(),
--- a/hornbeamglade/membership/ownership.py
+++ b/hornbeamglade/membership/ownership.py
@@ -1,25 +1,27 @@
-"""Which node owns which replica, by rendezvous hashing over the live nodes.
+"""Assignment of replicas to owner nodes by rendezvous hashing over the live nodes.
 
 Explanation
 ===========
 
-The owner of a replica polls its load, admits to it and queues for it. Nodes whose
-views differ may see two owners for a while; the engine's own queue then takes
-what both admit, so this costs performance only.
-
-A node in the replica's own failure domain is preferred by :data:`DOMAIN_WEIGHT`:
-polls and grants then mostly stay within the domain. Weighed against a strict
-preference, which makes the only node of a domain own all replicas there; and
-against none, where most polls cross domains for no gain.
-
-Replicas that are interchangeable may be given a group, whose replicas have one owner. It
-can then answer an ask with the best of them, which at a size where heartbeats are sampled
-nobody else could: 82 nodes that each own one of 29 engines hear of the others' engines
-once in 20 s. A group has :data:`MAX_GROUP_SIZE` replicas at most, so the loss of a node leaves no
-more of them without an owner than where each had its own.
-
-Weighed against *leases in the table* for owners: exact, but one write each few
-seconds for each of 1,800 replicas, and no admission while the store is down.
+The owner of a replica polls its load, admits requests to it and queues requests for
+it. Nodes with different views may temporarily see two owners. The engine's own queue
+then holds what both admit, so this affects performance only.
+
+A node in the replica's own failure domain is preferred by the factor
+:data:`DOMAIN_WEIGHT`, so that most polls and grants stay within the domain. A strict
+preference would make the only node of a domain the owner of all replicas there; without
+a preference most polls would cross domains for no benefit.
+
+Interchangeable replicas may be assigned to a group, all replicas of which have the same
+owner. The owner can then respond to a grant request with the best of them. In a cluster
+that is large enough for sampled heartbeats, no other node could do that: with 82 nodes
+that each own one of 29 engines, a node hears of the others' engines once in 20 s. A
+group has at most :data:`MAX_GROUP_SIZE` replicas, so the loss of a node leaves no more
+of them without an owner than if each replica had an owner of its own.
+
+The alternative, *leases in the store's table* for owners, is exact but needs one write
+every few seconds for each of 1,800 replicas, and allows no admission while the store is
+down.
 """
 
 import collections
@@ -32,17 +34,18 @@
 DOMAIN_WEIGHT = 4.0
 
 MAX_GROUP_SIZE = 12
-"""Twelve engines report to their owner some thirty times a second, which is half a percent
-of a core."""
+"""Twelve engines send their owner some thirty load reports per second, which takes half a
+percent of a core."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Participant:
-    """A replica or a node, and where it stands.
+    """A replica or a node that takes part in the assignment.
 
     :param name: its name.
-    :param failure_domain: its failure domain, or None when that is not known.
-    :param group: those of one group have one owner; None for a replica on its own.
+    :param failure_domain: its failure domain, or None if unknown.
+    :param group: the group of a replica, all replicas of which have the same owner; None
+        for a replica without a group.
     """
 
     name: str
@@ -52,11 +55,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnerChange:
-    """A replica's owner changed.
+    """A change of a replica's owner.
 
     :param replica: the replica's name.
-    :param before: the former owner's name, or None.
-    :param after: the new owner's name, or None when there is no node.
+    :param before: the name of the previous owner, or None.
+    :param after: the name of the new owner, or None if there is no node.
     """
 
     replica: str
@@ -65,7 +68,7 @@
 
 
 def owner(replica: Participant, nodes: collections.abc.Iterable[Participant]) -> str | None:
-    """Return the owner of ``replica`` among ``nodes``, or None without nodes.
+    """Return the owner of ``replica`` among ``nodes``, or None if there are no nodes.
 
     Examples
     ========
@@ -82,49 +85,48 @@
 def assign_groups(
     replicas: collections.abc.Iterable[Participant], pool: collections.abc.Callable[[str], str]
 ) -> list[Participant]:
-    """Return replicas with their groups: those of one pool in one failure domain.
+    """Return the replicas with their groups, one for each pool and failure domain.
 
     Explanation
     ===========
 
-    A pool with more replicas in a domain than one group holds is cut by their hashes into
-    2, 4, 8 groups, so that one replica more or less hardly ever moves another.
+    If a pool has more replicas in a failure domain than fit into one group, they are split
+    by their hashes into 2, 4, 8 groups, so that adding or removing a replica hardly ever
+    changes the group of another.
 
-    :param pool: returns the name of the pool of a replica; those of a pool are
+    :param pool: returns the name of a replica's pool; the replicas of a pool are
         interchangeable.
 
     Examples
     ========
 
-    >>> places = [Participant("e1", "a"), Participant("e2", "a"), Participant("e3", "b")]
-    >>> [place.group for place in assign_groups(places, lambda name: "chat")]
+    >>> members = [Participant("e1", "a"), Participant("e2", "a"), Participant("e3", "b")]
+    >>> [each.group for each in assign_groups(members, lambda name: "chat")]
     ['chat/a/0', 'chat/a/0', 'chat/b/0']
     """
-    places = list(replicas)
-    count_by_pool = collections.Counter(
-        (pool(place.name), place.failure_domain) for place in places
-    )
+    members = list(replicas)
+    count_by_pool = collections.Counter((pool(each.name), each.failure_domain) for each in members)
     return [
         dataclasses.replace(
-            place,
+            each,
             group=_group_name(
-                place, pool(place.name), count_by_pool[pool(place.name), place.failure_domain]
+                each, pool(each.name), count_by_pool[pool(each.name), each.failure_domain]
             ),
         )
-        for place in places
+        for each in members
     ]
 
 
 class Ownership:
-    """Keeps the owners of all replicas as nodes and replicas come and go.
+    """The owners of all replicas, updated as nodes and replicas are added and removed.
 
     Explanation
     ===========
 
-    A new node is compared with each replica's owner and a lost one's replicas are
-    ranked anew, so a change costs one score a replica, not one for each pair
-    (1,800 replicas and 360 nodes: 2,000 scores and not 648,000). Reading is
-    safe from other threads while one updates.
+    A new node is compared only with the owner of each replica, and only the replicas of
+    a lost node are ranked again. A change therefore computes one score per replica and
+    not one per pair (with 1,800 replicas and 360 nodes, 2,000 scores instead of 648,000).
+    Other threads may read while one thread updates.
     """
 
     def __init__(self) -> None:
@@ -139,14 +141,16 @@
     def owned_by(self, node: str) -> frozenset[str]:
         """Return the names of the replicas that ``node`` owns."""
         owner_by_replica = self._owner_by_replica
-        return frozenset(name for name, held_by in owner_by_replica.items() if held_by == node)
+        return frozenset(
+            replica for replica, owner_name in owner_by_replica.items() if owner_name == node
+        )
 
     def update(
         self,
         replicas: collections.abc.Iterable[Participant],
         nodes: collections.abc.Iterable[Participant],
     ) -> tuple[OwnerChange, ...]:
-        """Take the present replicas and candidates; return what moved, by replica."""
+        """Set the current replicas and candidate nodes; return the changes, by replica name."""
         node_by_name = {node.name: node for node in nodes}
         replica_by_name = {replica.name: replica for replica in replicas}
         added = [
@@ -157,31 +161,31 @@
         }
         owner_by_replica = {}
         for name, replica in replica_by_name.items():
-            held_by = self._owner_by_replica.get(name)
-            known = self._replica_by_name.get(name) == replica and held_by in kept
-            contenders = [*added, node_by_name[held_by]] if known else node_by_name.values()
+            owner_name = self._owner_by_replica.get(name)
+            known = self._replica_by_name.get(name) == replica and owner_name in kept
+            contenders = [*added, node_by_name[owner_name]] if known else node_by_name.values()
             new_owner = owner(replica, contenders)
             if new_owner is not None:
                 owner_by_replica[name] = new_owner
-        moves = _owner_changes(self._owner_by_replica, owner_by_replica)
+        changes = _owner_changes(self._owner_by_replica, owner_by_replica)
         self._node_by_name = node_by_name
         self._replica_by_name = replica_by_name
         self._owner_by_replica = owner_by_replica
-        return moves
+        return changes
 
 
 def _score(replica: Participant, node: Participant) -> float:
-    near = replica.failure_domain is not None and replica.failure_domain == node.failure_domain
+    is_local = replica.failure_domain is not None and replica.failure_domain == node.failure_domain
     key = replica.group or replica.name
-    return rendezvous.score(key, node.name, DOMAIN_WEIGHT if near else 1.0)
+    return rendezvous.score(key, node.name, DOMAIN_WEIGHT if is_local else 1.0)
 
 
 def _group_name(replica: Participant, pool: str, count: int) -> str:
     groups = 1
     while count > groups * MAX_GROUP_SIZE:
         groups *= 2
-    part = messages.key_hash(replica.name) % groups
-    return f"{pool}/{replica.failure_domain}/{part}"
+    index = messages.key_hash(replica.name) % groups
+    return f"{pool}/{replica.failure_domain}/{index}"
 
 
 def _owner_changes(before: dict[str, str], after: dict[str, str]) -> tuple[OwnerChange, ...]:
--- a/hornbeamglade/membership/registry.py
+++ b/hornbeamglade/membership/registry.py
@@ -1,15 +1,16 @@
-"""The nodes' own list of themselves, in the platform's store.
+"""The nodes' registrations in the platform's store.
 
 Explanation
 ===========
 
-A node finds the others by rows that each writes at its start and takes away at the end
-of a planned stop. The list only introduces: whether a node lives is known from
-heartbeats. The row of a node that was killed stays until another run of the same name
-replaces it, or until a node that has not heard of it for long takes it away.
+Nodes discover one another by rows that each node writes when it starts and deletes at
+the end of a planned stop. The list serves discovery only: whether a node is live is
+determined by heartbeats. The row of a node that was killed remains until another
+incarnation with the same name replaces it, or until a node that has not heard from it
+for a long time deletes it.
 
-The table also holds rows of other kinds that the nodes keep for one another. They come with
-each reading of the list, so they cost no call of their own.
+The table also holds other kinds of rows that the nodes share. They are read together
+with the list, so they need no additional calls.
 """
 
 import collections.abc
@@ -36,7 +37,7 @@
     """Reads and writes the rows of nodes.
 
     :param table: the platform's table.
-    :param on_rows: called with all rows of each list that was read.
+    :param on_rows: called with all rows of the table each time the list is read.
 
     Examples
     ========
@@ -55,7 +56,7 @@
         self._on_rows = on_rows
 
     def list(self) -> tuple[contract.Instance, ...] | contract.Unavailable:
-        """Read all rows; one that cannot be read is left out."""
+        """Read all rows; malformed rows are skipped."""
         rows = self._table.scan(f"{TABLE}/")
         if isinstance(rows, contract.Unavailable):
             return rows
@@ -63,7 +64,7 @@
         return parse_instances(rows)
 
     def register(self, instance: contract.Instance) -> contract.WriteOutcome:
-        """Write a node's row, whatever was there."""
+        """Write a node's row, replacing any existing one."""
         body = _Body(
             failure_domain=instance.failure_domain,
             address=instance.address,
@@ -75,14 +76,14 @@
         )
 
     def deregister(self, name: str) -> contract.WriteOutcome:
-        """Take a node's row away."""
+        """Delete a node's row."""
         return self._table.transact((), (contract.Delete(_key(name)),))
 
 
 def parse_instances(rows: collections.abc.Iterable[contract.Row]) -> tuple[contract.Instance, ...]:
-    """Read the rows of nodes; one that cannot be read is left out."""
-    found = (_parse_instance(row) for row in rows)
-    return tuple(instance for instance in found if instance is not None)
+    """Parse the rows of nodes; malformed rows are skipped."""
+    parsed = (_parse_instance(row) for row in rows)
+    return tuple(instance for instance in parsed if instance is not None)
 
 
 def _key(name: str) -> str:
--- a/hornbeamglade/membership/rendezvous.py
+++ b/hornbeamglade/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Scores by which every node comes to the same choice without talking.
+"""Rendezvous hashing, by which all nodes make the same choice without communication.
 
 References
 ==========
@@ -22,13 +22,13 @@
 
 
 def score(key: str, node: str, weight: float = 1.0) -> float:
-    """Return how strongly ``key`` prefers ``node``; the highest score wins [1]_.
+    """Return the score of ``node`` for ``key``; the node with the highest score wins [1]_.
 
     Explanation
     ===========
 
-    A node is preferred by a share of the keys in proportion to its weight [2]_.
-    When a node comes or goes only the keys that it wins or held change hands.
+    The share of keys that a node wins is proportional to its weight [2]_. When a node is
+    added or removed, only the keys that it wins or held are reassigned.
 
     :param key: the name of a replica or team.
     :param node: the node's name.
@@ -45,12 +45,13 @@
     """
     mixed = _mix(_name_hash(key) ^ _mix(_name_hash(node)))
     fraction = (mixed + 1) / (_MASK + 2)
-    # At the very top the fraction rounds to 1, whose logarithm is no divisor.
+    # For the largest hashes the fraction rounds to 1, whose logarithm of 0 would cause a
+    # division by zero.
     return -weight / min(math.log(fraction), -1e-17)
 
 
 def best(key: str, nodes: collections.abc.Iterable[str], count: int) -> list[str]:
-    """Return the nodes that ``key`` prefers, the most preferred first.
+    """Return the ``count`` nodes with the highest scores for ``key``, highest first.
 
     Examples
     ========
--- a/hornbeamglade/membership/teamdemands.py
+++ b/hornbeamglade/membership/teamdemands.py
@@ -9,14 +9,14 @@
 MAX_UINT16 = 2**16 - 1
 
 
-def to_message(share: teamlimits.TeamShare) -> messages.TeamDemand:
-    """Return the form in which a heartbeat tells a share.
+def to_message(team_share: teamlimits.TeamShare) -> messages.TeamDemand:
+    """Convert a share to its form in heartbeats.
 
     Explanation
     ===========
 
-    The share is rounded up: told as less than it is, it would leave room that
-    others take, and the shares would sum to more than the limit.
+    The share is rounded up. If less than the actual share were announced, other nodes would
+    claim the difference, and the shares would sum to more than the limit.
 
     Examples
     ========
@@ -25,15 +25,15 @@
     1251
     """
     return messages.TeamDemand(
-        messages.key_hash(share.team),
-        min(math.ceil(share.share * SHARE_UNIT), MAX_UINT16),
-        min(round(share.demand * SHARE_UNIT), MAX_UINT16),
+        messages.key_hash(team_share.team),
+        min(math.ceil(team_share.share * SHARE_UNIT), MAX_UINT16),
+        min(round(team_share.demand * SHARE_UNIT), MAX_UINT16),
     )
 
 
 def from_message(team: str, demand: messages.TeamDemand) -> teamlimits.TeamShare:
-    """Return what a heartbeat told of one team.
+    """Convert the demand of one team from its form in heartbeats.
 
-    :param team: the name of the hash in ``demand``.
+    :param team: the name of the team whose hash is in ``demand``.
     """
     return teamlimits.TeamShare(team, demand.share / SHARE_UNIT, demand.demand / SHARE_UNIT)
--- a/hornbeamglade/membership/view.py
+++ b/hornbeamglade/membership/view.py
@@ -1,26 +1,28 @@
-"""What one node believes of the others, without I/O or clock.
+"""Membership view of one node, without I/O or clock.
 
 Explanation
 ===========
 
-Three sources are joined, each weak in another way:
+The view combines three sources with different weaknesses:
 
-- The platform's *list* lags. It names nodes that may be up, so a listed node is
-  assumed live until there is evidence against it. It brings nobody back who
-  said that it leaves, or who died.
-- *Heartbeats* are the word of a node itself, authenticated by the codec. A node that
-  is heard is live, listed or not.
-- *Rumours* in heartbeats carry changes of state at sizes where not everyone hears
-  everyone [1]_. A node that hears that it is held for dead raises its refutation
-  number, which ends all rumours under lower ones. Hearsay neither outweighs a
-  heartbeat heard just now nor answers this node's own question.
+- The platform's *list* lags. It contains nodes that may be up, so a listed node is
+  assumed live until there is evidence against it. The list does not make a node live
+  again that has announced that it is leaving, or that has failed.
+- *Heartbeats* are sent by a node itself and authenticated by the codec. A node from
+  which heartbeats are received is live, whether listed or not.
+- *Membership updates* in heartbeats spread state changes in clusters where not every
+  node receives heartbeats from every other [1]_. A node that receives an update by which
+  it is suspect or gone raises its refutation number, which invalidates all updates with
+  lower numbers. An update neither overrides a heartbeat received just before nor counts
+  as the reply to a request of this node.
 
-Silence counts only from a question that stays unanswered (a heartbeat that asks for
-one in return, or an ask for a grant): two nodes that disagree about the number
-of nodes, and so about who sends to whom, do not suspect each other.
+Silence is measured only from a request that remains unanswered (a heartbeat that asks
+for one in return, or a grant request). Two nodes that disagree about the number of
+nodes, and therefore about which node sends to which, do not suspect each other.
 
-Marks of leaving last for the incarnation. Views of two nodes may differ at any
-time; whatever depends on them must cost performance only, never correctness.
+A node marked as leaving remains so until its incarnation ends. The views of two nodes
+may differ at any time; anything that depends on them may lose performance by that, but
+never correctness.
 
 References
 ==========
@@ -39,18 +41,19 @@
 
 FORGET_AFTER_S = 600.0
 ROUNDING_S = 1e-6
-"""Times at which a state may change are looked at so much too early: a sum of floating-point
-seconds may lie above the time at which the difference reaches the same bound."""
+"""States that may change at some time are checked earlier by this much, since a floating-point
+sum of a time and a timeout may be slightly later than the time at which the difference reaches
+the timeout."""
 
 State = messages.NodeState
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a node is and where it is reached.
+    """The name and the addresses of a node.
 
-    :param name: unique within the operator.
-    :param failure_domain: where it stands.
+    :param name: unique among all nodes of the operator.
+    :param failure_domain: the failure domain in which it runs.
     :param address: ``ip:port`` for callers.
     :param exchange: ``ip:port`` (UDP) for other nodes.
     """
@@ -63,17 +66,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """One node as the view sees it now.
-
-    :param identity: who it is.
-    :param incarnation: the newest known, 0 when it was never heard of.
-    :param beat: the newest beat known of that incarnation.
-    :param refutation: the newest refutation known of that incarnation.
-    :param state: what the view believes.
-    :param heard_at: monotonic seconds of its last heartbeat here, or None.
+    """One node in the current view.
+
+    :param identity: its name and addresses.
+    :param incarnation: the highest known incarnation, 0 if none is known.
+    :param beat: the highest known beat of that incarnation.
+    :param refutation: the highest known refutation number of that incarnation.
+    :param state: its state in this view.
+    :param last_seen_at: monotonic seconds of its last heartbeat received here, or None.
     :param heartbeat: its newest heartbeat, or None.
-    :param demands: the teams in its newest heartbeat that told them.
-    :param is_asked: whether it has left a question of this node unanswered.
+    :param demands: the team demands in its newest heartbeat that contained any.
+    :param owes_reply: whether it has not replied to a request of this node.
     """
 
     identity: Identity
@@ -89,9 +92,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateChange:
-    """A node's state is no longer what the view reported before.
+    """A change of a node's state since the view last reported it.
 
-    :param member: the node as it is now.
+    :param member: the node in its current state.
     :param before: the state reported last, or None for a new node.
     """
 
@@ -111,15 +114,16 @@
 
 
 class MembershipView:
-    """The aggregate of all that is known about the nodes; not thread-safe.
+    """The state of all known nodes, as an aggregate; not thread-safe.
 
     Explanation
     ===========
 
-    It is looked at many times a second and changes a few times. Only nodes of which
-    something came in are looked at anew; all are, when silence may have changed the state
-    of one. Looking at all of them twenty times a second cost 1.1% of a core at 82 nodes and
-    4.7% at 360; with nothing heard it is now 0.01% and 0.04% (a loop of ticks, one machine).
+    The view is read many times a second and changes a few times a second. Only nodes with
+    new information are evaluated again; all of them are when silence may have changed the
+    state of one. Evaluating all nodes twenty times a second took 1.1% of a core with 82 nodes
+    and 4.7% with 360; without incoming messages it now takes 0.01% and 0.04% (a loop of ticks
+    on one machine).
 
     Examples
     ========
@@ -136,7 +140,7 @@
     """
 
     def __init__(self, own: Identity, incarnation: int) -> None:
-        """Begin with this node alone.
+        """Start with this node as the only member.
 
         :param own: this node.
         :param incarnation: this node's incarnation.
@@ -153,7 +157,7 @@
         self._full_refresh_at = math.inf
 
     def raise_incarnation(self, incarnation: int) -> None:
-        """Give this node another incarnation; a mark of leaving stays."""
+        """Set another incarnation of this node; if it was leaving, it still is."""
         own = self._own.liveness
         is_leaving = own.leaving_incarnation == own.incarnation
         own.incarnation = incarnation
@@ -162,7 +166,7 @@
         self._stale_names.add(self.own.name)
 
     def apply_list(self, instances: tuple[contract.Instance, ...]) -> None:
-        """Take the platform's list; call it only with a list that was read."""
+        """Apply the platform's list; call this only with a list that was read successfully."""
         self._stale_names.update(self._record_by_name)
         for record in self._record_by_name.values():
             record.is_listed = False
@@ -175,17 +179,17 @@
                 record.identity = identity
             record.is_listed = True
             if instance.leaving:
-                # The list may flap; a mark of leaving stays for the incarnation. A
-                # node that was restarted under an old mark clears it by being heard.
+                # The list may flap, so the mark remains until the incarnation ends. A restarted
+                # node that an outdated row marks as leaving is live after its first heartbeat.
                 record.liveness.mark_leaving()
 
     def record_heartbeat(
         self, sender: codec.Sender, heartbeat: messages.Heartbeat, now: float
     ) -> bool:
-        """Take a heartbeat and the rumours in it.
+        """Record a heartbeat and apply the membership updates in it.
 
-        :returns: whether it is newer, by (incarnation, beat), than all heard of the
-            node before; false for a second one of the same beat.
+        :returns: whether it is newer, by (incarnation, beat), than all received from the
+            node before; False for a second one of the same beat.
         """
         identity = self._sender_identity(sender, heartbeat)
         if identity is None:
@@ -212,13 +216,13 @@
         return is_new
 
     def expect_reply(self, name: str, now: float) -> None:
-        """Note that a node was asked something and has not answered yet.
+        """Record that a request was sent to a node, which has not replied yet.
 
         Explanation
         ===========
 
-        Called with each heartbeat that wants an answer, and when an ask for a
-        grant got none. Only the first question since the last sign counts.
+        This is called for each heartbeat that asks for one in return, and when a grant
+        request got no response. Only the first request since the last heartbeat counts.
         """
         record = self._record_by_name.get(name)
         if record is not None and record is not self._own:
@@ -231,31 +235,31 @@
         self._own.liveness.mark_leaving()
 
     def begin_round(self) -> int:
-        """Begin a round of heartbeats and return its number."""
+        """Start a round of heartbeats and return its number."""
         self._stale_names.add(self.own.name)
         self._own.liveness.beat += 1
         return self._own.liveness.beat
 
     @property
     def own_beat(self) -> int:
-        """The number of this node's newest round."""
+        """The number of this node's latest round."""
         return self._own.liveness.beat
 
     def member(self, name: str, now: float) -> Member | None:
-        """Return one node as it is seen now, or None when it is unknown."""
+        """Return one node in the current view, or None if it is unknown."""
         record = self._record_by_name.get(name)
         return None if record is None else _member(record, now)
 
     def members(self, now: float) -> tuple[Member, ...]:
-        """Return all known nodes, this one included, in order of name.
+        """Return all known nodes including this one, sorted by name.
 
-        The same tuple as before when nothing came in since.
+        The same tuple is returned again if there is no new information.
         """
         self._refresh(now)
         return self._members
 
     def changes(self, now: float) -> tuple[StateChange, ...]:
-        """Return what changed since the last call, and forget the long gone."""
+        """Return the state changes since the last call, and forget nodes that are long gone."""
         self._refresh(now)
         unreported, self._unreported = sorted(self._unreported), set()
         changes = []
@@ -272,7 +276,7 @@
         return tuple(changes)
 
     def _refresh(self, now: float) -> None:
-        """Bring the members up to date with what came in and with the time."""
+        """Update the members by new information and by the time passed."""
         if now >= self._full_refresh_at:
             self._full_refresh_at = math.inf
             self._stale_names.update(self._record_by_name)
@@ -294,11 +298,15 @@
         del self._member_by_name[name]
         self._members = tuple(self._member_by_name[each] for each in self._names)
 
-    def _sender_identity(self, sender: codec.Sender, told: messages.Heartbeat) -> Identity | None:
-        if told.exchange:
-            return Identity(sender.name, told.failure_domain, told.address, told.exchange)
-        # Guards against a node with no address: callers and asks would be sent nowhere.
-        # Its next heartbeat but three tells where it is.
+    def _sender_identity(
+        self, sender: codec.Sender, heartbeat: messages.Heartbeat
+    ) -> Identity | None:
+        if heartbeat.exchange:
+            return Identity(
+                sender.name, heartbeat.failure_domain, heartbeat.address, heartbeat.exchange
+            )
+        # A sender that is not known yet is not added without its address, since callers and
+        # grant requests could not be sent to it. One in four heartbeats contains the address.
         record = self._record_by_name.get(sender.name)
         return None if record is None else record.identity
 
@@ -311,7 +319,8 @@
         if record is not self._own:
             record.liveness.apply_update(update, now)
         elif record.liveness.refute(update):
-            # Unreported, this node is a change again and so is spread as a rumour.
+            # As if never reported, this node is a state change again, and so its refutation is
+            # spread as a membership update.
             record.reported_state = None
 
     def _record(self, identity: Identity) -> _Record:
@@ -336,8 +345,8 @@
     Explanation
     ===========
 
-    Live nodes; if every node leaves, the leaving ones, as the last of them
-    still serves callers that hold an old answer.
+    These are the live nodes or, if every node is leaving, the leaving ones, since the last
+    of them still serves callers with a cached address list.
     """
     leaving = tuple(member for member in members if member.state is State.LEAVING)
     return live(members) or leaving
@@ -359,16 +368,16 @@
 
 
 def _next_change_at(record: _Record, now: float) -> float:
-    """Return when time alone may next change what is believed of a node."""
-    turn = record.liveness.next_change_at(now)
+    """Return when the passing of time alone may next change the state of a node."""
+    change_at = record.liveness.next_change_at(now)
     if record.gone_since is not None and not record.is_listed:
-        turn = min(turn, record.gone_since + FORGET_AFTER_S)
-    return turn - ROUNDING_S
+        change_at = min(change_at, record.gone_since + FORGET_AFTER_S)
+    return change_at - ROUNDING_S
 
 
 def _is_forgettable(record: _Record, now: float) -> bool:
-    # A gone node stays known while the list names it: forgotten, it would be taken
-    # from the lagging list as a new node that is assumed live.
+    # A gone node is not forgotten while it is listed: the lagging list would add it again as a
+    # new node, which is assumed live.
     if record.is_listed or record.gone_since is None:
         return False
     return now - record.gone_since > FORGET_AFTER_S
--- a/tests/membership/test_addresses.py
+++ b/tests/membership/test_addresses.py
@@ -16,22 +16,22 @@
 
 
 def names(shard):
-    return {one.identity.name for one in shard}
+    return {each.identity.name for each in shard}
 
 
 def test_a_shard_is_spread_over_failure_domains():
     shard = addresses.shard_members("clerks", MEMBERS, share=1 / 6)
-    assert len({one.identity.failure_domain for one in shard}) == len(shard) == 3
+    assert len({each.identity.failure_domain for each in shard}) == len(shard) == 3
 
 
-def test_a_leaving_node_is_left_out():
-    # Callers keep the answer; named now, the node would be kept from its end.
+def test_a_leaving_node_is_excluded():
+    # Callers cache the address list, so new callers would keep the leaving node from stopping.
     leaving = tuple(member(number, State.LEAVING if number else State.LIVE) for number in range(3))
     select_addresses = addresses.select_addresses("clerks", leaving, 1.0, rotation=0, ttl_s=30)
     assert select_addresses == addresses.AddressSelection(("10.0.0.0:80",), 30)
 
 
-def test_when_no_node_is_live_the_answer_is_not_empty():
+def test_suspects_and_then_leaving_nodes_are_returned_when_no_node_is_live():
     states = (State.GONE, State.LEAVING, State.SUSPECT)
     members = tuple(member(number, state) for number, state in enumerate(states))
     assert addresses.select_addresses("clerks", members, 1.0, 0, 30).addresses == ("10.0.0.2:80",)
@@ -41,7 +41,7 @@
     assert addresses.select_addresses("clerks", members[:1], 1.0, 0, 30).addresses == ()
 
 
-def test_callers_of_one_team_begin_at_every_node_of_its_shard():
+def test_callers_of_a_team_start_evenly_at_the_nodes_of_its_shard():
     firsts = collections.Counter(
         addresses.select_addresses("clerks", MEMBERS, 1 / 6, rotation, 30).addresses[0]
         for rotation in range(30)
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -1,4 +1,4 @@
-"""Finding the other nodes while the store is away."""
+"""Discovery of the other nodes while the store is unavailable."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from hornbeamglade.standins import httpserver
 from hornbeamglade.store import contract, memory
 
-GONE = memory.Faults(down=True)
+DOWN = memory.Faults(down=True)
 
 
 def member(name, state=messages.NodeState.LIVE):
@@ -34,34 +34,33 @@
     return discovery.Discovery(registry.Registry(platform), seeds)
 
 
-def test_list_in_the_store_goes_first(seed):
+def test_list_in_the_store_takes_precedence(seed):
     platform = memory.MemoryPlatform()
     own = contract.Instance("n9", "a", "n9:80", "n9:72", False)
     registry.Registry(platform).register(own)
     assert listing(platform, seed).list() == (own,)
 
 
-def test_seed_is_asked_while_the_store_is_away(seed):
-    """An instance starts while the store is down.
+def test_seed_is_used_while_the_store_is_unavailable(seed):
+    """Guards against an instance that starts while the store is down and knows no other node.
 
-    Without the others it knows no configuration, and refuses callers until the store
-    is back.
+    It would have no configuration, and would refuse callers until the store is back.
     """
     platform = memory.MemoryPlatform()
-    platform.set_faults(GONE)
+    platform.set_faults(DOWN)
     found = listing(platform, "127.0.0.1:9", seed).list()
     assert found == (contract.Instance("n1", "a", "n1:80", "n1:72", False),)
 
 
-def test_nobody_who_answers_is_told_as_such():
+def test_outage_is_reported_if_no_seed_responds():
     platform = memory.MemoryPlatform()
-    platform.set_faults(GONE)
+    platform.set_faults(DOWN)
     assert isinstance(listing(platform, "127.0.0.1:9").list(), contract.Unavailable)
 
 
-def test_seed_that_is_something_else_by_now_is_passed_over():
+def test_seed_address_now_used_by_another_server_is_skipped():
     platform = memory.MemoryPlatform()
-    platform.set_faults(GONE)
+    platform.set_faults(DOWN)
     other = httpserver.Server(
         "127.0.0.1:0", lambda _: httpserver.Answer(200, b"<html>"), threads=1
     )
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -29,7 +29,7 @@
     return [target.member.identity.name for target in targets]
 
 
-def test_few_nodes_are_all_sent_to():
+def test_a_small_cluster_sends_to_every_node():
     view = make_view(6)
     plan = dissemination.Dissemination(random.Random(1))
     assert names_of(plan.plan(others(view), 0.0)) == ["n1", "n2", "n3", "n4", "n5"]
@@ -37,29 +37,30 @@
     assert plan.is_due(0.5)
 
 
-def test_many_nodes_are_sampled_and_each_is_asked_within_a_bounded_time():
+def test_a_large_cluster_samples_peers_and_reaches_each_within_a_bounded_time():
     view = make_view(21)
     plan = dissemination.Dissemination(random.Random(1))
-    asked = [plan.plan(others(view), float(round_)) for round_ in range(10)]
-    assert all(len(targets) == dissemination.FANOUT for targets in asked)
-    assert len({name for targets in asked for name in names_of(targets)}) == 20
+    rounds = [plan.plan(others(view), float(number)) for number in range(10)]
+    assert all(len(targets) == dissemination.FANOUT for targets in rounds)
+    assert len({name for targets in rounds for name in names_of(targets)}) == 20
 
 
-def test_a_rumour_is_spread_for_a_bounded_number_of_rounds():
+def test_an_update_is_spread_for_a_bounded_number_of_rounds():
     view = make_view(6)
     plan = dissemination.Dissemination(random.Random(1))
-    (change,) = [c for c in view.changes(0.0) if c.member.incarnation]
+    (change,) = [each for each in view.changes(0.0) if each.member.incarnation]
     plan.add_change(change, nodes=6)
-    spread = 0
+    rounds = 0
     while plan.updates():
         plan.plan(others(view), 3.0)
-        spread += 1
-    assert spread == dissemination.UPDATE_ROUNDS_FACTOR * 3
+        rounds += 1
+    assert rounds == dissemination.UPDATE_ROUNDS_FACTOR * 3
 
 
 @pytest.mark.parametrize("nodes", [24, 90, 360])
-def test_heartbeats_keep_within_the_control_budget(nodes):
-    # Sent and received together, five replicas a node and all demands it may tell.
+def test_heartbeats_stay_within_the_control_traffic_budget(nodes):
+    # The budget covers sent and received heartbeats, with five replicas per node and the
+    # maximum number of demands.
     clock = clocks.ManualClock(1.8e9)
     ring = codec.KeyRing(1, {1: b"the site key of this year"})
     sender = codec.Codec("entry-017", 1_800_000_000_000, ring, clock)
@@ -68,13 +69,13 @@
     digests = (messages.ReplicaDigest(large, 400_000, 20, 3000),) * 5
     demands = (messages.TeamDemand(large, 10_000, 2**16 - 1),) * messages.MAX_DEMANDS
     identity = ("domain-3", "10.20.30.40:8080", "10.20.30.40:7000")
-    told = [demands] + [()] * (messages.DEMANDS_EVERY - 1)
+    demands_by_beat = [demands] + [()] * (messages.DEMANDS_EVERY - 1)
     frames = [
         sender.encode(
             "entry-018",
-            messages.Heartbeat(State.LIVE, 172_800, 4096, *identity, False, digests, one),
+            messages.Heartbeat(State.LIVE, 172_800, 4096, *identity, False, digests, announced),
         )
-        for one in told
+        for announced in demands_by_beat
     ]
     mean = sum(map(len, frames)) / len(frames) + IP_AND_UDP_HEADER_BYTES
     assert 2 * dissemination.heartbeats_per_second(nodes) * mean < BUDGET_BYTES_PER_SECOND
--- a/tests/membership/test_draining.py
+++ b/tests/membership/test_draining.py
@@ -7,9 +7,9 @@
 Phase = draining.Phase
 
 
-def test_callers_with_an_old_answer_are_served_until_its_time_to_live_is_over():
-    # A caller asked for addresses just before the stop and comes 29 s later. A node
-    # that closed when it was idle would refuse the connection.
+def test_callers_with_a_cached_address_list_are_served_until_its_ttl_has_passed():
+    # A caller fetches addresses just before the stop and connects 29 s later. A node that
+    # closes its listener as soon as it is idle would refuse the connection.
     plan = draining.Draining(TTL_S, SPREAD_S)
     plan.begin(0.0)
     assert plan.step(29.0, in_flight=0).accepts_requests
@@ -22,16 +22,16 @@
     assert plan.step(3601.0, in_flight=0).phase is Phase.CLOSING
 
 
-def test_a_second_signal_does_not_cut_streams():
+def test_a_second_signal_does_not_abort_streams():
     plan = draining.Draining(TTL_S, SPREAD_S)
     assert plan.begin(0.0)
     assert not plan.begin(1.0)
     assert plan.step(2.0, in_flight=1) == draining.Status(Phase.LEAVING)
 
 
-def test_a_request_that_slips_in_before_the_listener_closes_is_finished():
-    # The count was zero, the decision to close was made, and a connection came in
-    # before the listener was closed. Ending at once would cut it off.
+def test_a_request_that_arrives_before_the_listener_closes_is_finished():
+    # A connection arrives after the decision to close at a count of zero, and before the
+    # listener is closed. Exiting at once would abort it.
     plan = draining.Draining(TTL_S, SPREAD_S)
     plan.begin(0.0)
     assert plan.step(40.0, in_flight=0).phase is Phase.CLOSING
@@ -41,7 +41,7 @@
     assert plan.step(50.0, in_flight=0).phase is Phase.DONE
 
 
-def test_the_operators_hard_limit_ends_the_stop_and_says_what_it_cut():
+def test_the_hard_limit_ends_the_stop_and_counts_the_aborted_requests():
     plan = draining.Draining(TTL_S, SPREAD_S, hard_limit_s=60.0)
     plan.begin(0.0)
     assert plan.step(59.0, in_flight=2).phase is Phase.LEAVING
@@ -49,14 +49,14 @@
 
 
 class DrainingMachine(stateful.RuleBasedStateMachine):
-    """Requests come and go around a planned stop, and none is cut off."""
+    """Requests arrive and end around a planned stop, and none is aborted."""
 
     def __init__(self):
         super().__init__()
         self.now = 0.0
         self.in_flight = 0
         self.began_at = None
-        self.listening = True
+        self.is_listening = True
         self.plan = draining.Draining(TTL_S, SPREAD_S)
 
     @stateful.rule(seconds=strategies.floats(0, 40))
@@ -69,7 +69,7 @@
             assert self.began_at is None
             self.began_at = self.now
 
-    @stateful.precondition(lambda self: self.listening)
+    @stateful.precondition(lambda self: self.is_listening)
     @stateful.rule()
     def request_arrives(self):
         self.in_flight += 1
@@ -80,19 +80,19 @@
         self.in_flight -= 1
 
     @stateful.rule()
-    def close_listener_if_told(self):
+    def close_listener_in_closing_phase(self):
         if self.plan.step(self.now, self.in_flight).phase is Phase.CLOSING:
-            self.listening = False
+            self.is_listening = False
             self.plan.listener_closed()
 
     @stateful.invariant()
-    def nothing_is_cut_and_old_answers_hold(self):
+    def nothing_is_aborted_and_cached_addresses_are_served(self):
         status = self.plan.step(self.now, self.in_flight)
         assert status.aborted_requests == 0
         assert status.closes_connections == (self.began_at is not None)
         if status.phase is Phase.DONE:
             assert self.in_flight == 0
-            assert not self.listening
+            assert not self.is_listening
         if self.began_at is None or self.now < self.began_at + TTL_S:
             assert status.accepts_requests
 
--- a/tests/membership/test_followers.py
+++ b/tests/membership/test_followers.py
@@ -1,4 +1,4 @@
-"""Who follows the store, and who tells whom."""
+"""Selection of the nodes that follow the store, and of the nodes that they notify."""
 
 import collections
 
@@ -11,35 +11,37 @@
     return [f"entry-{number:03}" for number in range(count)]
 
 
-def test_all_follow_up_to_the_bound_of_the_mesh():
+def test_all_nodes_follow_up_to_the_maximum_size_of_the_full_mesh():
     nodes = names(dissemination.FULL_MESH_MAX_NODES)
     assert followers.select(nodes) == frozenset(nodes)
 
 
 @pytest.mark.parametrize("count", [17, 82, 360])
-def test_each_node_is_told_by_two_and_no_follower_by_far_the_most(count):
-    """A follower that tells far more nodes than the others is late with a change.
+def test_each_node_is_notified_by_two_followers_with_balanced_load(count):
+    """Guards against a follower that notifies far more nodes than the others do.
 
-    The last of its nodes would still send requests by the former configuration.
+    It would announce a change late, and the last of its nodes would still send requests by
+    the previous configuration.
     """
     nodes = names(count)
     selected = followers.select(nodes)
-    told = collections.Counter()
+    count_by_follower = collections.Counter()
     for node in nodes:
         notifiers = followers.notifiers(node, selected)
-        assert len(notifiers) == (0 if node in selected else followers.NOTIFIERS_PER_NODE)
+        assert len(notifiers) == (0 if node in selected else followers.NOTIFIERS)
         assert set(notifiers) <= selected
-        told.update(notifiers)
-    mean = sum(told.values()) / len(selected)
-    assert max(told.values()) < 2.5 * mean
+        count_by_follower.update(notifiers)
+    mean = sum(count_by_follower.values()) / len(selected)
+    assert max(count_by_follower.values()) < 2.5 * mean
 
 
 @pytest.mark.parametrize("count", [17, 59, 195, 360])
-def test_few_follow_and_one_lost_leaves_each_told_by_two(count):
-    """At a site of hundreds of nodes each follower's calls are paid for.
+def test_few_nodes_follow_and_after_a_loss_each_node_is_still_notified_by_two(count):
+    """Guards against the cost of many followers, and against late changes after a loss.
 
-    One follower goes; until another is chosen, every node must still hear of a change from
-    two, or one lost datagram delays it by a second.
+    At a site of hundreds of nodes the store calls of each follower are billed. After the loss
+    of a follower, until another is selected, every node must still be notified by two, or one
+    lost datagram delays a change by a second.
     """
     nodes = names(count)
     selected = followers.select(nodes)
@@ -50,19 +52,20 @@
 
 
 @pytest.mark.parametrize("count", [17, 59, 82])
-def test_a_third_of_the_nodes_hardly_ever_holds_all_followers(count):
-    """The store turns away a third of the nodes for eight seconds, whichever they are.
+def test_a_random_third_of_the_nodes_is_unlikely_to_contain_all_followers(count):
+    """Guards against an outage of the store for all followers at once.
 
-    Were all followers among them, nobody at the site would learn that an engine leaves.
+    The store refuses a random third of the nodes for eight seconds. If all followers were
+    among them, no node at the site would learn that an engine is leaving.
     """
     selected = followers.select(names(count))
     assert (1 / 3) ** len(selected) < 0.005
 
 
-def test_the_loss_of_a_follower_changes_one_place():
-    """A follower is killed among 82 nodes.
+def test_the_loss_of_a_follower_changes_only_one_follower():
+    """Guards against a load peak at the store when one of 82 nodes, a follower, is killed.
 
-    Were all chosen anew, all would read the whole tables at once.
+    If all followers were replaced, all of the new ones would read the full tables at once.
     """
     nodes = names(82)
     before = followers.select(nodes)
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -1,4 +1,4 @@
-"""The nodes' own list of themselves."""
+"""The nodes' registrations in the store."""
 
 from hornbeamglade.membership import registry
 from hornbeamglade.store import contract, memory
@@ -6,7 +6,7 @@
 OWN = contract.Instance("n1", "a", "10.0.0.1:80", "10.0.0.1:72", False)
 
 
-def test_rows_are_written_replaced_and_taken_away():
+def test_rows_are_written_replaced_and_deleted():
     nodes = registry.Registry(memory.MemoryPlatform())
     moved = contract.Instance("n1", "b", "10.0.0.2:80", "10.0.0.2:72", True)
     nodes.register(OWN)
@@ -17,7 +17,7 @@
     assert nodes.list() == ()
 
 
-def test_row_that_cannot_be_read_hides_no_other():
+def test_malformed_row_does_not_hide_others():
     platform = memory.MemoryPlatform()
     nodes = registry.Registry(platform)
     nodes.register(OWN)
@@ -25,7 +25,7 @@
     assert nodes.list() == (OWN,)
 
 
-def test_outage_is_told():
+def test_outage_is_reported():
     platform = memory.MemoryPlatform()
     platform.set_faults(memory.Faults(down=True))
     nodes = registry.Registry(platform)
