--- a/hornbeamglade/entry/callershandler.py
+++ b/hornbeamglade/entry/callershandler.py
@@ -86,7 +86,7 @@
     async def handle(self, exchange: serverside.Exchange) -> None:
         """Answer one request."""
         parts = self._parts
-        call = parts.words.call(exchange.request)
+        call = parts.words.parse_request(exchange.request)
         if isinstance(call, outcomes.Refusal):
             await self._refuse_unrouted(exchange, call, "-")
             return
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -394,7 +394,7 @@
         self.peering.update_owners()
         # Killed instances come back under their names: their part is not given away.
         names = [each.identity.name for each in self.peering.heartbeats.members()]
-        self._budgets.share_slack(len(names))
+        self._budgets.set_node_count(len(names))
         self._available.set_position(names.index(self._told.name), len(names))
 
     def _forget_departed(self) -> None:
--- a/hornbeamglade/platform/requestdialect.py
+++ b/hornbeamglade/platform/requestdialect.py
@@ -58,7 +58,7 @@
 class PlatformDialect(dialect.Dialect):
     """The platform's headers."""
 
-    def call(self, request: serverside.Request) -> calls.Call | outcomes.Refusal:
+    def parse_request(self, request: serverside.Request) -> calls.Call | outcomes.Refusal:
         """Read a caller's request."""
         request_ids = fields.values(request.fields, _REQUEST_ID)
         if len(request_ids) != 1 or not request_ids[0]:
@@ -101,7 +101,7 @@
         sent.append((b"Last-Event-Id", dispatch.last_event_id.encode()))
         return (*fields.without(call.fields, (_LAST_EVENT,)), *sent)
 
-    def response_head(self, head: clientside.Head) -> calls.ResponseHead:
+    def parse_response_head(self, head: clientside.Head) -> calls.ResponseHead:
         """Read the head of a replica's answer."""
         is_marked = fields.value(head.fields, _NOT_RUN) is not None
         encoding = fields.value(head.fields, b"content-encoding")
--- a/hornbeamglade/routed/attemptlog.py
+++ b/hornbeamglade/routed/attemptlog.py
@@ -22,22 +22,22 @@
     sent: int = 0
     may_have_run: bool = False
     in_flight_replica: str | None = None
-    has_answer: bool = False
+    has_response: bool = False
     limit_per_s: float | None = None
 
-    def begin(self, replica_id: str, limit: ratelimits.RateLimit | None) -> None:
+    def start(self, replica_id: str, limit: ratelimits.RateLimit | None) -> None:
         """Note that the request is being sent to a replica, and the limit that it had named."""
         self.in_flight_replica = replica_id
         self.limit_per_s = None if limit is None else limit.requests_per_s
 
-    def answered(self) -> None:
+    def record_response_started(self) -> None:
         """Note that the replica under way has begun to answer."""
-        self.has_answer = True
+        self.has_response = True
 
-    def note(self, replica_id: str, run: outcomes.RunStatus, was_sent: bool) -> None:
+    def record_end(self, replica_id: str, run: outcomes.RunStatus, was_sent: bool) -> None:
         """Note an attempt that ended without an answer for the caller."""
         self.in_flight_replica = None
-        self.has_answer = False
+        self.has_response = False
         self.tried.append(replica_id)
         self.sent += was_sent
         self.may_have_run = self.may_have_run or run is not outcomes.RunStatus.NOT_RUN
--- a/hornbeamglade/routed/bufferedexchange.py
+++ b/hornbeamglade/routed/bufferedexchange.py
@@ -16,12 +16,12 @@
     sending,
 )
 
-MAX_CONTACTS = 4
+MAX_REPLICAS = 4
 """Replicas that one request turns to, unreachable ones included."""
 
 NO_REPLICA_RETRY_S = 0.4
 FULL_RETRY_S = 0.15
-TURN_WAIT_SHARE = 0.5
+RATE_LIMIT_WAIT_SHARE = 0.5
 """Of the time in which an answer is on time; the rest is for the answer."""
 
 
@@ -50,18 +50,18 @@
         sender: sending.Sender,
         loads: replicaload.ReplicaLoads,
         budgets: retrybudget.RetryBudgets,
-        crashes: crashdetector.CrashDetector,
+        crash_detector: crashdetector.CrashDetector,
         quarantine: requestquarantine.RequestQuarantine,
-        turns: ratelimitqueue.RateLimitQueue,
+        rate_limit_queue: ratelimitqueue.RateLimitQueue,
         clock: clocks.Clock,
     ) -> None:
         self._available = available
         self._sender = sender
         self._loads = loads
         self._budgets = budgets
-        self._crashes = crashes
+        self._crash_detector = crash_detector
         self._quarantine = quarantine
-        self._turns = turns
+        self._rate_limit_queue = rate_limit_queue
         self._clock = clock
 
     async def answer(
@@ -71,60 +71,64 @@
 
         :param log: takes the attempts, for a caller whose time ends meanwhile.
         """
-        best: responses.Response | None = None
+        last_response: responses.Response | None = None
         while True:
             replica = self._choose(routed, log)
             if replica is None:
-                if best is None and await self._turn_comes(routed, log):
+                if last_response is None and await self._wait_for_send_slot(routed, log):
                     continue
-                return best or self._none_left(routed, log)
+                return last_response or self._no_replica_refusal(routed, log)
             refusal = self._quarantine.refusal(routed.fingerprint)
             if refusal is not None:
-                return best or (_failed(routed, log) if log.may_have_run else refusal)
+                return last_response or (
+                    _failure_refusal(routed, log) if log.may_have_run else refusal
+                )
             if log.sent and not self._budgets.spend(routed.service.name, self._clock.now()):
-                return best or _failed(routed, log)
+                return last_response or _failure_refusal(routed, log)
             answer = await self._attempt(routed, replica, log)
             if isinstance(answer, responses.Response):
-                if not self._is_worth_another(routed, answer, log):
+                if not self._should_retry(routed, answer, log):
                     return answer
-                best = answer
-            elif not self._may_go_on(routed, log):
-                return best or _failed(routed, log)
+                last_response = answer
+            elif not self._may_retry(routed, log):
+                return last_response or _failure_refusal(routed, log)
 
     def _choose(
         self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
     ) -> replicamodels.Replica | None:
-        if len(log.tried) >= MAX_CONTACTS:
+        if len(log.tried) >= MAX_REPLICAS:
             return None
         now = self._clock.now()
         usable = [
             replica
-            for replica in self._usable(routed)
+            for replica in self._usable_replicas(routed)
             if replica.id not in log.tried
             and not self._available.cold_wait_s(replica.id, now)
             and not self._available.limit_wait_s(replica.id)
         ]
         return self._loads.choose(usable)
 
-    async def _turn_comes(
+    async def _wait_for_send_slot(
         self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
     ) -> bool:
         """Wait for a turn where all replicas have named limits, while it can be on time."""
-        until = routed.call.arrived_at + TURN_WAIT_SHARE * routed.route.goal_s
-        return len(log.tried) < MAX_CONTACTS and await self._turns.wait(
-            routed.service.name, routed.allowed_regions, log.tried, routed.urgency, until
+        deadline = routed.call.arrived_at + RATE_LIMIT_WAIT_SHARE * routed.route.goal_s
+        return len(log.tried) < MAX_REPLICAS and await self._rate_limit_queue.wait(
+            routed.service.name, routed.allowed_regions, log.tried, routed.urgency, deadline
         )
 
-    def _usable(self, routed: callrouter.RoutedRequest) -> tuple[replicamodels.Replica, ...]:
+    def _usable_replicas(
+        self, routed: callrouter.RoutedRequest
+    ) -> tuple[replicamodels.Replica, ...]:
         return self._available.usable(routed.service.name, routed.allowed_regions)
 
-    def _none_left(
+    def _no_replica_refusal(
         self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
     ) -> outcomes.Refusal:
         if log.tried:
-            return _failed(routed, log)
+            return _failure_refusal(routed, log)
         now = self._clock.now()
-        usable = self._usable(routed)
+        usable = self._usable_replicas(routed)
         if not usable:
             detail = f"no replica of {routed.service.name} that may serve it is in use"
             return outcomes.Refusal("no_replica", 503, detail, retry_after_s=NO_REPLICA_RETRY_S)
@@ -146,49 +150,49 @@
         routed: callrouter.RoutedRequest,
         replica: replicamodels.Replica,
         log: attemptlog.AttemptLog,
-    ) -> responses.Response | sending.Failed:
+    ) -> responses.Response | sending.FailedAttempt:
         team = None if routed.team is None else routed.team.name
-        begun_at = self._clock.now()
-        known = self._loads.known(replica)
-        dispatch = calls.Dispatch(replica.name, team, routed.ends_at - begun_at)
-        outcome: responses.Response | sending.Failed | None = None
+        sent_at = self._clock.now()
+        estimate = self._loads.estimate(replica)
+        dispatch = calls.Dispatch(replica.name, team, routed.ends_at - sent_at)
+        outcome: responses.Response | sending.FailedAttempt | None = None
         load = None
         self._loads.started(replica.id)
-        self._available.started(replica.id, begun_at)
+        self._available.started(replica.id, sent_at)
         self._available.request_sent(replica.id)
-        log.begin(replica.id, self._available.limit(replica.id))
+        log.start(replica.id, self._available.limit(replica.id))
         try:
-            begun = await self._sender.begin(routed, replica, dispatch)
-            if isinstance(begun, sending.Begun):
-                load = begun.head.load
-                if not begun.head.is_misdirected:
-                    self._available.limit_reported(replica.id, begun.head.limit)
-                outcome = await self._finish(begun)
+            started = await self._sender.send(routed, replica, dispatch)
+            if isinstance(started, sending.StartedResponse):
+                load = started.head.load
+                if not started.head.is_misdirected:
+                    self._available.limit_reported(replica.id, started.head.limit)
+                outcome = await self._read_response(started)
             else:
-                outcome = begun
+                outcome = started
         finally:
             failed = not isinstance(outcome, responses.Response) or outcome.status >= 500
             self._loads.ended(replica.id, failed, load)
             if outcome is None:
-                self._crashes.run_unanswered(routed.fingerprint, replica, begun_at)
-        if isinstance(outcome, sending.Failed):
+                self._crash_detector.run_unanswered(routed.fingerprint, replica, sent_at)
+        if isinstance(outcome, sending.FailedAttempt):
             was_sent = outcome.code != "not_connected"
-            log.note(replica.id, outcome.run, was_sent)
+            log.record_end(replica.id, outcome.run, was_sent)
             if outcome.run is outcomes.RunStatus.UNKNOWN:
-                self._crashes.run_lost(routed.fingerprint, replica, begun_at)
+                self._crash_detector.run_lost(routed.fingerprint, replica, sent_at)
         else:
-            log.note(replica.id, outcomes.RunStatus.RAN, True)
+            log.record_end(replica.id, outcomes.RunStatus.RAN, True)
         if failed:
-            self._tell_failure(routed, replica, known, outcome, begun_at)
+            self._log_failure(routed, replica, estimate, outcome, sent_at)
         return outcome
 
-    def _tell_failure(
+    def _log_failure(
         self,
         routed: callrouter.RoutedRequest,
         replica: replicamodels.Replica,
-        known: replicaload.Known,
-        outcome: responses.Response | sending.Failed,
-        begun_at: float,
+        estimate: replicaload.LoadEstimate,
+        outcome: responses.Response | sending.FailedAttempt,
+        sent_at: float,
     ) -> None:
         """Write the line on an attempt that may lead to another one."""
         now = self._clock.now()
@@ -200,39 +204,43 @@
             status=outcome.status if is_answer else None,
             replica=replica.id,
             run="ran" if is_answer else outcome.run.value,
-            load=round(known.business, 3),
-            load_age_s=None if known.age_s is None else round(known.age_s, 3),
+            load=round(estimate.utilization, 3),
+            load_age_s=None if estimate.age_s is None else round(estimate.age_s, 3),
             budget=round(self._budgets.remaining(routed.service.name, now), 1),
-            seconds=round(now - begun_at, 4),
+            seconds=round(now - sent_at, 4),
         )
 
-    async def _finish(self, begun: sending.Begun) -> responses.Response | sending.Failed:
-        body = await self._sender.whole_body(begun)
-        if isinstance(body, sending.Failed):
+    async def _read_response(
+        self, started: sending.StartedResponse
+    ) -> responses.Response | sending.FailedAttempt:
+        body = await self._sender.read_body(started)
+        if isinstance(body, sending.FailedAttempt):
             return body
-        head = begun.head
+        head = started.head
         if head.is_not_run:
-            return sending.Failed("replica_refused", outcomes.RunStatus.NOT_RUN)
+            return sending.FailedAttempt("replica_refused", outcomes.RunStatus.NOT_RUN)
         if not head.is_sealed or head.is_encoded:
-            return sending.Failed("answer_not_proved", outcomes.RunStatus.UNKNOWN)
+            return sending.FailedAttempt("answer_not_proved", outcomes.RunStatus.UNKNOWN)
         return responses.Response(head.status, head.fields, body)
 
-    def _is_worth_another(
+    def _should_retry(
         self,
         routed: callrouter.RoutedRequest,
         answer: responses.Response,
         log: attemptlog.AttemptLog,
     ) -> bool:
         """Tell whether a replica's own failure is worth another attempt."""
-        return answer.status >= 500 and self._may_go_on(routed, log)
+        return answer.status >= 500 and self._may_retry(routed, log)
 
-    def _may_go_on(self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog) -> bool:
+    def _may_retry(self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog) -> bool:
         if not log.may_have_run:
             return True
         return routed.route.is_repeatable and log.sent < routed.route.max_attempts
 
 
-def _failed(routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog) -> outcomes.Refusal:
+def _failure_refusal(
+    routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
+) -> outcomes.Refusal:
     if log.may_have_run:
         detail = f"no replica of {routed.service.name} gave a whole answer"
         return outcomes.Refusal("no_answer", 502, detail, outcomes.RunStatus.UNKNOWN)
--- a/hornbeamglade/routed/calls.py
+++ b/hornbeamglade/routed/calls.py
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Copy:
+class KvCopy:
     """A copy of a run's memory from which the run can go on.
 
     :param source_address: ``ip:port`` that the copy's name belongs to.
@@ -95,7 +95,7 @@
     remaining_s: float
     urgency: int | None = None
     last_event_id: str | None = None
-    copy: Copy | None = None
+    copy: KvCopy | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/hornbeamglade/routed/dialect.py
+++ b/hornbeamglade/routed/dialect.py
@@ -11,7 +11,7 @@
     """Reads callers' requests and backend servers' answers, and writes for both."""
 
     @abc.abstractmethod
-    def call(self, request: serverside.Request) -> calls.Call | outcomes.Refusal:
+    def parse_request(self, request: serverside.Request) -> calls.Call | outcomes.Refusal:
         """Read a caller's request."""
 
     @abc.abstractmethod
@@ -19,5 +19,5 @@
         """Return the fields with which a request goes to a replica."""
 
     @abc.abstractmethod
-    def response_head(self, head: clientside.Head) -> calls.ResponseHead:
+    def parse_response_head(self, head: clientside.Head) -> calls.ResponseHead:
         """Read the head of a replica's answer."""
--- a/hornbeamglade/routed/drainadmission.py
+++ b/hornbeamglade/routed/drainadmission.py
@@ -25,31 +25,31 @@
 from hornbeamglade.core import outcomes
 from hornbeamglade.routed import callrouter, tokentimes
 
-LEAVING = "node_leaving"
-RETRY_S = 0.05
+NODE_LEAVING = "node_leaving"
+OTHER_INSTANCE_RETRY_S = 0.05
 """Other instances take the request at once."""
 
 ALL_LEAVING_RETRY_S = 3.0
 """Instances that are stopped in turn overlap by less than this before the first is back."""
 
-CUT_CHANCE = 0.1
+MAX_TRUNCATION_PROBABILITY = 0.1
 """A request is taken when it ends in time with nine chances in ten: a refusal costs its
 caller some hundredths of a second, a cut the whole answer."""
 
-ALL_LEAVING_CUT_CHANCE = 0.6
+ALL_LEAVING_MAX_TRUNCATION_PROBABILITY = 0.6
 """With nowhere else to go, an answer on time with two chances in five is worth more to its
 caller than one that is late by seconds for certain."""
 
-EARLY_S = 3.0
+EARLY_PERIOD_S = 3.0
 """Operators bear that the end of a stop cuts a request that came this soon after its signal,
 while callers still hold older answers of the directory; a later one was taken knowingly."""
 
-LATE_CUT_CHANCE = 0.01
+LATE_MAX_TRUNCATION_PROBABILITY = 0.01
 
-Outlasts = collections.abc.Callable[[str, str, float], float]
+LengthExceedance = collections.abc.Callable[[str, str, float], float]
 """Returns the chance that an answer of a route and team is longer than some tokens."""
 
-OthersReady = collections.abc.Callable[[], bool]
+OtherInstanceReady = collections.abc.Callable[[], bool]
 """Tells whether another instance takes requests."""
 
 
@@ -64,18 +64,18 @@
     :param begun_at: monotonic seconds of the signal to stop.
     """
 
-    pace: tokentimes.TokenTimes
-    outlasts: Outlasts
-    others_ready: OthersReady
+    token_times: tokentimes.TokenTimes
+    length_exceedance: LengthExceedance
+    is_other_ready: OtherInstanceReady
     ends_at: float | None = None
-    begun_at: float = 0.0
+    stop_requested_at: float = 0.0
 
     def begin(self, now: float, limit_s: float) -> None:
         """Note the signal to stop.
 
         :param limit_s: seconds until the process ends.
         """
-        self.begun_at = now
+        self.stop_requested_at = now
         self.ends_at = now + limit_s
 
     def is_over(self, now: float) -> bool:
@@ -86,26 +86,32 @@
         """Return the refusal of a request that would be cut off, or None to take it."""
         if self.ends_at is None:
             return None
-        has_others = self.others_ready()
-        bearable = CUT_CHANCE if has_others else ALL_LEAVING_CUT_CHANCE
-        if now - self.begun_at > EARLY_S:
-            bearable = LATE_CUT_CHANCE
-        if self._cut_chance(routed, self.ends_at - now) <= bearable:
+        has_other_instance = self.is_other_ready()
+        max_probability = (
+            MAX_TRUNCATION_PROBABILITY
+            if has_other_instance
+            else ALL_LEAVING_MAX_TRUNCATION_PROBABILITY
+        )
+        if now - self.stop_requested_at > EARLY_PERIOD_S:
+            max_probability = LATE_MAX_TRUNCATION_PROBABILITY
+        if self._truncation_probability(routed, self.ends_at - now) <= max_probability:
             return None
         detail = "this node stops before the answer would be whole"
-        retry_s = RETRY_S if has_others else ALL_LEAVING_RETRY_S
-        return outcomes.Refusal(LEAVING, 503, detail, retry_after_s=retry_s)
-
-    def _cut_chance(self, routed: callrouter.RoutedRequest, left_s: float) -> float:
-        """Return the chance that a request does not end within ``left_s``."""
-        left_s -= routed.route.goal_s
-        if left_s <= 0.0:
+        retry_s = OTHER_INSTANCE_RETRY_S if has_other_instance else ALL_LEAVING_RETRY_S
+        return outcomes.Refusal(NODE_LEAVING, 503, detail, retry_after_s=retry_s)
+
+    def _truncation_probability(
+        self, routed: callrouter.RoutedRequest, remaining_s: float
+    ) -> float:
+        """Return the chance that a request does not end within ``remaining_s``."""
+        remaining_s -= routed.route.goal_s
+        if remaining_s <= 0.0:
             return 1.0
         generation = routed.call.generation
         if generation is None or routed.service.engine is None:
             return 0.0
-        tokens = left_s / self.pace.seconds_per_token(routed.service.name)
+        tokens = remaining_s / self.token_times.seconds_per_token(routed.service.name)
         if generation.max_tokens and generation.max_tokens <= tokens:
             return 0.0
         team = "" if routed.team is None else routed.team.name
-        return self.outlasts(routed.route.name, team, tokens)
+        return self.length_exceedance(routed.route.name, team, tokens)
--- a/hornbeamglade/routed/enginecatalog.py
+++ b/hornbeamglade/routed/enginecatalog.py
@@ -10,8 +10,8 @@
 from hornbeamglade.replicas import availability, models, ratelimits
 from hornbeamglade.routing import candidates as candidatelib
 
-UNKNOWN_ROOM_TOKENS = 0
-MOST_CANDIDATES = 64
+UNKNOWN_HEADROOM_TOKENS = 0
+MAX_CANDIDATES = 64
 """Engines that one request compares. A few of many are nearly as good as the best of all, and
 comparing hundreds costs more than placing a request may."""
 
@@ -61,11 +61,11 @@
         """Return the limit that an engine named last, or None."""
         return self._available.limit(replica_id)
 
-    def answered(self, replica_id: str, limit: ratelimits.RateLimit | None) -> None:
+    def record_limit(self, replica_id: str, limit: ratelimits.RateLimit | None) -> None:
         """Take the limit that an engine's answer names, or that it names none."""
         self._available.limit_reported(replica_id, limit)
 
-    def sent(self, replica_id: str) -> None:
+    def record_sent(self, replica_id: str) -> None:
         """Note that a request goes to an engine."""
         self._available.request_sent(replica_id)
 
@@ -78,7 +78,7 @@
         service: str,
         excluded: collections.abc.Container[str],
         regions: frozenset[str] | None = None,
-        spread: int = 0,
+        sample_offset: int = 0,
     ) -> tuple[candidatelib.Candidate, ...]:
         """Return engines of a service that may get work: all, or those of this node and some.
 
@@ -91,9 +91,9 @@
         owned = self._owned()
         state_by_replica = self._schedulers.states_of(owned)
         usable = self._available.usable(service, regions)
-        if len(usable) > MOST_CANDIDATES:
+        if len(usable) > MAX_CANDIDATES:
             own = (replica for replica in usable if replica.id in owned)
-            begin = spread % len(usable)
+            begin = sample_offset % len(usable)
             others = itertools.chain(usable[begin:], usable[:begin])
         else:
             own, others = usable, ()
@@ -103,7 +103,7 @@
             for replica in others
             if replica.id not in owned and self._is_candidate(replica, excluded)
         )
-        fit.extend(itertools.islice(others, MOST_CANDIDATES))
+        fit.extend(itertools.islice(others, MAX_CANDIDATES))
         return tuple(self._candidate(replica, state_by_replica.get(replica.id)) for replica in fit)
 
     def find(
@@ -138,13 +138,13 @@
         # Asked for each grant: the engines of other owners are not looked at.
         owned = self._owned()
         states = self._schedulers.states_of(owned)
-        here = [
+        candidates = [
             self._candidate(each, states[each.id])
             for each in self._available.usable(replica.service)
             if each.id in states
         ]
-        here.sort(key=lambda each: candidatelib.stall_cost_s(work, each, self._settings))
-        return tuple(each.replica for each in here if not each.leaving and not each.ejected)
+        candidates.sort(key=lambda each: candidatelib.stall_cost_s(work, each, self._settings))
+        return tuple(each.replica for each in candidates if not each.leaving and not each.ejected)
 
     def _candidate(
         self, replica: models.Replica, state: schedulerset.SchedulerState | None
@@ -162,16 +162,16 @@
                 leaving=state.leaving,
                 ejected=state.is_unreachable,
             )
-        heard = self._digests.newest(replica.id)
-        digest = None if heard is None else heard.digest
+        received = self._digests.newest(replica.id)
+        digest = None if received is None else received.digest
         return candidatelib.Candidate(
             replica=replica.id,
-            owner="" if heard is None else heard.owner,
+            owner="" if received is None else received.owner,
             local=False,
-            room_tokens=UNKNOWN_ROOM_TOKENS if digest is None else digest.room_tokens,
+            room_tokens=UNKNOWN_HEADROOM_TOKENS if digest is None else digest.room_tokens,
             queued=0 if digest is None else digest.queued,
             expected_wait_s=0.0 if digest is None else digest.expected_wait_ms / 1000,
-            report_age_s=self._digests.age_s(heard),
+            report_age_s=self._digests.age_s(received),
             failure_domain=replica.failure_domain,
             leaving=digest is not None and digest.leaving,
             ejected=digest is not None and digest.ejected,
--- a/hornbeamglade/routed/placefinder.py
+++ b/hornbeamglade/routed/engineselector.py
@@ -15,12 +15,12 @@
     sending,
 )
 
-MAX_CONTACTS = 4
+MAX_REPLICAS = 4
 FULL_RETRY_S = 0.5
 
 
 @dataclasses.dataclass(slots=True)
-class Place:
+class Assignment:
     """Where the run is now.
 
     :param replica: the engine.
@@ -31,11 +31,11 @@
 
     replica: replicamodels.Replica
     grant: asyncgrantacquirer.Grant | None
-    begun: sending.Begun | None = None
+    response: sending.StartedResponse | None = None
     sent_at: float = 0.0
 
 
-class PlaceFinder:
+class EngineSelector:
     """Finds engines for one request, and says when to give up.
 
     :param routed: the request.
@@ -47,72 +47,74 @@
         self,
         routed: callrouter.RoutedRequest,
         log: attemptlog.AttemptLog,
-        parts: rundependencies.RunDependencies,
+        dependencies: rundependencies.RunDependencies,
     ) -> None:
         self._routed = routed
         self._log = log
-        self._parts = parts
-        self._asks = 0
+        self._dependencies = dependencies
+        self._grant_attempts = 0
 
-    async def find(self) -> Place | outcomes.Refusal:
+    async def find(self) -> Assignment | outcomes.Refusal:
         """Get leave to run at an engine; return the refusal when there is none."""
         log, routed = self._log, self._routed
-        now = self._parts.clock.now()
-        if len(log.tried) >= MAX_CONTACTS:
-            return self.failure()
-        refusal = self._quarantined()
+        now = self._dependencies.clock.now()
+        if len(log.tried) >= MAX_REPLICAS:
+            return self.failure_refusal()
+        refusal = self._quarantine_refusal()
         if refusal is not None:
             return refusal
-        if log.sent and not self._parts.budgets.spend(routed.service.name, now):
-            return self.failure()
-        grant = await self._find_grant()
+        if log.sent and not self._dependencies.budgets.spend(routed.service.name, now):
+            return self.failure_refusal()
+        grant = await self._acquire_grant()
         is_refused = isinstance(grant, outcomes.Refusal)
-        self._parts.metrics.routed.placement_s.record(
-            self._parts.clock.now() - now,
+        self._dependencies.metrics.routed.placement_s.record(
+            self._dependencies.clock.now() - now,
             (routed.service.name, "refused" if is_refused else "granted"),
         )
         if isinstance(grant, outcomes.Refusal):
-            return self.failure() if log.may_have_run else grant
-        replica = self._parts.catalog.replica(grant.replica)
+            return self.failure_refusal() if log.may_have_run else grant
+        replica = self._dependencies.catalog.replica(grant.replica)
         # It may have waited for the grant while it was found out.
-        refusal = self.failure() if replica is None else self._quarantined()
+        refusal = self.failure_refusal() if replica is None else self._quarantine_refusal()
         if refusal is not None:
-            self._parts.acquirer.release(grant)
+            self._dependencies.acquirer.release(grant)
             return refusal
-        if not grant.is_granted and self._parts.catalog.is_cold(
-            replica.id, self._parts.clock.now()
+        if not grant.is_granted and self._dependencies.catalog.is_cold(
+            replica.id, self._dependencies.clock.now()
         ):
             # Nobody counts what goes there, and each instance would send its own crowd.
-            return self.failure()
-        return Place(replica, grant)
+            return self.failure_refusal()
+        return Assignment(replica, grant)
 
-    async def _find_grant(self) -> asyncgrantacquirer.Grant | outcomes.Refusal:
+    async def _acquire_grant(self) -> asyncgrantacquirer.Grant | outcomes.Refusal:
         """Get a grant at an engine that may be sent to, by the limit that it named."""
-        routed, parts = self._routed, self._parts
-        deadline = enginework.queue_deadline(routed, parts.clock.now())
+        routed, dependencies = self._routed, self._dependencies
+        deadline = enginework.queue_deadline(routed, dependencies.clock.now())
         while True:
-            placement = self.placement(deadline, frozenset(self._log.tried))
-            grant = await parts.acquirer.acquire(placement)
+            placement_request = self.placement_request(deadline, frozenset(self._log.tried))
+            grant = await dependencies.acquirer.acquire(placement_request)
             if isinstance(grant, asyncgrantacquirer.Grant):
-                if parts.catalog.may_send(grant.replica):
+                if dependencies.catalog.may_send(grant.replica):
                     return grant
                 # Another request has taken the turn there meanwhile.
-                parts.acquirer.release(grant)
-            elif not await parts.turns.wait(
+                dependencies.acquirer.release(grant)
+            elif not await dependencies.rate_limit_queue.wait(
                 routed.service.name,
                 routed.allowed_regions,
                 self._log.tried,
                 routed.urgency,
-                enginework.due(routed),
+                enginework.latest_start_at(routed),
             ):
                 return grant
 
-    def _quarantined(self) -> outcomes.Refusal | None:
+    def _quarantine_refusal(self) -> outcomes.Refusal | None:
         """Return the refusal of a request that crashes its replicas, or None."""
-        refusal = self._parts.quarantine.refusal(self._routed.fingerprint)
-        return self.failure() if refusal is not None and self._log.may_have_run else refusal
+        refusal = self._dependencies.quarantine.refusal(self._routed.fingerprint)
+        return (
+            self.failure_refusal() if refusal is not None and self._log.may_have_run else refusal
+        )
 
-    def placement(
+    def placement_request(
         self, deadline: float, excluded: frozenset[str]
     ) -> asyncgrantacquirer.PlacementRequest:
         """Return what is asked for at engines.
@@ -122,29 +124,29 @@
         """
         service = self._routed.service.name
         regions = self._routed.allowed_regions
-        catalog = self._parts.catalog
-        spread = messages.key_hash(self._routed.call.request_id)
-        self._asks += migration.TRIES
+        catalog = self._dependencies.catalog
+        sample_offset = messages.key_hash(self._routed.call.request_id)
+        self._grant_attempts += migration.MAX_TARGETS
         return asyncgrantacquirer.PlacementRequest(
             work=enginework.work(self._routed),
             weight=1.0,
             deadline=deadline,
-            list_candidates=lambda: catalog.candidates(service, excluded, regions, spread),
+            list_candidates=lambda: catalog.candidates(service, excluded, regions, sample_offset),
             resolve_replica=lambda chosen: catalog.find(chosen, service, excluded, regions),
-            attempt=self._asks,
+            attempt=self._grant_attempts,
             avoid=excluded,
-            due=enginework.due(self._routed),
+            due=enginework.latest_start_at(self._routed),
             known_only=regions is not None,
         )
 
-    def may_run_again(self) -> bool:
+    def may_retry(self) -> bool:
         """Tell whether the request may be sent once more, after what became of it."""
         if not self._log.may_have_run:
             return True
         route = self._routed.route
         return route.is_repeatable and self._log.sent < route.max_attempts
 
-    def failure(self) -> outcomes.Refusal:
+    def failure_refusal(self) -> outcomes.Refusal:
         """Return the refusal that says whether the request may have run."""
         service = self._routed.service.name
         if self._log.may_have_run:
--- a/hornbeamglade/routed/enginework.py
+++ b/hornbeamglade/routed/enginework.py
@@ -5,7 +5,7 @@
 from hornbeamglade.core import outcomes
 from hornbeamglade.routed import callrouter, calls
 
-QUEUE_GOALS = 2.5
+QUEUE_GOAL_MULTIPLE = 2.5
 """A request waits for an engine for so many times the time to its first event that is on
 time. It is late by then but still wanted; much later its caller gives up, and the wait
 would only have kept it from coming back."""
@@ -30,7 +30,7 @@
     )
 
 
-def due(routed: callrouter.RoutedRequest) -> float:
+def latest_start_at(routed: callrouter.RoutedRequest) -> float:
     """Return the monotonic seconds by which a request must start to be on time."""
     generation = routed.call.generation or NO_GENERATION
     read_s = generation.prompt_tokens / promptbacklog.PromptSettings().tokens_per_s
@@ -39,5 +39,5 @@
 
 def queue_deadline(routed: callrouter.RoutedRequest, now: float) -> float:
     """Return the monotonic seconds until which a request waits for an engine."""
-    by_goal = routed.call.arrived_at + QUEUE_GOALS * routed.route.goal_s
-    return min(by_goal, now + QUEUE_SHARE * (routed.ends_at - now))
+    goal_deadline = routed.call.arrived_at + QUEUE_GOAL_MULTIPLE * routed.route.goal_s
+    return min(goal_deadline, now + QUEUE_SHARE * (routed.ends_at - now))
--- a/hornbeamglade/routed/eventrelay.py
+++ b/hornbeamglade/routed/eventrelay.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerStart:
+class ResponseStart:
     """The head with which a caller's answer begins.
 
     :param status: its status.
@@ -45,15 +45,15 @@
         exchange: serverside.Exchange,
         clock: clocks.Clock,
         last_id: str | None,
-        times: metricsstream.StreamTimes | None = None,
+        stream_times: metricsstream.StreamTimes | None = None,
     ) -> None:
-        self._times = times
+        self._stream_times = stream_times
         self._exchange = exchange
         self._clock = clock
         self._splitter = eventsplit.EventSplitter()
         self.last_id = last_id
-        self.count = 0
-        self.has_begun = False
+        self.event_count = 0
+        self.has_started = False
         self.first_at: float | None = None
         self.last_at: float | None = None
         self.longest_gap_s = 0.0
@@ -62,52 +62,52 @@
         """Forget the torn event at the end of a connection that was lost."""
         self._splitter = eventsplit.EventSplitter()
 
-    async def take(self, data: bytes, start: AnswerStart) -> bool:
+    async def relay(self, data: bytes, start: ResponseStart) -> bool:
         """Pass on what is whole; return False when an event is missing."""
         for event in self._splitter.feed(data):
             if self._is_repeated(event):
                 continue
-            if self._leaves_a_gap(event):
+            if self._is_after_gap(event):
                 return False
-            await self._begin(start)
-            self._note(event)
+            await self._start_response(start)
+            self._record(event)
             await self._exchange.send(event.data)
         return True
 
-    async def finish(self, start: AnswerStart) -> bool:
+    async def finish(self, start: ResponseStart) -> bool:
         """End the answer as complete; return False when an event is torn."""
-        if self._splitter.rest.strip():
+        if self._splitter.remainder.strip():
             return False
-        await self._begin(start)
+        await self._start_response(start)
         await self._exchange.finish()
         return True
 
-    async def _begin(self, start: AnswerStart) -> None:
-        if not self.has_begun:
-            self.has_begun = True
+    async def _start_response(self, start: ResponseStart) -> None:
+        if not self.has_started:
+            self.has_started = True
             await self._exchange.begin(start.status, start.fields)
 
-    def _note(self, event: eventsplit.Event) -> None:
+    def _record(self, event: eventsplit.Event) -> None:
         now = self._clock.now()
-        if self._times is not None:
-            self._times.token(now)
+        if self._stream_times is not None:
+            self._stream_times.token(now)
         if self.first_at is None:
             self.first_at = now
         if self.last_at is not None:
             self.longest_gap_s = max(self.longest_gap_s, now - self.last_at)
         self.last_at = now
-        self.count += 1
+        self.event_count += 1
         if event.id is not None:
             self.last_id = event.id
 
     def _is_repeated(self, event: eventsplit.Event) -> bool:
-        last, this = _number(self.last_id), _number(event.id)
+        last, this = _sequence_number(self.last_id), _sequence_number(event.id)
         return last is not None and this is not None and this <= last
 
-    def _leaves_a_gap(self, event: eventsplit.Event) -> bool:
-        last, this = _number(self.last_id), _number(event.id)
+    def _is_after_gap(self, event: eventsplit.Event) -> bool:
+        last, this = _sequence_number(self.last_id), _sequence_number(event.id)
         return last is not None and this is not None and this > last + 1
 
 
-def _number(event_id: str | None) -> int | None:
+def _sequence_number(event_id: str | None) -> int | None:
     return int(event_id) if event_id is not None and event_id.isdigit() else None
--- a/hornbeamglade/routed/eventsplit.py
+++ b/hornbeamglade/routed/eventsplit.py
@@ -28,7 +28,7 @@
     >>> splitter = EventSplitter()
     >>> splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
     [Event(data=b'id: 1\ndata: a\n\n', id='1')]
-    >>> splitter.rest
+    >>> splitter.remainder
     b'id: 2\nda'
     """
 
@@ -36,7 +36,7 @@
         self._buffer = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """What has come of an event that is not whole."""
         return self._buffer
 
--- a/hornbeamglade/routed/migration.py
+++ b/hornbeamglade/routed/migration.py
@@ -34,9 +34,9 @@
 COPY_TIMEOUT_S = 2.5
 """Longer than any notice of a stop: an engine that is gone resets the call."""
 
-LAST_COPY_TIMEOUT_S = 0.8
-ROOM_AGAIN_S = 0.1
-TRIES = 3
+FINAL_COPY_TIMEOUT_S = 0.8
+TARGET_RETRY_INTERVAL_S = 0.1
+MAX_TARGETS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
     """
 
     replica: replicamodels.Replica
-    copy: calls.Copy
+    copy: calls.KvCopy
     grant: asyncgrantacquirer.Grant | None
 
 
@@ -65,8 +65,8 @@
     :param placement: asks for room elsewhere.
     :param parts: what it works with.
 
-    Its ``room_s`` is how long it looked for room, ``turn_s`` how long it waited for its turn,
-    and ``copy_s`` how long its memory was being copied; None while it has not come to that.
+    The attributes ``search_s``, ``slot_wait_s`` and ``copy_s`` are the seconds spent on finding
+    a target, on waiting for the migration slot and on copying; None until that step begins.
     """
 
     def __init__(
@@ -74,22 +74,22 @@
         source: replicamodels.Replica,
         request_id: str,
         placement: asyncgrantacquirer.PlacementRequest,
-        parts: "MigrationDependencies",
+        dependencies: "MigrationDependencies",
     ) -> None:
         self._source = source
         self._request_id = request_id
         self._placement = placement
-        self._parts = parts
-        self._held: asyncgrantacquirer.Grant | None = None
+        self._dependencies = dependencies
+        self._grant: asyncgrantacquirer.Grant | None = None
         self._is_copying = False
         self._has_ended = False
         self.destination: Destination | None = None
         self.has_stopped_run = False
         self.outcome = "begun"
-        self.room_s: float | None = None
-        self.turn_s: float | None = None
-        self._found_at = 0.0
-        self._copying_since: float | None = None
+        self.search_s: float | None = None
+        self.slot_wait_s: float | None = None
+        self._target_found_at = 0.0
+        self._copy_started_at: float | None = None
 
     async def run(self, produced: int) -> None:
         """Move the run; what came of it is in the attributes.
@@ -98,27 +98,27 @@
         """
         tokens = self._placement.work.prompt_tokens + produced
         placement = dataclasses.replace(self._placement, produced=max(1, produced))
-        turns = self._parts.turns
-        begun_at = self._parts.clock.now()
-        target = await self._find_room(placement)
-        self.room_s = self._parts.clock.now() - begun_at
+        migration_slots = self._dependencies.migration_slots
+        started_at = self._dependencies.clock.now()
+        target = await self._wait_for_target(placement)
+        self.search_s = self._dependencies.clock.now() - started_at
         if target is None:
             self.outcome = "no_room"
             return
-        found_at = self._parts.clock.now()
+        target_found_at = self._dependencies.clock.now()
         try:
-            await turns.acquire(self._source.id, self._request_id, tokens)
-            self._found_at = found_at
-            await self._copy_and_stop(placement, target)
+            await migration_slots.acquire(self._source.id, self._request_id, tokens)
+            self._target_found_at = target_found_at
+            await self._try_targets(placement, target)
         finally:
-            turns.release(self._source.id, self._request_id)
+            migration_slots.release(self._source.id, self._request_id)
             self._release()
 
     @property
     def copy_s(self) -> float | None:
         """Seconds since its memory began to be copied, or None before."""
-        since = self._copying_since
-        return None if since is None else self._parts.clock.now() - since
+        since = self._copy_started_at
+        return None if since is None else self._dependencies.clock.now() - since
 
     def run_ended(self, task: asyncio.Task[None]) -> None:
         """Give up the move, as the run has ended or its caller has left.
@@ -131,7 +131,7 @@
         """
         self._has_ended = True
         if self._is_copying:
-            self._parts.keep(task)
+            self._dependencies.track(task)
             return
         task.cancel()
         self.abandon()
@@ -142,132 +142,134 @@
         if destination is None:
             return
         if destination.grant is not None:
-            self._parts.acquirer.release(destination.grant)
-        self._drop(destination.copy.name, destination.replica)
+            self._dependencies.acquirer.release(destination.grant)
+        self._free_copy(destination.copy.name, destination.replica)
 
-    def _drop(self, name: str, at: replicamodels.Replica) -> None:
+    def _free_copy(self, name: str, at: replicamodels.Replica) -> None:
         """Free a copy at both engines, or at the other one where the source is gone."""
-        self._parts.drop(name, (self._source.address, at.address))
+        self._dependencies.free_copy(name, (self._source.address, at.address))
 
-    async def _copy_and_stop(
+    async def _try_targets(
         self, placement: asyncgrantacquirer.PlacementRequest, first: "_Target"
     ) -> None:
         target: _Target | None = first
-        for attempt in range(1, TRIES + 1):
+        for attempt in range(1, MAX_TARGETS + 1):
             if target is None:
                 self.outcome = "no_room"
                 return
-            if await self._copy_and_stop_at(*target):
+            if await self._migrate_in_arrival_slot(*target):
                 return
-            target = await self._look_for_room(
+            target = await self._find_target(
                 dataclasses.replace(placement, attempt=placement.attempt + attempt)
             )
 
-    async def _copy_and_stop_at(
+    async def _migrate_in_arrival_slot(
         self, grant: asyncgrantacquirer.Grant, replica: replicamodels.Replica
     ) -> bool:
         """Move the run to one engine at its turn there; return whether the move has ended."""
-        if not self._parts.arrivals_in_turn:
-            return await self._move_to(grant, replica)
-        turns = self._parts.turns
+        if not self._dependencies.arrivals_in_turn:
+            return await self._migrate_to(grant, replica)
+        migration_slots = self._dependencies.migration_slots
         arrival = (replica.id, self._request_id)
         try:
-            await turns.acquire(
+            await migration_slots.acquire(
                 *arrival,
                 self._placement.work.prompt_tokens,
                 migrationcoordinator.SlotDirection.ARRIVE,
             )
-            return await self._move_to(grant, replica)
+            return await self._migrate_to(grant, replica)
         finally:
-            turns.release(*arrival, migrationcoordinator.SlotDirection.ARRIVE)
+            migration_slots.release(*arrival, migrationcoordinator.SlotDirection.ARRIVE)
 
-    async def _move_to(
+    async def _migrate_to(
         self, grant: asyncgrantacquirer.Grant, replica: replicamodels.Replica
     ) -> bool:
         """Copy the run to one engine and stop it; return whether the move has ended."""
-        if self._parts.catalog.is_evacuated(replica):
+        if self._dependencies.catalog.is_evacuated(replica):
             # It may have waited for its turns for seconds since the engine let it in.
             self._release()
             self.outcome = "evacuated"
             return self._has_ended
-        if self._copying_since is None:
-            self._copying_since = self._parts.clock.now()
-            self.turn_s = self._copying_since - self._found_at
-        made = await self._copy(replica, is_last=False)
-        if isinstance(made, models.CopyFailed):
+        if self._copy_started_at is None:
+            self._copy_started_at = self._dependencies.clock.now()
+            self.slot_wait_s = self._copy_started_at - self._target_found_at
+        result = await self._copy(replica, is_last=False)
+        if isinstance(result, models.CopyFailed):
             self._release()
-            self.outcome = made.code
-            return self._has_ended or made.code in ("no_run", "no_answer")
+            self.outcome = result.code
+            return self._has_ended or result.code in ("no_run", "no_answer")
         if self._has_ended:
-            self._drop(made.name, replica)
+            self._free_copy(result.name, replica)
             self.outcome = "run_ended"
             return True
-        copy = calls.Copy(self._source.address, made.name)
-        self.destination, self._held = Destination(replica, copy, grant), None
-        return await self._stop(replica)
+        copy = calls.KvCopy(self._source.address, result.name)
+        self.destination, self._grant = Destination(replica, copy, grant), None
+        return await self._stop_and_copy_rest(replica)
 
-    async def _stop(self, replica: replicamodels.Replica) -> bool:
+    async def _stop_and_copy_rest(self, replica: replicamodels.Replica) -> bool:
         """Stop the run and copy what is new; return whether the move is at its end."""
-        made = await self._copy(replica, is_last=True)
+        result = await self._copy(replica, is_last=True)
         if self._has_ended:
             self.abandon()
             self.outcome = "run_ended"
             return True
-        if isinstance(made, models.CopySucceeded):
+        if isinstance(result, models.CopySucceeded):
             self.has_stopped_run = True
             self.outcome = "moved"
             return True
-        self.outcome = f"stop_{made.code}"
-        if made.name is None:
+        self.outcome = f"stop_{result.code}"
+        if result.name is None:
             # The run was not stopped: it goes on, and another engine may be tried.
-            if made.code in ("busy", "no_room"):
+            if result.code in ("busy", "no_room"):
                 self.abandon()
                 return False
             return True
         # The run was stopped, and its memory is where it was: it can only go on there.
         self.abandon()
         self.has_stopped_run = True
-        copy = calls.Copy(self._source.address, made.name)
+        copy = calls.KvCopy(self._source.address, result.name)
         self.destination = Destination(self._source, copy, None)
         return True
 
-    async def _find_room(self, placement: asyncgrantacquirer.PlacementRequest) -> "_Target | None":
+    async def _wait_for_target(
+        self, placement: asyncgrantacquirer.PlacementRequest
+    ) -> "_Target | None":
         """Look for room until there is some, or the engine must be gone."""
-        while self._parts.clock.now() < placement.deadline:
-            target = await self._look_for_room(placement)
+        while self._dependencies.clock.now() < placement.deadline:
+            target = await self._find_target(placement)
             if target is not None:
                 return target
-            await asyncio.sleep(ROOM_AGAIN_S)
+            await asyncio.sleep(TARGET_RETRY_INTERVAL_S)
         return None
 
-    async def _look_for_room(
+    async def _find_target(
         self, placement: asyncgrantacquirer.PlacementRequest
     ) -> "_Target | None":
-        grant = await self._parts.acquirer.acquire_for_migration(
+        grant = await self._dependencies.acquirer.acquire_for_migration(
             placement, self._source.failure_domain
         )
         if grant is None:
             return None
-        replica = self._parts.catalog.replica(grant.replica)
+        replica = self._dependencies.catalog.replica(grant.replica)
         if replica is None:
-            self._parts.acquirer.release(grant)
+            self._dependencies.acquirer.release(grant)
             return None
-        self._held = grant
+        self._grant = grant
         return grant, replica
 
     def _release(self) -> None:
         """Give back leave that did not come to be used."""
-        held, self._held = self._held, None
-        if held is not None:
-            self._parts.acquirer.release(held)
+        grant, self._grant = self._grant, None
+        if grant is not None:
+            self._dependencies.acquirer.release(grant)
 
     async def _copy(
         self, to: replicamodels.Replica, *, is_last: bool
     ) -> models.CopySucceeded | models.CopyFailed:
-        timeout_s = LAST_COPY_TIMEOUT_S if is_last else COPY_TIMEOUT_S
+        timeout_s = FINAL_COPY_TIMEOUT_S if is_last else COPY_TIMEOUT_S
         self._is_copying = True
         try:
-            return await self._parts.engines.copy_kv_cache(
+            return await self._dependencies.engines.copy_kv_cache(
                 self._source.address,
                 self._request_id,
                 to.address,
@@ -292,22 +294,22 @@
 
     engines: control.EngineControl
     acquirer: asyncgrantacquirer.AsyncGrantAcquirer
-    turns: migrationcoordinator.MigrationCoordinator
+    migration_slots: migrationcoordinator.MigrationCoordinator
     catalog: enginecatalog.EngineCatalog
     clock: clocks.Clock
     arrivals_in_turn: bool = True
     tasks: set[asyncio.Task[None]] = dataclasses.field(default_factory=set)
 
-    def drop(self, name: str, addresses: tuple[str, ...]) -> None:
+    def free_copy(self, name: str, addresses: tuple[str, ...]) -> None:
         """Free a copy in the background, at the first of some engines that answers."""
-        self.keep(asyncio.ensure_future(self._drop(name, addresses)))
+        self.track(asyncio.ensure_future(self._free_copy(name, addresses)))
 
-    def keep(self, task: asyncio.Task[None]) -> None:
+    def track(self, task: asyncio.Task[None]) -> None:
         """Let a task go on for which nobody waits any more."""
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _drop(self, name: str, addresses: tuple[str, ...]) -> None:
+    async def _free_copy(self, name: str, addresses: tuple[str, ...]) -> None:
         for address in addresses:
             if await self.engines.drop_copy(address, name):
                 return
--- a/hornbeamglade/routed/ratelimitqueue.py
+++ b/hornbeamglade/routed/ratelimitqueue.py
@@ -16,7 +16,7 @@
 from hornbeamglade.core import clocks
 from hornbeamglade.replicas import availability
 
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 """A turn that another request did not use after all is seen this soon."""
 
 
@@ -30,16 +30,16 @@
     def __init__(self, available: availability.Availability, clock: clocks.Clock) -> None:
         self._available = available
         self._clock = clock
-        self._numbers = itertools.count()
-        self._waiting_by_service: dict[str, list[tuple[int, int]]] = {}
+        self._arrival_numbers = itertools.count()
+        self._queue_by_service: dict[str, list[tuple[int, int]]] = {}
 
     async def wait(
         self,
         service: str,
         regions: frozenset[str] | None,
-        tried: collections.abc.Container[str],
+        excluded: collections.abc.Container[str],
         urgency: int,
-        until: float,
+        deadline: float,
     ) -> bool:
         """Wait for a turn at any replica; return whether there is one.
 
@@ -48,45 +48,45 @@
         :param urgency: the request's rank, 0 first.
         :param until: monotonic seconds at which it must start to be on time.
         """
-        limited = self._limited(service, regions, tried)
-        waiting = self._waiting_by_service.setdefault(service, [])
-        place = (urgency, next(self._numbers))
-        left_s = until - self._clock.now()
-        turns = sum(self._available.send_slots_within(each, left_s) for each in limited)
-        if bisect.bisect(waiting, place) >= turns:
+        limited = self._rate_limited_replicas(service, regions, excluded)
+        queue = self._queue_by_service.setdefault(service, [])
+        position = (urgency, next(self._arrival_numbers))
+        left_s = deadline - self._clock.now()
+        send_slots = sum(self._available.send_slots_within(each, left_s) for each in limited)
+        if bisect.bisect(queue, position) >= send_slots:
             return False
-        bisect.insort(waiting, place)
+        bisect.insort(queue, position)
         try:
-            return await self._wait_in_line(limited, waiting, place, until)
+            return await self._wait_until_first(limited, queue, position, deadline)
         finally:
-            waiting.remove(place)
+            queue.remove(position)
 
-    async def _wait_in_line(
+    async def _wait_until_first(
         self,
         limited: list[str],
-        waiting: list[tuple[int, int]],
-        place: tuple[int, int],
-        until: float,
+        queue: list[tuple[int, int]],
+        position: tuple[int, int],
+        deadline: float,
     ) -> bool:
-        while self._clock.now() < until:
+        while self._clock.now() < deadline:
             wait_s = min(self._available.limit_wait_s(each) for each in limited)
-            if wait_s <= 0.0 and waiting[0] == place:
+            if wait_s <= 0.0 and queue[0] == position:
                 return True
-            await asyncio.sleep(max(LOOK_S, min(wait_s, until - self._clock.now())))
+            await asyncio.sleep(max(POLL_INTERVAL_S, min(wait_s, deadline - self._clock.now())))
         return False
 
-    def _limited(
+    def _rate_limited_replicas(
         self,
         service: str,
         regions: frozenset[str] | None,
-        tried: collections.abc.Container[str],
+        excluded: collections.abc.Container[str],
     ) -> list[str]:
         """Return the replicas that only their limits keep from getting a request.
 
         None where another replica may get it: it is not for want of a turn that it did not.
         """
         usable = [
-            each.id for each in self._available.usable(service, regions) if each.id not in tried
+            each.id for each in self._available.usable(service, regions) if each.id not in excluded
         ]
         limited = [each for each in usable if self._available.limit(each) is not None]
         return limited if len(limited) == len(usable) else []
--- a/hornbeamglade/routed/replicaload.py
+++ b/hornbeamglade/routed/replicaload.py
@@ -9,7 +9,7 @@
 from hornbeamglade.replicas import models
 from hornbeamglade.routed import calls
 
-LOAD_LIFE_S = 1.0
+LOAD_REPORT_TTL_S = 1.0
 """A replica's word of its load counts for so long: by then most of the requests that it
 spoke of have ended, as a plain request runs for a tenth of a second."""
 
@@ -20,42 +20,42 @@
 probe that finds it well again."""
 
 SMOOTHING = 0.2
-DOUBTED = 0.5
-TRUSTED = 0.2
+DISTRUST_THRESHOLD = 0.5
+TRUST_THRESHOLD = 0.2
 """A replica is told as doubted, and as trusted again, at these shares of failures."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Record:
     outstanding: int = 0
-    told: calls.Load | None = None
-    told_at: float = 0.0
-    own_when_told: int = 0
-    failing: float = 0.0
-    failing_at: float = 0.0
-    is_doubted: bool = False
-
-    def others(self, now: float) -> float:
+    reported: calls.Load | None = None
+    reported_at: float = 0.0
+    own_when_reported: int = 0
+    failure_rate: float = 0.0
+    failure_rate_at: float = 0.0
+    is_distrusted: bool = False
+
+    def other_requests(self, now: float) -> float:
         """Return what callers of other nodes are thought to have there."""
-        if self.told is None or now - self.told_at > LOAD_LIFE_S:
+        if self.reported is None or now - self.reported_at > LOAD_REPORT_TTL_S:
             return 0.0
-        others = self.told.running + self.told.waiting - self.own_when_told
-        return max(0.0, others) * (1.0 - (now - self.told_at) / LOAD_LIFE_S)
+        other_requests = self.reported.running + self.reported.waiting - self.own_when_reported
+        return max(0.0, other_requests) * (1.0 - (now - self.reported_at) / LOAD_REPORT_TTL_S)
 
-    def failures(self, now: float) -> float:
+    def decayed_failure_rate(self, now: float) -> float:
         """Return the share of late requests that failed, fading with time."""
-        return self.failing * 0.5 ** ((now - self.failing_at) / FAILURE_HALF_LIFE_S)
+        return self.failure_rate * 0.5 ** ((now - self.failure_rate_at) / FAILURE_HALF_LIFE_S)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Known:
+class LoadEstimate:
     """What a choice goes by, for the log.
 
     :param business: share of its slots that are thought to be used, failures added.
     :param age_s: seconds since the replica's own word, or None when it gave none.
     """
 
-    business: float
+    utilization: float
     age_s: float | None
 
 
@@ -76,14 +76,16 @@
         if not replicas:
             return None
         now = self._clock.now()
-        return min(replicas, key=lambda each: (self._business(each, now), self._rng.random()))
+        return min(replicas, key=lambda each: (self._utilization(each, now), self._rng.random()))
 
-    def known(self, replica: models.Replica) -> Known:
+    def estimate(self, replica: models.Replica) -> LoadEstimate:
         """Return what a choice of the replica goes by now."""
         now = self._clock.now()
         record = self._record_by_id.get(replica.id)
-        has_word = record is not None and record.told is not None
-        return Known(self._business(replica, now), now - record.told_at if has_word else None)
+        has_report = record is not None and record.reported is not None
+        return LoadEstimate(
+            self._utilization(replica, now), now - record.reported_at if has_report else None
+        )
 
     def started(self, replica_id: str) -> None:
         """Count a request to a replica."""
@@ -100,13 +102,13 @@
         record.outstanding -= 1
         if load is not None:
             # The request that carried this word is still counted in it.
-            record.told = load
-            record.told_at = now
-            record.own_when_told = record.outstanding + 1
-        before = record.failures(now)
-        record.failing = before + SMOOTHING * (float(failed) - before)
-        record.failing_at = now
-        _tell_trust(replica_id, record)
+            record.reported = load
+            record.reported_at = now
+            record.own_when_reported = record.outstanding + 1
+        before = record.decayed_failure_rate(now)
+        record.failure_rate = before + SMOOTHING * (float(failed) - before)
+        record.failure_rate_at = now
+        _log_trust_change(replica_id, record)
 
     def forget_absent(self, present: collections.abc.Container[str]) -> None:
         """Drop what is known of replicas that are gone."""
@@ -114,24 +116,26 @@
             if replica_id not in present and not self._record_by_id[replica_id].outstanding:
                 del self._record_by_id[replica_id]
 
-    def _business(self, replica: models.Replica, now: float) -> float:
+    def _utilization(self, replica: models.Replica, now: float) -> float:
         record = self._record_by_id.get(replica.id)
         if record is None:
             return 0.0
-        used = (record.outstanding + record.others(now)) / max(1, replica.slots)
-        return used + FAILURE_WEIGHT * record.failures(now)
+        used = (record.outstanding + record.other_requests(now)) / max(1, replica.slots)
+        return used + FAILURE_WEIGHT * record.decayed_failure_rate(now)
 
     def _record(self, replica_id: str) -> _Record:
         return self._record_by_id.setdefault(replica_id, _Record())
 
 
-def _tell_trust(replica_id: str, record: _Record) -> None:
+def _log_trust_change(replica_id: str, record: _Record) -> None:
     """Write a line when a replica comes to be avoided for its failures, or is no more."""
-    is_doubted = record.failing > (TRUSTED if record.is_doubted else DOUBTED)
-    if is_doubted is record.is_doubted:
+    is_distrusted = record.failure_rate > (
+        TRUST_THRESHOLD if record.is_distrusted else DISTRUST_THRESHOLD
+    )
+    if is_distrusted is record.is_distrusted:
         return
-    record.is_doubted = is_doubted
-    before, after = ("trusted", "doubted") if is_doubted else ("doubted", "trusted")
+    record.is_distrusted = is_distrusted
+    before, after = ("trusted", "doubted") if is_distrusted else ("doubted", "trusted")
     logs.state_changed(
-        "replica_trust", before, after, replica=replica_id, load=round(record.failing, 3)
+        "replica_trust", before, after, replica=replica_id, load=round(record.failure_rate, 3)
     )
--- a/hornbeamglade/routed/retrybudget.py
+++ b/hornbeamglade/routed/retrybudget.py
@@ -16,7 +16,7 @@
 
 BUCKETS = 10
 
-Told = collections.abc.Callable[[str, str], None]
+AttemptObserver = collections.abc.Callable[[str, str], None]
 """Called with a service and what became of one more attempt: ``made``, ``denied`` or, for a
 run that goes on elsewhere, ``resumed``."""
 
@@ -66,7 +66,7 @@
     ========
 
     >>> budgets = RetryBudgets(BudgetSettings(ratio=0.5, slack=2.0, window_s=10.0))
-    >>> budgets.share_slack(2)
+    >>> budgets.set_node_count(2)
     >>> [budgets.spend("web", now=1.0) for _ in range(2)]
     [True, False]
     >>> budgets.record_request("web", now=2.0)
@@ -76,11 +76,13 @@
     """
 
     def __init__(
-        self, settings: BudgetSettings, told: Told = lambda _service, _outcome: None
+        self,
+        settings: BudgetSettings,
+        on_attempt: AttemptObserver = lambda _service, _outcome: None,
     ) -> None:
-        self._told = told
+        self._on_attempt = on_attempt
         self._settings = settings
-        self._nodes = 1
+        self._node_count = 1
         self._requests_by_service: dict[str, _Window] = {}
         self._retries_by_service: dict[str, _Window] = {}
 
@@ -91,9 +93,9 @@
             self._retries_by_service.clear()
         self._settings = settings
 
-    def share_slack(self, nodes: int) -> None:
+    def set_node_count(self, node_count: int) -> None:
         """Note how many nodes there may be."""
-        self._nodes = max(1, nodes)
+        self._node_count = max(1, node_count)
 
     def record_request(self, service: str, now: float) -> None:
         """Count a request's first attempt."""
@@ -104,16 +106,16 @@
         settings = self._settings
         retries = self._window(self._retries_by_service, service)
         requests = self._window(self._requests_by_service, service).total(now, BUCKETS)
-        allowed = settings.ratio * requests + settings.slack / self._nodes
+        allowed = settings.ratio * requests + settings.slack / self._node_count
         # One bucket more: the operator's window may begin anywhere in the oldest one.
         return allowed - retries.total(now, BUCKETS + 1)
 
     def spend(self, service: str, now: float) -> bool:
         """Take one more attempt from the budget; return whether there was one."""
         if self.remaining(service, now) < 1.0:
-            self._told(service, "denied")
+            self._on_attempt(service, "denied")
             return False
-        self._told(service, "made")
+        self._on_attempt(service, "made")
         self._window(self._retries_by_service, service).add(1, now)
         return True
 
@@ -123,7 +125,7 @@
         A run that goes on at another engine is lost otherwise; such attempts are few, and
         what they take is missing for others.
         """
-        self._told(service, "resumed")
+        self._on_attempt(service, "resumed")
         self._window(self._retries_by_service, service).add(1, now)
 
     def _window(self, by_service: dict[str, _Window], service: str) -> _Window:
--- a/hornbeamglade/routed/rundependencies.py
+++ b/hornbeamglade/routed/rundependencies.py
@@ -40,13 +40,13 @@
     sender: sending.Sender
     acquirer: asyncgrantacquirer.AsyncGrantAcquirer
     catalog: enginecatalog.EngineCatalog
-    moves: migration.MigrationDependencies
+    migration_dependencies: migration.MigrationDependencies
     registry: runregistry.RunRegistry
     budgets: retrybudget.RetryBudgets
-    crashes: crashdetector.CrashDetector
+    crash_detector: crashdetector.CrashDetector
     quarantine: requestquarantine.RequestQuarantine
-    learn: collections.abc.Callable[[str, str, int, bool], None]
-    pace: tokentimes.TokenTimes
+    record_length: collections.abc.Callable[[str, str, int, bool], None]
+    token_times: tokentimes.TokenTimes
     metrics: metrics.NodeMetrics
-    turns: ratelimitqueue.RateLimitQueue
+    rate_limit_queue: ratelimitqueue.RateLimitQueue
     clock: clocks.Clock
--- a/hornbeamglade/routed/runregistry.py
+++ b/hornbeamglade/routed/runregistry.py
@@ -23,11 +23,11 @@
     def __init__(self) -> None:
         self._runs_by_replica: dict[str, set[Run]] = collections.defaultdict(set)
 
-    def enter(self, replica_id: str, run: Run) -> None:
+    def add(self, replica_id: str, run: Run) -> None:
         """Note that a run is at a replica."""
         self._runs_by_replica[replica_id].add(run)
 
-    def leave(self, replica_id: str, run: Run) -> None:
+    def remove(self, replica_id: str, run: Run) -> None:
         """Note that a run is there no more; idempotent."""
         runs = self._runs_by_replica.get(replica_id)
         if runs is None:
--- a/hornbeamglade/routed/streamrun.py
+++ b/hornbeamglade/routed/streamrun.py
@@ -11,17 +11,17 @@
     attemptlog,
     callrouter,
     calls,
+    engineselector,
     enginework,
     eventrelay,
     migration,
-    placefinder,
     responses,
     rundependencies,
     runregistry,
     sending,
 )
 
-HANDOVER_WAIT_S = 2.0
+MIGRATION_WAIT_S = 2.0
 """Once its stream is closed, a run waits for its move to come to an end; that takes a
 few hundredths of a second, or the engine is gone and the move ends with it."""
 
@@ -67,42 +67,44 @@
         routed: callrouter.RoutedRequest,
         exchange: serverside.Exchange,
         log: attemptlog.AttemptLog,
-        parts: rundependencies.RunDependencies,
+        dependencies: rundependencies.RunDependencies,
     ) -> None:
         self._routed = routed
         self._exchange = exchange
         self._log = log
-        self._parts = parts
-        self._times = parts.metrics.stream_times(routed.service.name, routed.call.arrived_at)
+        self._dependencies = dependencies
+        self._stream_times = dependencies.metrics.stream_times(
+            routed.service.name, routed.call.arrived_at
+        )
         self._relay = eventrelay.EventRelay(
-            exchange, parts.clock, routed.call.last_event_id, self._times
+            exchange, dependencies.clock, routed.call.last_event_id, self._stream_times
         )
-        self._places = placefinder.PlaceFinder(routed, log, parts)
-        self._place: placefinder.Place | None = None
-        self._start: eventrelay.AnswerStart | None = None
+        self._selector = engineselector.EngineSelector(routed, log, dependencies)
+        self._assignment: engineselector.Assignment | None = None
+        self._response_start: eventrelay.ResponseStart | None = None
         self._first_event = asyncio.Event()
-        self._handover: migration.Migration | None = None
-        self._handover_task: asyncio.Task[None] | None = None
-        self._moves = 0
+        self._migration: migration.Migration | None = None
+        self._migration_task: asyncio.Task[None] | None = None
+        self._migration_count = 0
 
     async def answer(self) -> outcomes.Refusal | responses.Response | StreamResult:
         """Answer the request.
 
         :returns: what the caller gets in place of a stream, or what became of it.
         """
-        is_whole = False
+        is_complete = False
         try:
-            answer = await self._begin()
-            if not isinstance(answer, sending.Begun):
+            answer = await self._start_stream()
+            if not isinstance(answer, sending.StartedResponse):
                 return answer
-            is_whole = await self._stream()
-            if not is_whole and not self._relay.has_begun:
-                return self._places.failure()
-            if not is_whole:
+            is_complete = await self._relay_stream()
+            if not is_complete and not self._relay.has_started:
+                return self._selector.failure_refusal()
+            if not is_complete:
                 self._exchange.abort()
-            return self.result(is_whole)
+            return self.result(is_complete)
         finally:
-            self._end(is_whole)
+            self._finish(is_complete)
 
     def result(self, is_complete: bool) -> StreamResult:
         """Return what became of the stream so far."""
@@ -110,277 +112,305 @@
         first_s = None
         if relay.first_at is not None:
             first_s = relay.first_at - self._routed.call.arrived_at
-        return StreamResult(is_complete, relay.count, self._moves, first_s, relay.longest_gap_s)
+        return StreamResult(
+            is_complete, relay.event_count, self._migration_count, first_s, relay.longest_gap_s
+        )
 
     def on_replica_leaving(self) -> None:
         """Begin to move to another engine, if the run is worth it."""
-        place = self._place
+        assignment = self._assignment
         engine = self._routed.service.engine
-        if place is None or engine is None or not engine.can_migrate:
+        if assignment is None or engine is None or not engine.can_migrate:
             return
-        if self._handover_task is not None and not self._handover_task.done():
+        if self._migration_task is not None and not self._migration_task.done():
             return
-        self._handover_task = asyncio.ensure_future(self._move_away(place))
+        self._migration_task = asyncio.ensure_future(self._migrate(assignment))
 
     def on_replica_gone(self) -> None:
         """Give up the stream from an engine that has started anew; it may go on elsewhere."""
-        place = self._place
-        if place is not None and place.begun is not None:
-            place.begun.connection.close()
+        assignment = self._assignment
+        if assignment is not None and assignment.response is not None:
+            assignment.response.connection.close()
 
-    async def _begin(self) -> sending.Begun | outcomes.Refusal | responses.Response:
+    async def _start_stream(
+        self,
+    ) -> sending.StartedResponse | outcomes.Refusal | responses.Response:
         """Send the request until a replica answers it with a stream."""
         while True:
-            place = await self._places.find()
-            if isinstance(place, outcomes.Refusal):
-                return place
-            self._place = place
-            begun = await self._send_to_place(None)
-            if isinstance(begun, sending.Begun) and _is_stream(begun):
-                return begun
-            answer = await self._not_streamed(begun)
+            assignment = await self._selector.find()
+            if isinstance(assignment, outcomes.Refusal):
+                return assignment
+            self._assignment = assignment
+            response = await self._send(None)
+            if isinstance(response, sending.StartedResponse) and _is_stream(response):
+                return response
+            answer = await self._handle_unstreamed(response)
             if answer is not None:
                 return answer
 
-    async def _send_to_place(self, copy: calls.Copy | None) -> sending.Begun | sending.Failed:
+    async def _send(
+        self, copy: calls.KvCopy | None
+    ) -> sending.StartedResponse | sending.FailedAttempt:
         """Send the request to where it has leave to run."""
-        place, routed = self._place, self._routed
+        assignment, routed = self._assignment, self._routed
         dispatch = calls.Dispatch(
-            replica_name=place.replica.name,
+            replica_name=assignment.replica.name,
             team=None if routed.team is None else routed.team.name,
-            remaining_s=routed.ends_at - self._parts.clock.now(),
+            remaining_s=routed.ends_at - self._dependencies.clock.now(),
             urgency=min(routed.urgency, 9),
             last_event_id=self._relay.last_id,
             copy=copy,
         )
-        catalog = self._parts.catalog
-        self._log.begin(place.replica.id, catalog.limit(place.replica.id))
-        catalog.sent(place.replica.id)
-        place.sent_at = self._parts.clock.now()
-        begun = await self._parts.sender.begin(routed, place.replica, dispatch)
-        if isinstance(begun, sending.Failed):
-            self._log.note(place.replica.id, begun.run, begun.code != "not_connected")
-            return begun
-        place.begun = begun
-        if not begun.head.is_misdirected:
-            catalog.answered(place.replica.id, begun.head.limit)
-        self._log.answered()
-        self._parts.registry.enter(place.replica.id, self)
-        if self._start is None or not self._relay.has_begun:
-            self._start = eventrelay.AnswerStart(begun.head.status, begun.head.fields)
-        if not catalog.is_usable(place.replica.id):
+        catalog = self._dependencies.catalog
+        self._log.start(assignment.replica.id, catalog.limit(assignment.replica.id))
+        catalog.record_sent(assignment.replica.id)
+        assignment.sent_at = self._dependencies.clock.now()
+        response = await self._dependencies.sender.send(routed, assignment.replica, dispatch)
+        if isinstance(response, sending.FailedAttempt):
+            self._log.record_end(
+                assignment.replica.id, response.run, response.code != "not_connected"
+            )
+            return response
+        assignment.response = response
+        if not response.head.is_misdirected:
+            catalog.record_limit(assignment.replica.id, response.head.limit)
+        self._log.record_response_started()
+        self._dependencies.registry.add(assignment.replica.id, self)
+        if self._response_start is None or not self._relay.has_started:
+            self._response_start = eventrelay.ResponseStart(
+                response.head.status, response.head.fields
+            )
+        if not catalog.is_usable(assignment.replica.id):
             self.on_replica_leaving()
-        return begun
+        return response
 
-    async def _not_streamed(
-        self, begun: sending.Begun | sending.Failed
+    async def _handle_unstreamed(
+        self, response: sending.StartedResponse | sending.FailedAttempt
     ) -> outcomes.Refusal | responses.Response | None:
         """Deal with an attempt that gave no stream; None when another may be made."""
-        place = self._place
-        self._tell_attempt(begun)
-        if isinstance(begun, sending.Failed):
-            if begun.run is outcomes.RunStatus.UNKNOWN:
-                self._run_lost(place)
-            self._leave_place()
-            return None if self._places.may_run_again() else self._places.failure()
-        body = await self._parts.sender.whole_body(begun)
-        place.begun = None
-        self._leave_place()
-        if begun.head.is_not_run:
-            self._log.note(place.replica.id, outcomes.RunStatus.NOT_RUN, True)
+        assignment = self._assignment
+        self._log_attempt(response)
+        if isinstance(response, sending.FailedAttempt):
+            if response.run is outcomes.RunStatus.UNKNOWN:
+                self._report_lost_run(assignment)
+            self._release_assignment()
+            return None if self._selector.may_retry() else self._selector.failure_refusal()
+        body = await self._dependencies.sender.read_body(response)
+        assignment.response = None
+        self._release_assignment()
+        if response.head.is_not_run:
+            self._log.record_end(assignment.replica.id, outcomes.RunStatus.NOT_RUN, True)
             return None
-        self._log.note(place.replica.id, outcomes.RunStatus.RAN, True)
-        if isinstance(body, sending.Failed):
-            return None if self._places.may_run_again() else self._places.failure()
-        if begun.head.status >= 500 and self._places.may_run_again():
+        self._log.record_end(assignment.replica.id, outcomes.RunStatus.RAN, True)
+        if isinstance(body, sending.FailedAttempt):
+            return None if self._selector.may_retry() else self._selector.failure_refusal()
+        if response.head.status >= 500 and self._selector.may_retry():
             return None
-        if not begun.head.is_sealed or begun.head.is_encoded:
-            return self._places.failure()
-        return responses.Response(begun.head.status, begun.head.fields, body)
+        if not response.head.is_sealed or response.head.is_encoded:
+            return self._selector.failure_refusal()
+        return responses.Response(response.head.status, response.head.fields, body)
 
-    def _tell_attempt(self, begun: sending.Begun | sending.Failed) -> None:
+    def _log_attempt(self, response: sending.StartedResponse | sending.FailedAttempt) -> None:
         """Write the line on an attempt that gave no stream."""
-        is_failed = isinstance(begun, sending.Failed)
+        is_failed = isinstance(response, sending.FailedAttempt)
         service = self._routed.service.name
         logs.decided(
             self._routed.call.request_id,
             "attempt",
-            begun.code if is_failed else "not_a_stream",
-            status=None if is_failed else begun.head.status,
-            replica=self._place.replica.id,
-            run=begun.run.value if is_failed else "not_run" if begun.head.is_not_run else "ran",
-            budget=round(self._parts.budgets.remaining(service, self._parts.clock.now()), 1),
+            response.code if is_failed else "not_a_stream",
+            status=None if is_failed else response.head.status,
+            replica=self._assignment.replica.id,
+            run=response.run.value
+            if is_failed
+            else "not_run"
+            if response.head.is_not_run
+            else "ran",
+            budget=round(
+                self._dependencies.budgets.remaining(service, self._dependencies.clock.now()), 1
+            ),
         )
 
-    async def _stream(self) -> bool:
+    async def _relay_stream(self) -> bool:
         """Pass events on until the answer is whole; False when it cannot be."""
         while True:
-            ended = await self._pass_on()
-            if ended is None:
+            lost = await self._relay_events()
+            if lost is None:
                 return True
             logs.decided(
                 self._routed.call.request_id,
                 "stream_lost",
-                ended.code,
-                replica=self._place.replica.id,
-                events=self._relay.count,
+                lost.code,
+                replica=self._assignment.replica.id,
+                events=self._relay.event_count,
                 fingerprint=fingerprints.to_hex(self._routed.fingerprint),
             )
-            labels = (self._routed.service.name, ended.code)
-            self._parts.metrics.routed.broken_streams.add(labels=labels)
-            self._log.note(self._place.replica.id, outcomes.RunStatus.RAN, True)
-            if not await self._go_on():
+            labels = (self._routed.service.name, lost.code)
+            self._dependencies.metrics.routed.broken_streams.add(labels=labels)
+            self._log.record_end(self._assignment.replica.id, outcomes.RunStatus.RAN, True)
+            if not await self._continue_stream():
                 return False
 
-    async def _pass_on(self) -> clientside.Lost | None:
+    async def _relay_events(self) -> clientside.Lost | None:
         """Pass events on; None at the end of the whole answer."""
-        connection = self._place.begun.connection
+        connection = self._assignment.response.connection
         self._relay.start_connection()
         while True:
             piece = await connection.piece()
             if isinstance(piece, clientside.Lost):
                 return piece
             if isinstance(piece, clientside.End):
-                if await self._relay.finish(self._start):
+                if await self._relay.finish(self._response_start):
                     return None
                 return clientside.Lost("torn_event")
-            if not await self._relay.take(piece, self._start):
+            if not await self._relay.relay(piece, self._response_start):
                 return clientside.Lost("event_missing")
-            self._note_progress()
+            self._report_progress()
 
-    def _note_progress(self) -> None:
-        if self._relay.count:
+    def _report_progress(self) -> None:
+        if self._relay.event_count:
             self._first_event.set()
-        grant = self._place.grant
+        grant = self._assignment.grant
         if grant is not None:
-            self._parts.acquirer.record_progress(grant, self._produced())
+            self._dependencies.acquirer.record_progress(grant, self._produced_tokens())
 
-    def _produced(self) -> int:
+    def _produced_tokens(self) -> int:
         engine = self._routed.service.engine
-        return self._relay.count * (1 if engine is None else engine.tokens_per_event)
+        return self._relay.event_count * (1 if engine is None else engine.tokens_per_event)
 
-    async def _go_on(self) -> bool:
+    async def _continue_stream(self) -> bool:
         """Continue the stream at another replica; return whether it does."""
-        destination = await self._destination()
+        destination = await self._await_destination()
         if destination is None:
-            self._run_lost(self._place)
-        self._leave_place()
+            self._report_lost_run(self._assignment)
+        self._release_assignment()
         if destination is not None:
             return await self._resume(destination)
-        if not self._places.may_run_again():
+        if not self._selector.may_retry():
             return False
-        return isinstance(await self._begin(), sending.Begun)
+        return isinstance(await self._start_stream(), sending.StartedResponse)
 
-    async def _destination(self) -> migration.Destination | None:
+    async def _await_destination(self) -> migration.Destination | None:
         """Return where the run's memory is, once its move has come to an end."""
-        task = self._handover_task
-        if task is None or self._handover is None:
+        task = self._migration_task
+        if task is None or self._migration is None:
             return None
         if not task.done():
-            await asyncio.wait((task,), timeout=HANDOVER_WAIT_S)
-        reached = self._handover.destination
-        if reached is not None and self._parts.catalog.is_evacuated(reached.replica):
-            self._handover.abandon()
-        destination, self._handover.destination = self._handover.destination, None
+            await asyncio.wait((task,), timeout=MIGRATION_WAIT_S)
+        reached = self._migration.destination
+        if reached is not None and self._dependencies.catalog.is_evacuated(reached.replica):
+            self._migration.abandon()
+        destination, self._migration.destination = self._migration.destination, None
         return destination
 
     async def _resume(self, destination: migration.Destination) -> bool:
-        self._place = placefinder.Place(destination.replica, destination.grant)
-        self._handover = None
-        self._handover_task = None
-        self._parts.budgets.record_resumed(self._routed.service.name, self._parts.clock.now())
-        begun = await self._send_to_place(destination.copy)
-        is_resumed = isinstance(begun, sending.Begun) and _is_stream(begun)
+        self._assignment = engineselector.Assignment(destination.replica, destination.grant)
+        self._migration = None
+        self._migration_task = None
+        self._dependencies.budgets.record_resumed(
+            self._routed.service.name, self._dependencies.clock.now()
+        )
+        response = await self._send(destination.copy)
+        is_resumed = isinstance(response, sending.StartedResponse) and _is_stream(response)
         logs.decided(
             self._routed.call.request_id,
             "resumed",
             "ok" if is_resumed else "failed",
             replica=destination.replica.id,
-            events=self._relay.count,
+            events=self._relay.event_count,
         )
         if is_resumed:
-            self._moves += 1
+            self._migration_count += 1
             return True
-        if isinstance(begun, sending.Begun):
-            self._parts.sender.close(begun)
-            self._place.begun = None
-        self._leave_place()
-        return self._places.may_run_again() and isinstance(await self._begin(), sending.Begun)
+        if isinstance(response, sending.StartedResponse):
+            self._dependencies.sender.abandon(response)
+            self._assignment.response = None
+        self._release_assignment()
+        return self._selector.may_retry() and isinstance(
+            await self._start_stream(), sending.StartedResponse
+        )
 
-    async def _move_away(self, place: placefinder.Place) -> None:
+    async def _migrate(self, assignment: engineselector.Assignment) -> None:
         """Move the run to another engine before its own stops."""
         # Memory of a run that has not begun cannot be copied.
         await self._first_event.wait()
-        placement = self._places.placement(
-            self._parts.clock.now() + migration.COPY_TIMEOUT_S, frozenset((place.replica.id,))
+        placement = self._selector.placement_request(
+            self._dependencies.clock.now() + migration.COPY_TIMEOUT_S,
+            frozenset((assignment.replica.id,)),
         )
-        self._handover = migration.Migration(
-            place.replica, self._routed.call.request_id, placement, self._parts.moves
+        self._migration = migration.Migration(
+            assignment.replica,
+            self._routed.call.request_id,
+            placement,
+            self._dependencies.migration_dependencies,
         )
-        await self._handover.run(self._produced())
-        self._parts.metrics.routed.moves.add(labels=(self._handover.outcome,))
+        await self._migration.run(self._produced_tokens())
+        self._dependencies.metrics.routed.moves.add(labels=(self._migration.outcome,))
         logs.decided(
             self._routed.call.request_id,
             "handover",
-            self._handover.outcome,
-            replica=place.replica.id,
-            events=self._relay.count,
-            room_s=_rounded(self._handover.room_s),
-            wait_s=_rounded(self._handover.turn_s),
-            copy_s=_rounded(self._handover.copy_s),
+            self._migration.outcome,
+            replica=assignment.replica.id,
+            events=self._relay.event_count,
+            room_s=_rounded(self._migration.search_s),
+            wait_s=_rounded(self._migration.slot_wait_s),
+            copy_s=_rounded(self._migration.copy_s),
         )
 
-    def _run_lost(self, place: placefinder.Place) -> None:
+    def _report_lost_run(self, assignment: engineselector.Assignment) -> None:
         """Have it found out whether a crash has ended the run."""
-        self._parts.crashes.run_lost(self._routed.fingerprint, place.replica, place.sent_at)
+        self._dependencies.crash_detector.run_lost(
+            self._routed.fingerprint, assignment.replica, assignment.sent_at
+        )
 
-    def _leave_place(self) -> None:
+    def _release_assignment(self) -> None:
         """Give up where the run was: its connection and its grant."""
-        place, self._place = self._place, None
-        if place is None:
+        assignment, self._assignment = self._assignment, None
+        if assignment is None:
             return
-        self._parts.registry.leave(place.replica.id, self)
-        if place.begun is not None:
-            self._parts.sender.close(place.begun)
-        if place.grant is not None:
-            self._parts.acquirer.release(place.grant)
+        self._dependencies.registry.remove(assignment.replica.id, self)
+        if assignment.response is not None:
+            self._dependencies.sender.abandon(assignment.response)
+        if assignment.grant is not None:
+            self._dependencies.acquirer.release(assignment.grant)
 
-    def _end(self, is_whole: bool) -> None:
+    def _finish(self, is_complete: bool) -> None:
         """Give back all that the run holds, however it ended."""
-        if self._handover is not None:
-            self._handover.run_ended(self._handover_task)
-        elif self._handover_task is not None:
-            self._handover_task.cancel()
-        place = self._place
-        if is_whole and place is not None and place.begun is not None:
-            self._parts.sender.finished(place.begun)
-            place.begun = None
-        elif place is not None:
-            self._parts.crashes.run_unanswered(
-                self._routed.fingerprint, place.replica, place.sent_at
+        if self._migration is not None:
+            self._migration.run_ended(self._migration_task)
+        elif self._migration_task is not None:
+            self._migration_task.cancel()
+        assignment = self._assignment
+        if is_complete and assignment is not None and assignment.response is not None:
+            self._dependencies.sender.finish(assignment.response)
+            assignment.response = None
+        elif assignment is not None:
+            self._dependencies.crash_detector.run_unanswered(
+                self._routed.fingerprint, assignment.replica, assignment.sent_at
             )
-        self._leave_place()
-        self._learn(is_whole)
+        self._release_assignment()
+        self._record_length(is_complete)
 
-    def _learn(self, is_whole: bool) -> None:
+    def _record_length(self, is_complete: bool) -> None:
         work = enginework.work(self._routed)
-        produced = self._produced()
+        produced = self._produced_tokens()
         if not produced:
             return
-        self._parts.learn(work.service, work.team, produced, not is_whole)
-        self._parts.metrics.stream_finished(
+        self._dependencies.record_length(work.service, work.team, produced, not is_complete)
+        self._dependencies.metrics.stream_finished(
             self._routed.service.name,
-            self._times,
-            self._parts.clock.now(),
+            self._stream_times,
+            self._dependencies.clock.now(),
             tokens_per_event=self._routed.service.engine.tokens_per_event,
         )
         relay = self._relay
-        later = produced - produced // relay.count
-        self._parts.pace.observe(self._routed.service.name, later, relay.last_at - relay.first_at)
+        later = produced - produced // relay.event_count
+        self._dependencies.token_times.observe(
+            self._routed.service.name, later, relay.last_at - relay.first_at
+        )
 
 
-def _is_stream(begun: sending.Begun) -> bool:
-    head = begun.head
+def _is_stream(response: sending.StartedResponse) -> bool:
+    head = response.head
     return head.status == 200 and head.is_sealed and not head.is_encoded
 
 
--- a/hornbeamglade/routed/tokentimes.py
+++ b/hornbeamglade/routed/tokentimes.py
@@ -1,9 +1,9 @@
 """How long an engine's token takes, as this node's streams have shown it."""
 
-UNKNOWN_S = 0.012
+DEFAULT_TOKEN_S = 0.012
 """A step takes 7 ms and 0.12 ms more for each request beside it; a full engine needs 11 ms."""
 
-WEIGHT = 0.1
+SMOOTHING = 0.1
 """Of a new stream: some ten streams, a few seconds, decide what is believed."""
 
 
@@ -33,8 +33,8 @@
         if tokens <= 0:
             return
         before = self.seconds_per_token(service)
-        self._seconds_by_service[service] = before + WEIGHT * (seconds / tokens - before)
+        self._seconds_by_service[service] = before + SMOOTHING * (seconds / tokens - before)
 
     def seconds_per_token(self, service: str) -> float:
         """Return what is believed of a service."""
-        return self._seconds_by_service.get(service, UNKNOWN_S)
+        return self._seconds_by_service.get(service, DEFAULT_TOKEN_S)
--- a/tests/platform/test_requestdialect.py
+++ b/tests/platform/test_requestdialect.py
@@ -22,7 +22,7 @@
 
 
 def test_request_is_read():
-    call = WORDS.call(request((b"Authorization", b"Bearer k"), *GENERATION))
+    call = WORDS.parse_request(request((b"Authorization", b"Bearer k"), *GENERATION))
     assert (call.request_id, call.host, call.deadline) == ("r1", "a.example", 11.5)
     assert call.authorization == "Bearer k"
     parts = tuple(calls.PromptPart(*part) for part in (("5c", 800), ("91", 410), ("e4", 250)))
@@ -56,17 +56,19 @@
 
     Passed on, a replica would believe it.
     """
-    passed = WORDS.call(request((name, b"forged"))).fields
+    passed = WORDS.parse_request(request((name, b"forged"))).fields
     assert b"forged" not in [value for _, value in passed]
 
 
 def test_what_a_connection_field_names_never_passes():
-    passed = WORDS.call(request((b"Connection", b"X-Hop, close"), (b"X-Hop", b"1"))).fields
+    passed = WORDS.parse_request(
+        request((b"Connection", b"X-Hop, close"), (b"X-Hop", b"1"))
+    ).fields
     assert [name for name, _ in passed] == [b"Host", b"Attempt-Id"]
 
 
 def test_other_fields_pass_as_they_are():
-    passed = WORDS.call(request((b"X-oDD", b"  v "), *GENERATION)).fields
+    passed = WORDS.parse_request(request((b"X-oDD", b"  v "), *GENERATION)).fields
     assert (b"X-oDD", b"  v ") in passed
     assert set(GENERATION) <= set(passed)
 
@@ -85,19 +87,19 @@
     ],
 )
 def test_request_that_cannot_be_read_is_refused(fields):
-    refusal = WORDS.call(serverside.Request(b"GET", b"/", fields, b"", 0.0))
+    refusal = WORDS.parse_request(serverside.Request(b"GET", b"/", fields, b"", 0.0))
     assert isinstance(refusal, outcomes.Refusal)
     assert (refusal.http_status, refusal.run) == (400, outcomes.RunStatus.NOT_RUN)
 
 
 def test_estimate_that_cannot_be_read_is_left_out():
     fields = (*GENERATION[:2], (b"Length-Hint", b"many"))
-    assert WORDS.call(request(*fields)).generation.expected_tokens is None
+    assert WORDS.parse_request(request(*fields)).generation.expected_tokens is None
 
 
 def test_dispatch_says_what_is_left_and_who_is_meant():
-    call = WORDS.call(request((b"Last-Event-Id", b"3")))
-    copy = calls.Copy("10.0.0.1:80", "h1")
+    call = WORDS.parse_request(request((b"Last-Event-Id", b"3")))
+    copy = calls.KvCopy("10.0.0.1:80", "h1")
     dispatch = calls.Dispatch("i-1", "clinic", 1.2345, 2, "9", copy)
     value_by_name = dict(WORDS.dispatch_fields(call, dispatch))
     assert value_by_name == {
@@ -113,13 +115,13 @@
 
 
 def test_dispatch_keeps_the_callers_own_last_event():
-    call = WORDS.call(request((b"Last-Event-Id", b"3")))
+    call = WORDS.parse_request(request((b"Last-Event-Id", b"3")))
     sent = WORDS.dispatch_fields(call, calls.Dispatch("i-1", None, 1.0))
     assert (b"Last-Event-Id", b"3") in sent
 
 
 def head(status, *fields):
-    return WORDS.response_head(clientside.Head(status, fields))
+    return WORDS.parse_response_head(clientside.Head(status, fields))
 
 
 def test_answer_is_read():
@@ -178,9 +180,9 @@
 def test_named_limit_is_read_and_a_bad_one_stands_for_none_at_all(named, requests_per_s, problem):
     """Guards a server in need against a limit that is misread as a high one."""
     head = clientside.Head(200, tuple((b"Server-Limit", each) for each in named))
-    limit = WORDS.response_head(head).limit
+    limit = WORDS.parse_response_head(head).limit
     assert (limit.requests_per_s, limit.problem) == (requests_per_s, problem)
 
 
 def test_answer_without_a_limit_names_none():
-    assert WORDS.response_head(clientside.Head(200, ())).limit is None
+    assert WORDS.parse_response_head(clientside.Head(200, ())).limit is None
--- a/tests/routed/test_callrouter.py
+++ b/tests/routed/test_callrouter.py
@@ -18,7 +18,7 @@
 
 
 def ask(current, *fields, target=b"/r/1"):
-    call = requestdialect.PlatformDialect().call(fakes.request("r1", target, *fields))
+    call = requestdialect.PlatformDialect().parse_request(fakes.request("r1", target, *fields))
     return callrouter.route(call, current)
 
 
--- a/tests/routed/test_drainadmission.py
+++ b/tests/routed/test_drainadmission.py
@@ -37,7 +37,7 @@
     """
     refusal = work(*[900] * 200).refusal(fakes.routed_draft(), 106.0)
     assert (refusal.code, refusal.http_status) == ("node_leaving", 503)
-    assert refusal.retry_after_s == drainadmission.RETRY_S
+    assert refusal.retry_after_s == drainadmission.OTHER_INSTANCE_RETRY_S
 
 
 @pytest.mark.parametrize(("now", "is_taken"), [(100.0, True), (107.5, False)])
--- a/tests/routed/test_enginecatalog.py
+++ b/tests/routed/test_enginecatalog.py
@@ -82,13 +82,13 @@
 
 def test_request_compares_some_of_many_engines_and_all_of_its_own_node():
     _, _, catalog = make(owned=("e150",), names=MANY)
-    compared = replicas_of(catalog.candidates("llm", frozenset(), spread=190))
+    compared = replicas_of(catalog.candidates("llm", frozenset(), sample_offset=190))
     assert compared == ("e150", *MANY[190:], *MANY[:54])
 
 
 def test_engines_out_of_the_question_take_no_place_among_those_compared():
     _, _, catalog = make(owned=(), names=MANY)
-    compared = replicas_of(catalog.candidates("llm", frozenset(MANY[:100]), spread=10))
+    compared = replicas_of(catalog.candidates("llm", frozenset(MANY[:100]), sample_offset=10))
     assert compared == MANY[100:164]
 
 
--- a/tests/routed/test_eventrelay.py
+++ b/tests/routed/test_eventrelay.py
@@ -8,7 +8,7 @@
 from tests import eventloop
 from tests.routed import fakes
 
-START = eventrelay.AnswerStart(200, ())
+START = eventrelay.ResponseStart(200, ())
 
 
 def event(number):
@@ -22,7 +22,7 @@
 
 def take(passing, *pieces):
     async def main():
-        return [await passing.take(piece, START) for piece in pieces]
+        return [await passing.relay(piece, START) for piece in pieces]
 
     return eventloop.run(main())
 
@@ -30,7 +30,7 @@
 def test_events_pass_as_they_come():
     exchange, passing = relay()
     assert take(passing, event(1) + event(2)[:5], event(2)[5:]) == [True, True]
-    assert (exchange.body, passing.last_id, passing.count) == (event(1) + event(2), "2", 2)
+    assert (exchange.body, passing.last_id, passing.event_count) == (event(1) + event(2), "2", 2)
 
 
 def test_answer_begins_with_the_first_whole_event():
@@ -82,7 +82,7 @@
 def test_end_with_a_torn_event_is_not_whole(rest, is_whole):
     async def main():
         exchange, passing = relay()
-        await passing.take(event(1) + rest, START)
+        await passing.relay(event(1) + rest, START)
         return await passing.finish(START), exchange.is_finished
 
     assert eventloop.run(main()) == (is_whole, is_whole)
--- a/tests/routed/test_eventsplit.py
+++ b/tests/routed/test_eventsplit.py
@@ -22,7 +22,7 @@
         found += splitter.feed(whole[start:stop])
     assert b"".join(event.data for event in found) == whole
     assert len(found) == len(events)
-    assert splitter.rest == b""
+    assert splitter.remainder == b""
 
 
 def test_id_is_read_wherever_it_stands():
--- a/tests/routed/test_ratelimitqueue.py
+++ b/tests/routed/test_ratelimitqueue.py
@@ -52,7 +52,7 @@
                 replicas.take()
                 served.append(name)
             else:
-                refused.append((name, clock.now() - begin < ratelimitqueue.LOOK_S))
+                refused.append((name, clock.now() - begin < ratelimitqueue.POLL_INTERVAL_S))
 
         await asyncio.gather(*(ask(name, *told) for name, told in requests.items()))
         return served, refused
--- a/tests/routed/test_retrybudget.py
+++ b/tests/routed/test_retrybudget.py
@@ -22,7 +22,7 @@
 def test_every_window_keeps_the_bound(steps):
     budgets = [retrybudget.RetryBudgets(SETTINGS) for _ in range(NODES)]
     for budget in budgets:
-        budget.share_slack(NODES)
+        budget.set_node_count(NODES)
     now = 0.0
     requests, retries = [], []
     for what, node, pause_s in steps:
@@ -45,7 +45,7 @@
 
 def test_moved_runs_are_counted_though_they_are_not_refused():
     budget = retrybudget.RetryBudgets(SETTINGS)
-    budget.share_slack(12)
+    budget.set_node_count(12)
     budget.record_resumed("s", 1.0)
     assert not budget.spend("s", 1.0)
 
