--- a/hornbeamglade/entry/callershandler.py
+++ b/hornbeamglade/entry/callershandler.py
@@ -26,35 +26,35 @@
 from hornbeamglade.routes import models
 from hornbeamglade.store import positions
 
-UNREAD_RETRY_S = 0.2
+NOT_STARTED_RETRY_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HandlerParts:
+class HandlerDependencies:
     """What routed requests are answered with.
 
-    :param words: how requests and answers are written.
+    :param request_dialect: how requests and answers are written.
     :param startup: has callers wait for the first configuration.
     :param current: the configuration in force.
-    :param plain: gets whole answers.
+    :param buffered: gets whole answers.
     :param runs: what streamed answers work with.
     :param quarantine: refuses requests that crash their replicas.
     :param budgets: bounds what is sent again.
-    :param leaving: decides on requests that come during a planned stop.
-    :param belief: returns how far the list of replicas can be trusted.
+    :param drain_admission: decides on requests that come during a planned stop.
+    :param staleness: returns how far the list of replicas can be trusted.
     :param metrics: the instance's instruments.
     :param clock: monotonic time.
     """
 
-    words: dialect.Dialect
+    request_dialect: dialect.Dialect
     startup: startupgate.StartupGate
     current: views.CurrentView
-    plain: bufferedexchange.BufferedExchange
+    buffered: bufferedexchange.BufferedExchange
     runs: rundependencies.RunDependencies
     quarantine: requestquarantine.RequestQuarantine
     budgets: retrybudget.RetryBudgets
-    leaving: drainadmission.DrainAdmission
-    belief: collections.abc.Callable[[], views.ListStaleness]
+    drain_admission: drainadmission.DrainAdmission
+    staleness: collections.abc.Callable[[], views.ListStaleness]
     metrics: metrics.NodeMetrics
     clock: clocks.Clock
 
@@ -62,37 +62,37 @@
 class CallersHandler(serverside.Handler):
     """Answers callers.
 
-    :param parts: what it works with.
+    :param dependencies: what it works with.
     """
 
-    def __init__(self, parts: HandlerParts) -> None:
-        self._parts = parts
+    def __init__(self, dependencies: HandlerDependencies) -> None:
+        self._dependencies = dependencies
 
     def limits(self) -> serverside.ConnectionLimits:
         """Return the limits of the configuration in force."""
-        view = self._parts.current.routes
+        view = self._dependencies.current.routes
         return serverside.ConnectionLimits() if view is None else view.limits
 
     def refused(self, status: http.HTTPStatus, reason: str) -> None:
         """Note a request that could not be read."""
-        self._parts.metrics.refusals.add(labels=("request_unreadable", ""))
+        self._dependencies.metrics.refusals.add(labels=("request_unreadable", ""))
         logs.decided("-", "read", "refused", status=status.value, reason=logs.slug(reason))
 
     def failed(self, error: Exception) -> None:
         """Note an error of this instance's own."""
-        self._parts.metrics.refusals.add(labels=("internal_error", ""))
+        self._dependencies.metrics.refusals.add(labels=("internal_error", ""))
         logs.failed("caller", error)
 
     async def handle(self, exchange: serverside.Exchange) -> None:
         """Answer one request."""
-        parts = self._parts
-        call = parts.words.parse_request(exchange.request)
+        dependencies = self._dependencies
+        call = dependencies.request_dialect.parse_request(exchange.request)
         if isinstance(call, outcomes.Refusal):
             await self._refuse_unrouted(exchange, call, "-")
             return
-        if not parts.startup.is_over:
-            await parts.startup.wait()
-        routed = callrouter.route(call, parts.current.routes)
+        if not dependencies.startup.is_open:
+            await dependencies.startup.wait()
+        routed = callrouter.route(call, dependencies.current.routes)
         if isinstance(routed, outcomes.Refusal):
             await self._refuse_unrouted(exchange, routed, call.request_id)
             return
@@ -101,38 +101,40 @@
     async def _answer(
         self, exchange: serverside.Exchange, routed: callrouter.RoutedRequest
     ) -> None:
-        parts = self._parts
+        dependencies = self._dependencies
         log = attemptlog.AttemptLog()
-        refusal = parts.quarantine.refusal(routed.fingerprint) or parts.leaving.refusal(
-            routed, parts.clock.now()
-        )
+        refusal = dependencies.quarantine.refusal(
+            routed.fingerprint
+        ) or dependencies.drain_admission.refusal(routed, dependencies.clock.now())
         if refusal is not None:
-            await self._send_away(exchange, routed, log, refusal)
+            await self._refuse_routed(exchange, routed, log, refusal)
             return
-        parts.budgets.record_request(routed.service.name, parts.clock.now())
+        dependencies.budgets.record_request(routed.service.name, dependencies.clock.now())
         run = self._make_run(exchange, routed, log)
         try:
-            async with asyncio.timeout(max(0.0, routed.ends_at - parts.clock.now())):
-                answer = await (parts.plain.answer(routed, log) if run is None else run.answer())
+            async with asyncio.timeout(max(0.0, routed.ends_at - dependencies.clock.now())):
+                answer = await (
+                    dependencies.buffered.answer(routed, log) if run is None else run.answer()
+                )
         except TimeoutError:
-            answer = _timed_out(routed, log)
+            answer = _timeout_refusal(routed, log)
             if exchange.is_answered:
                 exchange.abort()
                 answer = run.result(is_complete=False)
         except asyncio.CancelledError:
-            self._note_cut(routed, log, run)
+            self._log_aborted(routed, log, run)
             raise
         if _is_completed(answer):
-            parts.quarantine.completed(routed.fingerprint)
+            dependencies.quarantine.completed(routed.fingerprint)
         if isinstance(answer, streamrun.StreamResult):
-            self._note_stream(routed, log, answer)
+            self._log_stream(routed, log, answer)
         elif isinstance(answer, outcomes.Refusal):
-            await self._send_away(exchange, routed, log, answer)
+            await self._refuse_routed(exchange, routed, log, answer)
         else:
-            self._note(routed, log, "answered", answer.status)
+            self._log_outcome(routed, log, "answered", answer.status)
             await exchange.answer(answer.status, answer.fields, answer.body)
 
-    async def _send_away(
+    async def _refuse_routed(
         self,
         exchange: serverside.Exchange,
         routed: callrouter.RoutedRequest,
@@ -140,10 +142,10 @@
         refusal: outcomes.Refusal,
     ) -> None:
         """Refuse a routed request, with a time to come back that its caller can wait for."""
-        left_s = routed.ends_at - self._parts.clock.now()
-        refusal = grantresponses.bound_retry_after(left_s, refusal)
+        remaining_s = routed.ends_at - self._dependencies.clock.now()
+        refusal = grantresponses.bound_retry_after(remaining_s, refusal)
         team = "" if routed.team is None else routed.team.name
-        self._note(routed, log, refusal.code, refusal.http_status)
+        self._log_outcome(routed, log, refusal.code, refusal.http_status)
         await self._refuse(exchange, refusal, routed.call.request_id, team)
 
     def _make_run(
@@ -154,7 +156,7 @@
     ) -> streamrun.StreamRun | None:
         """Return the run of a request for an engine's stream; None for a plain one."""
         if routed.route.kind is models.RouteKind.STREAM and routed.service.engine is not None:
-            return streamrun.StreamRun(routed, exchange, log, self._parts.runs)
+            return streamrun.StreamRun(routed, exchange, log, self._dependencies.runs)
         return None
 
     async def _refuse_unrouted(
@@ -167,26 +169,30 @@
     async def _refuse(
         self, exchange: serverside.Exchange, refusal: outcomes.Refusal, request_id: str, team: str
     ) -> None:
-        self._parts.metrics.refusals.add(labels=(refusal.code, team))
+        self._dependencies.metrics.refusals.add(labels=(refusal.code, team))
         await responses.refuse(exchange, refusal, request_id)
 
-    def _note(
+    def _log_outcome(
         self,
         routed: callrouter.RoutedRequest,
         log: attemptlog.AttemptLog,
         outcome: str,
         status: int,
-        **more: logs.FieldValue,
+        **extra_fields: logs.FieldValue,
     ) -> None:
         """Write the line that says how a request ended, and by what it was decided."""
         service = routed.service.name
-        belief = self._parts.belief()
+        staleness = self._dependencies.staleness()
         generation = routed.call.generation
-        self._parts.metrics.requests.add(labels=(service, outcome))
-        seconds = self._parts.clock.now() - routed.call.arrived_at
+        self._dependencies.metrics.requests.add(labels=(service, outcome))
+        seconds = self._dependencies.clock.now() - routed.call.arrived_at
         is_stream = routed.route.kind is models.RouteKind.STREAM
-        times = self._parts.metrics.routed.stream_s if is_stream else self._parts.metrics.call_s
-        times.record(seconds, (service,))
+        histogram = (
+            self._dependencies.metrics.routed.stream_s
+            if is_stream
+            else self._dependencies.metrics.call_s
+        )
+        histogram.record(seconds, (service,))
         logs.decided(
             routed.call.request_id,
             "answer",
@@ -199,19 +205,19 @@
             attempts=log.sent,
             replica=",".join([*log.tried, *filter(None, (log.in_flight_replica,))])[:100] or "-",
             run=log.run.value,
-            list_version=positions.version(belief.list_version),
-            era=positions.era(belief.list_version),
-            belief_age_s=None if belief.age_s is None else round(belief.age_s, 3),
+            list_version=positions.version(staleness.list_version),
+            era=positions.era(staleness.list_version),
+            belief_age_s=None if staleness.age_s is None else round(staleness.age_s, 3),
             tokens=0 if generation is None else generation.prompt_tokens,
             goal_s=routed.route.goal_s,
             gap_goal_s=routed.route.gap_goal_s,
             seconds=round(seconds, 4),
             limit_per_s=log.limit_per_s,
             fingerprint=fingerprints.to_hex(routed.fingerprint),
-            **more,
+            **extra_fields,
         )
 
-    def _note_cut(
+    def _log_aborted(
         self,
         routed: callrouter.RoutedRequest,
         log: attemptlog.AttemptLog,
@@ -220,18 +226,20 @@
         """Note a request that ended without an answer, and who ended it."""
         # A planned stop that reaches its limit ends what is under way as a caller's close
         # does. Told as the caller's doing, it would send whoever looks for the cause astray.
-        is_over = self._parts.leaving.is_over(self._parts.clock.now())
+        is_over = self._dependencies.drain_admission.is_over(self._dependencies.clock.now())
         events = None if run is None else run.result(is_complete=False).events
-        self._note(routed, log, "cut_by_stop" if is_over else "caller_left", 0, events=events)
+        self._log_outcome(
+            routed, log, "cut_by_stop" if is_over else "caller_left", 0, events=events
+        )
 
-    def _note_stream(
+    def _log_stream(
         self,
         routed: callrouter.RoutedRequest,
         log: attemptlog.AttemptLog,
         streamed: streamrun.StreamResult,
     ) -> None:
         first_s = streamed.first_event_s
-        self._note(
+        self._log_outcome(
             routed,
             log,
             "streamed" if streamed.is_complete else "broken_off",
@@ -250,9 +258,13 @@
     return isinstance(answer, responses.Response) and answer.status < 500
 
 
-def _timed_out(routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog) -> outcomes.Refusal:
+def _timeout_refusal(
+    routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
+) -> outcomes.Refusal:
     if log.run is outcomes.RunStatus.NOT_RUN:
         detail = f"no replica of {routed.service.name} could take the request in time"
-        return outcomes.Refusal("not_started_in_time", 503, detail, retry_after_s=UNREAD_RETRY_S)
+        return outcomes.Refusal(
+            "not_started_in_time", 503, detail, retry_after_s=NOT_STARTED_RETRY_S
+        )
     detail = f"the answer took longer than the {routed.route.timeout_s:g} s of its route"
     return outcomes.Refusal("answer_too_late", 504, detail, outcomes.RunStatus.UNKNOWN)
--- a/hornbeamglade/entry/partsettings.py
+++ b/hornbeamglade/entry/componentsettings.py
@@ -14,26 +14,32 @@
 from hornbeamglade.routing import candidates
 
 
-def routing(told: settings.Settings) -> candidates.RoutingSettings:
+def routing(instance_settings: settings.Settings) -> candidates.RoutingSettings:
     """Return what the choice of an engine goes by."""
     return candidates.RoutingSettings(
-        failure_domain=told.failure_domain,
+        failure_domain=instance_settings.failure_domain,
         usable_s=digestcache.UNKNOWN_AGE_S,
-        expected_answer_tokens=told.policy.expected_answer_tokens,
-        samples=told.policy.compared_engines,
+        expected_answer_tokens=instance_settings.policy.expected_answer_tokens,
+        samples=instance_settings.policy.compared_engines,
         prefill_tokens_per_s=promptbacklog.PromptSettings().tokens_per_s,
-        placement_s=told.policy.placement_s,
+        placement_s=instance_settings.policy.placement_s,
     )
 
 
-def budget(told: settings.Settings) -> retrybudget.BudgetSettings:
+def retry_budget(instance_settings: settings.Settings) -> retrybudget.BudgetSettings:
     """Return the bound on attempts beyond the first."""
-    return retrybudget.BudgetSettings(told.budget.ratio, told.budget.slack, told.budget.window_s)
+    return retrybudget.BudgetSettings(
+        instance_settings.budget.ratio,
+        instance_settings.budget.slack,
+        instance_settings.budget.window_s,
+    )
 
 
-def cold_bound(told: settings.Settings) -> slowstart.Bound:
+def slow_start_bound(instance_settings: settings.Settings) -> slowstart.Bound:
     """Return the bound on requests to a cold replica."""
-    return slowstart.Bound(told.slow_start.overage, told.slow_start.tolerance)
+    return slowstart.Bound(
+        instance_settings.slow_start.overage, instance_settings.slow_start.tolerance
+    )
 
 
 def scheduler(
--- a/hornbeamglade/entry/controlhandler.py
+++ b/hornbeamglade/entry/controlhandler.py
@@ -1,4 +1,4 @@
-"""Answers the platform's check, callers who ask where to connect, and operators."""
+"""InstanceInterface the platform's check, callers who ask where to connect, and operators."""
 
 import abc
 import http
@@ -12,7 +12,7 @@
 STATUS_PATH = b"/status"
 
 
-class Answers(abc.ABC):
+class InstanceInterface(abc.ABC):
     """What an instance says of itself."""
 
     @abc.abstractmethod
@@ -37,15 +37,17 @@
 
 
 class ControlHandler(serverside.Handler):
-    """Answers everything but routed requests.
+    """InstanceInterface everything but routed requests.
 
-    :param answers: what the instance says.
+    :param instance: what the instance says.
     :param address_ttl_s: how long callers keep an answer.
     :param metrics_type: content type of the instruments' text.
     """
 
-    def __init__(self, answers: Answers, address_ttl_s: float, metrics_type: str) -> None:
-        self._answers = answers
+    def __init__(
+        self, instance: InstanceInterface, address_ttl_s: float, metrics_type: str
+    ) -> None:
+        self._instance = instance
         self._address_ttl_s = address_ttl_s
         self._metrics_fields = ((b"Content-Type", metrics_type.encode()),)
 
@@ -56,21 +58,21 @@
     async def handle(self, exchange: serverside.Exchange) -> None:
         """Answer one request."""
         target = exchange.request.target
-        question = directorycalls.question(target)
-        if question is not None:
-            addresses = self._answers.addresses(question.failure_domain, question.region)
+        query = directorycalls.question(target)
+        if query is not None:
+            addresses = self._instance.addresses(query.failure_domain, query.region)
             body = directorycalls.answer(addresses, self._address_ttl_s)
             # An answer without addresses counts as none: the caller asks another instance.
             status = http.HTTPStatus.OK if addresses else http.HTTPStatus.SERVICE_UNAVAILABLE
             await exchange.answer(status, JSON, body)
         elif directorycalls.is_readiness(target):
             ready, unready = http.HTTPStatus.OK, http.HTTPStatus.SERVICE_UNAVAILABLE
-            await exchange.answer(ready if self._answers.is_ready() else unready)
+            await exchange.answer(ready if self._instance.is_ready() else unready)
         elif target == METRICS_PATH:
-            await exchange.answer(200, self._metrics_fields, self._answers.metrics())
+            await exchange.answer(200, self._metrics_fields, self._instance.metrics())
         elif target == discovery.PATH.encode():
-            await exchange.answer(200, JSON, self._answers.members())
+            await exchange.answer(200, JSON, self._instance.members())
         elif target == STATUS_PATH:
-            await exchange.answer(200, JSON, self._answers.status())
+            await exchange.answer(200, JSON, self._instance.status())
         else:
             await exchange.answer(http.HTTPStatus.NOT_FOUND)
--- a/hornbeamglade/entry/daemon.py
+++ b/hornbeamglade/entry/daemon.py
@@ -19,14 +19,14 @@
 """The store answers within some ten milliseconds; one that does not is slow or away, and
 another call is the better use of the time."""
 
-LONE_RETRY_S = 6.0
+FALLBACK_RETRY_S = 6.0
 """Pause after a failed call of an instance that follows the store only for want of others
 to tell it: at a large site nearly all do so while the store is away, and those that are to
 follow it look for its return four times a second."""
 
 ADDRESS_TTL_S = 2.0
 STOP_POLL_S = 0.05
-TIDY_EVERY_S = 1.0
+CLEANUP_INTERVAL_S = 1.0
 EXIT_OK = 0
 
 
@@ -39,13 +39,13 @@
 
     def __init__(self, path: str) -> None:
         text = settings.read(path)
-        told = settings.parse(text, path)
+        instance_settings = settings.parse(text, path)
         self._path = path
-        self._told = told
+        self._settings = instance_settings
         self._clock = clocks.SystemClock()
-        self.instance = instance.EntryInstance(told, self._clock)
+        self.instance = instance.EntryInstance(instance_settings, self._clock)
         self._store = countedstore.CountedStore(
-            storeclient.StoreClient(told.store, STORE_TIMEOUT_S),
+            storeclient.StoreClient(instance_settings.store, STORE_TIMEOUT_S),
             self.instance.instruments.platform_outcomes,
         )
         identity = self.instance.identity
@@ -53,20 +53,20 @@
             contract.Instance(
                 identity.name, identity.failure_domain, identity.address, identity.exchange, False
             ),
-            registry.Registry(self._store, self._rows_read),
-            told.seeds,
-            self._introduced,
+            registry.Registry(self._store, self._on_rows),
+            instance_settings.seeds,
+            self._on_instance_list,
             self._clock,
-            told.is_first_start,
+            instance_settings.is_first_start,
         )
         self.instance.quarantine.set_store_writer(
             quarantinewriter.QuarantineWriter(self._store, self._clock).add
         )
         self._rng = random.Random(self.instance.incarnation)
-        self.instance.count_connections(lambda: len(self._callers.connections))
+        self.instance.set_connection_counter(lambda: len(self._callers.connections))
         self._callers = serverside.CallersServer(self.instance.callers, self._clock)
         self._followers = tuple(
-            self._follower(table) for table in (tables.CONFIGURATION, tables.REPLICAS)
+            self._make_follower(table) for table in (tables.CONFIGURATION, tables.REPLICAS)
         )
         self._loop: asyncio.AbstractEventLoop | None = None
         self._stopping: asyncio.Event | None = None
@@ -77,7 +77,7 @@
     @property
     def name(self) -> str:
         """The instance's name."""
-        return self._told.name
+        return self._settings.name
 
     async def run(self) -> int:
         """Serve until a planned stop is done; return the exit code."""
@@ -90,21 +90,21 @@
         self._registration.start()
         self._tasks = [
             loop.create_task(self._tick()),
-            loop.create_task(self._tidy()),
+            loop.create_task(self._clean_up()),
         ]
         await self._listen()
         logs.state_changed(
             "node",
             "starting",
             "serving",
-            node=self._told.name,
-            domain=self._told.failure_domain,
+            node=self._settings.name,
+            domain=self._settings.failure_domain,
         )
         await self._stopping.wait()
-        await self._leave()
+        await self._drain()
         return EXIT_OK
 
-    def _follower(self, table: str) -> tablefollower.TableFollower:
+    def _make_follower(self, table: str) -> tablefollower.TableFollower:
         """Return what follows one table, on a thread of its own."""
         return tablefollower.TableFollower(
             self._store,
@@ -118,30 +118,32 @@
         )
 
     def _retry_s(self) -> float:
-        return LONE_RETRY_S if self.instance.watch.is_on_its_own else tablefollower.RETRY_S
+        return (
+            FALLBACK_RETRY_S if self.instance.follower_role.is_fallback else tablefollower.RETRY_S
+        )
 
-    def _introduced(self, listed: tuple[contract.Instance, ...]) -> None:
+    def _on_instance_list(self, listed: tuple[contract.Instance, ...]) -> None:
         self._loop.call_soon_threadsafe(self.instance.on_introduction, listed)
 
-    def _rows_read(self, rows: tuple[contract.Row, ...]) -> None:
+    def _on_rows(self, rows: tuple[contract.Row, ...]) -> None:
         self._loop.call_soon_threadsafe(self.instance.quarantine.on_rows, rows)
 
-    def _follow(self) -> None:
+    def _update_followers(self) -> None:
         """Follow the store, or leave it to others, as this instance's part is now."""
         for follower in self._followers:
-            if self.instance.watch.is_following:
+            if self.instance.follower_role.is_following:
                 follower.start()
             else:
                 follower.pause()
 
     async def _listen(self) -> None:
-        told = self._told.listen
+        listen = self._settings.listen
         control = controlhandler.ControlHandler(
             self.instance, ADDRESS_TTL_S, metricsregistry.CONTENT_TYPE
         )
-        host, _, port = told.callers.rpartition(":")
+        host, _, port = listen.callers.rpartition(":")
         await self._callers.listen(host, int(port))
-        addresses = [told.readiness, told.directory, told.control, told.metrics]
+        addresses = [listen.readiness, listen.directory, listen.control, listen.metrics]
         for address in filter(None, addresses):
             host, _, port = address.rpartition(":")
             await serverside.CallersServer(control, self._clock).listen(host, int(port))
@@ -149,13 +151,13 @@
     async def _tick(self) -> None:
         while True:
             self.instance.tick()
-            self._follow()
+            self._update_followers()
             await asyncio.sleep(self.instance.tick_s)
 
-    async def _tidy(self) -> None:
+    async def _clean_up(self) -> None:
         while True:
-            await asyncio.sleep(TIDY_EVERY_S)
-            self.instance.tidy()
+            await asyncio.sleep(CLEANUP_INTERVAL_S)
+            self.instance.clean_up()
             # The file may change without a signal.
             self._reload()
 
@@ -166,7 +168,7 @@
             if text == self._settings_text:
                 return
             self._settings_text = text
-            told = settings.parse(text, self._path)
+            instance_settings = settings.parse(text, self._path)
         except codederrors.CodedError as error:
             if error.code != self._settings_problem:
                 reason = logs.slug(error.detail)
@@ -174,12 +176,12 @@
             self._settings_problem = error.code
             return
         self._settings_problem = None
-        self.instance.take_settings(told)
-        logs.state_changed("settings", "in_force", "changed", node=told.name)
+        self.instance.apply_settings(instance_settings)
+        logs.state_changed("settings", "in_force", "changed", node=instance_settings.name)
 
-    async def _leave(self) -> None:
+    async def _drain(self) -> None:
         """Stop as planned: told to all first, and with nothing under way cut off."""
-        logs.state_changed("node", "serving", "leaving", node=self._told.name)
+        logs.state_changed("node", "serving", "leaving", node=self._settings.name)
         stop = self.instance.leave()
         self._callers.leave()
         self._registration.withdraw()
--- a/hornbeamglade/entry/directory.py
+++ b/hornbeamglade/entry/directory.py
@@ -15,10 +15,10 @@
 from hornbeamglade.exchange import messages
 from hornbeamglade.membership import view
 
-ENOUGH = 2
+MIN_ADDRESSES = 2
 """With two addresses, a caller whose first one fails has another at once."""
 
-MOST = 32
+MAX_ADDRESSES = 32
 
 
 def addresses(
@@ -43,16 +43,16 @@
         for member in members
         if (is_own_ready if member.identity.name == own_name else _is_ready(member))
     ]
-    near = [each for each in ready if each.identity.failure_domain == failure_domain]
-    if len(near) < ENOUGH:
-        near += [
+    nearest = [each for each in ready if each.identity.failure_domain == failure_domain]
+    if len(nearest) < MIN_ADDRESSES:
+        nearest += [
             each
             for each in ready
-            if each not in near and region_by_domain.get(each.identity.failure_domain) == region
+            if each not in nearest and region_by_domain.get(each.identity.failure_domain) == region
         ]
-    if not near:
-        near = ready
-    return tuple(member.identity.address for member in near[:MOST])
+    if not nearest:
+        nearest = ready
+    return tuple(member.identity.address for member in nearest[:MAX_ADDRESSES])
 
 
 def has_others_ready(members: tuple[view.Member, ...], own_name: str) -> bool:
--- /dev/null
+++ b/hornbeamglade/entry/documentsync.py
@@ -0,0 +1,263 @@
+"""What instances read from one another when the platform's store turns some of them away.
+
+Explanation
+===========
+
+Each heartbeat tells the revision of the configuration and the version of the list of
+replicas that its sender has. An instance that stays behind for longer than the store's
+own way takes asks an instance that is ahead for the whole document, chunk by chunk; one
+that has others follow the store for it asks at once. Both documents are the store's own
+rows, so the receiver takes them as if it held read them, and only when they are newer than
+what it has. Of the list it gets what has changed since the position that it has, where whoever
+is asked still knows that (:mod:`hornbeamglade.entry.listhistory`).
+"""
+
+import collections
+import collections.abc
+import dataclasses
+import zlib
+
+from hornbeamglade.core import clocks
+from hornbeamglade.exchange import configchunks, messages
+from hornbeamglade.membership import view as membershipview
+
+FETCH_DELAY_S = 0.3
+"""The store tells a change to all instances within some ten milliseconds of one another."""
+
+REQUEST_RETRY_S = 0.25
+MAX_DOCUMENT_BYTES = 16_777_216
+
+_SUBJECTS = (messages.Subject.CONFIGURATION, messages.Subject.REPLICAS)
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Versions:
+    """What an instance has.
+
+    :param configuration: the revision in force, or 0.
+    :param replicas: the version of the list of replicas, or 0.
+    """
+
+    configuration: int = 0
+    replicas: int = 0
+
+    def of(self, subject: messages.Subject) -> int:
+        """Return the version of one document."""
+        if subject is messages.Subject.CONFIGURATION:
+            return self.configuration
+        return self.replicas
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class OutgoingRequest:
+    """A request to send.
+
+    :param node: the instance that is asked.
+    :param message: the request.
+    """
+
+    node: str
+    message: messages.ChunkRequest
+
+
+@dataclasses.dataclass(slots=True)
+class _Fetch:
+    """A newer document that this instance wants."""
+
+    version: int
+    since: float
+    announced_by: str | None = None
+    assembly: configchunks.Assembly | None = None
+    requested_at: float = float("-inf")
+    since_version: int = 0
+
+
+ApplyDocument = collections.abc.Callable[[messages.Subject, int, bytes], None]
+ReadDocument = collections.abc.Callable[[messages.Subject, int], bytes | None]
+"""Returns a document for someone that has a position of it, or None."""
+
+MAX_CACHED_DOCUMENTS = 8
+"""Documents that are kept cut into chunks: those who request have mostly the same position."""
+
+
+class DocumentSync:
+    """Both documents of one instance, as the others may read them.
+
+    :param versions: returns what this instance has.
+    :param read: returns a document as it is in force, or what has changed in it, or None.
+    :param apply: called with a document that was read from another instance.
+    :param clock: monotonic time.
+    """
+
+    def __init__(
+        self,
+        versions: collections.abc.Callable[[], Versions],
+        read: ReadDocument,
+        apply: ApplyDocument,
+        clock: clocks.Clock,
+    ) -> None:
+        self.versions = versions
+        self._read = read
+        self._apply = apply
+        self._clock = clock
+        self._fetch_by_subject: dict[messages.Subject, _Fetch] = {}
+        self._live: tuple[membershipview.Member, ...] | None = None
+        self._newest_by_subject: dict[messages.Subject, tuple[int, str]] = {}
+        self._chunks_by_document: collections.OrderedDict[
+            _DocumentKey, tuple[messages.DocumentChunk, ...]
+        ]
+        self._chunks_by_document = collections.OrderedDict()
+
+    @property
+    def is_fetching(self) -> bool:
+        """Whether it wants a newer document."""
+        return bool(self._fetch_by_subject)
+
+    def next_request(
+        self, live: tuple[membershipview.Member, ...], own_name: str
+    ) -> OutgoingRequest | None:
+        """Return a request that is due, given the instances that live.
+
+        Asked many times a second, mostly with the same instances, so whoever is furthest
+        ahead is looked for only when they are others than before.
+        """
+        if live is not self._live:
+            self._live = live
+            candidates = [
+                member
+                for member in live
+                if member.heartbeat is not None and member.identity.name != own_name
+            ]
+            self._newest_by_subject = {
+                subject: _newest(candidates, subject) for subject in _SUBJECTS
+            }
+        for subject in _SUBJECTS:
+            request = self._next_request_for(subject, live)
+            if request is not None:
+                return request
+        return None
+
+    def on_announcement(
+        self, node: str, announcement: messages.VersionAnnouncement
+    ) -> tuple[OutgoingRequest, ...]:
+        """Handle a version announcement; return the chunk requests to send back."""
+        now = self._clock.now()
+        held = self.versions()
+        due = []
+        for subject in _SUBJECTS:
+            version = _version_in(announcement, subject)
+            if version <= held.of(subject):
+                continue
+            fetch = self._fetch_by_subject.get(subject)
+            if fetch is None or fetch.version < version:
+                fetch = self._fetch_by_subject[subject] = _Fetch(version, now, node)
+                due.append(self._chunk_request(fetch, subject, version, node))
+        return tuple(each for each in due if each is not None)
+
+    def on_chunk_request(self, request: messages.ChunkRequest) -> messages.DocumentChunk | None:
+        """Return the chunk that another instance asks for, or None."""
+        key = _DocumentKey(request.subject, self.versions().of(request.subject), request.since)
+        if key.version != request.revision:
+            return None
+        chunks = self._chunks_of(key)
+        return chunks[request.chunk] if request.chunk < len(chunks) else None
+
+    def on_chunk(self, chunk: messages.DocumentChunk) -> messages.ChunkRequest | None:
+        """ApplyDocument a chunk; return the request for the next one, or None at the end."""
+        fetch = self._fetch_by_subject.get(chunk.subject)
+        if fetch is None or fetch.assembly is None or fetch.version != chunk.revision:
+            return None
+        document = fetch.assembly.add(chunk)
+        if document is None:
+            fetch.requested_at = self._clock.now()
+            return _with_since(fetch.assembly.next_request(), fetch.since_version)
+        del self._fetch_by_subject[chunk.subject]
+        self._apply(chunk.subject, chunk.revision, _decompress(document))
+        return None
+
+    def _next_request_for(
+        self,
+        subject: messages.Subject,
+        live: tuple[membershipview.Member, ...],
+    ) -> OutgoingRequest | None:
+        now = self._clock.now()
+        fetch = self._fetch_by_subject.get(subject)
+        version, node = self._newest_by_subject[subject]
+        if fetch is not None and _is_among(fetch.announced_by, live):
+            version, node = max((version, node), (fetch.version, fetch.announced_by))
+        if version <= self.versions().of(subject):
+            self._fetch_by_subject.pop(subject, None)
+            return None
+        if fetch is None:
+            fetch = self._fetch_by_subject[subject] = _Fetch(version, now)
+        if fetch.announced_by is None and now - fetch.since < FETCH_DELAY_S:
+            return None
+        if now - fetch.requested_at < REQUEST_RETRY_S:
+            return None
+        return self._chunk_request(fetch, subject, version, node)
+
+    def _chunk_request(
+        self, fetch: _Fetch, subject: messages.Subject, version: int, node: str
+    ) -> OutgoingRequest | None:
+        if fetch.assembly is None or fetch.version != version:
+            fetch.version = version
+            fetch.assembly = configchunks.Assembly(version, subject)
+            fetch.since_version = self.versions().of(subject)
+        fetch.requested_at = self._clock.now()
+        request = _with_since(fetch.assembly.next_request(), fetch.since_version)
+        return None if request is None else OutgoingRequest(node, request)
+
+    def _chunks_of(self, key: "_DocumentKey") -> tuple[messages.DocumentChunk, ...]:
+        chunks = self._chunks_by_document.pop(key, None)
+        if chunks is None:
+            document = self._read(key.subject, key.since)
+            if document is None:
+                return ()
+            chunks = configchunks.split(key.version, zlib.compress(document), key.subject)
+        self._chunks_by_document[key] = chunks
+        if len(self._chunks_by_document) > MAX_CACHED_DOCUMENTS:
+            self._chunks_by_document.popitem(last=False)
+        return chunks
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class _DocumentKey:
+    """What is asked for: a document as of a version, by someone that has another."""
+
+    subject: messages.Subject
+    version: int
+    since: int
+
+
+def _with_since(request: messages.ChunkRequest | None, since: int) -> messages.ChunkRequest | None:
+    """Return an request that says which position its sender has."""
+    return None if request is None else dataclasses.replace(request, since=since)
+
+
+def _newest(members: list[membershipview.Member], subject: messages.Subject) -> tuple[int, str]:
+    """Return the newest version that any of ``members`` has, and who has it."""
+    candidates = ((_version_held_by(member, subject), member.identity.name) for member in members)
+    return max(candidates, default=(0, ""))
+
+
+def _is_among(name: str | None, members: tuple[membershipview.Member, ...]) -> bool:
+    return name is not None and any(member.identity.name == name for member in members)
+
+
+def _version_held_by(member: membershipview.Member, subject: messages.Subject) -> int:
+    if subject is messages.Subject.CONFIGURATION:
+        return member.heartbeat.config_revision
+    return member.heartbeat.list_version
+
+
+def _version_in(announcement: messages.VersionAnnouncement, subject: messages.Subject) -> int:
+    return (
+        announcement.revision
+        if subject is messages.Subject.CONFIGURATION
+        else announcement.list_version
+    )
+
+
+def _decompress(document: bytes) -> bytes:
+    # A peer with a fault must not fill this instance's memory by a few bytes.
+    return zlib.decompressobj().decompress(document, MAX_DOCUMENT_BYTES)
--- a/hornbeamglade/entry/enginewatch.py
+++ b/hornbeamglade/entry/enginemonitor.py
@@ -20,7 +20,7 @@
 REPORT = "report"
 
 
-class EngineWatch:
+class EngineMonitor:
     """Takes words about engines from the list, their own reports and other instances.
 
     Explanation
@@ -57,7 +57,7 @@
         self._leaving: set[str] = set()
         self._reported_leaving: set[str] = set()
 
-    def reported(
+    def on_report(
         self,
         replica: replicamodels.Replica,
         report: enginemodels.EngineReport | reportpoller.EngineLost | None,
@@ -83,10 +83,10 @@
             replica.id, lambda scheduler, now: scheduler.apply_report(load, leaving, now)
         )
         if report.is_leaving and replica.id not in self._leaving:
-            self.leaves(replica.id, REPORT)
+            self.on_leaving(replica.id, REPORT)
             self._announce()
 
-    def leaves(self, replica_id: str, source: str) -> None:
+    def on_leaving(self, replica_id: str, source: str) -> None:
         """Take the word that an engine is about to stop, and move its runs away.
 
         :param source: who said so.
@@ -108,7 +108,7 @@
         """Tell whether an engine's own report, here or at its owner, announced its stop."""
         return replica_id in self._reported_leaving
 
-    def added(self, replica_id: str) -> None:
+    def on_added(self, replica_id: str) -> None:
         """Take the word that a replica is in the list, perhaps once more.
 
         An entry lapses while the store is away, of an engine that lives.
@@ -116,7 +116,7 @@
         self._leaving.discard(replica_id)
         self._reported_leaving.discard(replica_id)
 
-    def restarted(self, former: replicamodels.Replica) -> None:
+    def on_restarted(self, former: replicamodels.Replica) -> None:
         """Take the word that a server has started anew: its former start is no more.
 
         Guards streams against waiting for events of a run that nobody makes any more, and
@@ -126,7 +126,7 @@
         self._pool.close_kept(former.address)
         self._registry.on_replica_gone(former.id)
 
-    def forget_absent(self) -> None:
+    def remove_absent(self) -> None:
         """Forget replicas that are neither in the list nor have left it lately."""
         known = self._replicas.by_id.keys() | self._replicas.departed_by_id.keys()
         self._leaving &= known
--- a/hornbeamglade/entry/gauges.py
+++ b/hornbeamglade/entry/gauges.py
@@ -4,7 +4,7 @@
 import dataclasses
 
 from hornbeamglade.core import clocks
-from hornbeamglade.entry import following
+from hornbeamglade.entry import clusterstate
 from hornbeamglade.observability import metrics
 from hornbeamglade.quarantine import requestquarantine
 from hornbeamglade.replicas import availability
@@ -18,7 +18,7 @@
     :param instruments: the node's instruments.
     :param current: the configuration in force.
     :param available: the replicas that may get new work.
-    :param believed: how far the list of replicas can be trusted.
+    :param cluster_state: how far the list of replicas can be trusted.
     :param quarantine: refuses requests that crash replicas.
     :param budgets: what is left for attempts beyond the first.
     :param clock: monotonic time.
@@ -29,7 +29,7 @@
     instruments: metrics.NodeMetrics
     current: views.CurrentView
     available: availability.Availability
-    believed: following.Following
+    cluster_state: clusterstate.ClusterState
     quarantine: requestquarantine.RequestQuarantine
     budgets: retrybudget.RetryBudgets
     clock: clocks.Clock
@@ -39,9 +39,9 @@
     def update(self) -> None:
         """Set every gauge to what holds now."""
         routed = self.instruments.routed
-        age_s = self.believed.belief().age_s
+        age_s = self.cluster_state.replica_list_staleness().age_s
         routed.belief_age_s.set(-1.0 if age_s is None else age_s)
-        routed.is_store_reached.set(float(self.believed.is_reached()))
+        routed.is_store_reached.set(float(self.cluster_state.is_reached()))
         routed.caller_connections.set(self.count_connections())
         routed.evacuated_domains.set(len(self.available.evacuations.domains))
         routed.quarantined_requests.set(self.quarantine.quarantined_count)
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -9,17 +9,17 @@
 from hornbeamglade.engines import reportpoller
 from hornbeamglade.entry import (
     callershandler,
+    clusterstate,
+    componentsettings,
     controlhandler,
     directory,
-    enginewatch,
-    following,
+    documentsync,
+    enginemonitor,
+    followerrole,
     gauges,
-    partsettings,
     peering,
     settings,
-    sharing,
     startupgate,
-    storewatch,
 )
 from hornbeamglade.exchange import messages
 from hornbeamglade.grants import asyncgrantacquirer, schedulerset
@@ -55,111 +55,117 @@
 """Pause between ticks while nothing is under way; a whole part of the heartbeats' periods. At
 a large site nearly all instances idle, and ticks are most of what they then cost."""
 
-ANNOUNCED_S = 2.0
+ANNOUNCE_STOP_S = 2.0
 """A planned stop is told to callers for so long: the time for which they keep an answer of
 the directory."""
 
 STOP_MARGIN_S = 0.4
-DEPARTED_S = 12.0
+DEPARTED_RETENTION_S = 12.0
 """Longer than a replica serves on that was taken from the list without a word."""
 
 
-class EntryInstance(controlhandler.Answers, peering.News):
+class EntryInstance(controlhandler.InstanceInterface, peering.PeerEvents):
     """The parts of one entry instance, on one event loop.
 
-    :param told: its settings.
+    :param instance_settings: its settings.
     :param clock: monotonic and wall time.
     """
 
-    def __init__(self, told: settings.Settings, clock: clocks.Clock) -> None:
-        self._told = told
+    def __init__(self, instance_settings: settings.Settings, clock: clocks.Clock) -> None:
+        self._settings = instance_settings
         self._clock = clock
         self.incarnation = int(clock.wall() * 1000)
         self.instruments = metrics.NodeMetrics()
-        rng = random.Random(self.incarnation ^ hash(told.name))
+        rng = random.Random(self.incarnation ^ hash(instance_settings.name))
         self._views = views.CurrentView()
         self._startup = startupgate.StartupGate()
         self._replicas = replicalist.ReplicaList()
         self._available = availability.Availability(
             self._replicas,
             slowstart.SlowStarts(rng),
-            ratelimits.RateLimits(clock, told.name),
-            partsettings.cold_bound(told),
-            told.region_by_failure_domain,
+            ratelimits.RateLimits(clock, instance_settings.name),
+            componentsettings.slow_start_bound(instance_settings),
+            instance_settings.region_by_failure_domain,
         )
         self._lengths = lengthmodel.LengthModel()
         self._schedulers = schedulerset.SchedulerSet(clock, self._lengths, self._available)
         digests = digestcache.DigestCache(clock)
-        self.following = following.Following(
+        self.cluster_state = clusterstate.ClusterState(
             self._views,
             self._available,
             clock,
-            self._list_changed,
-            self._configured,
-            self._evacuations_changed,
+            self._on_list_changed,
+            self._on_configured,
+            self._on_evacuations_changed,
         )
-        self.watch = storewatch.StoreWatch(
-            told.name,
+        self.follower_role = followerrole.FollowerRole(
+            instance_settings.name,
             self._held_versions,
             lambda: self._available.evacuations,
-            self.following.is_reached,
+            self.cluster_state.is_reached,
             clock,
         )
-        documents = sharing.SharedDocuments(
-            self.following.versions, self.following.read, self.following.take, clock
+        document_sync = documentsync.DocumentSync(
+            self.cluster_state.versions,
+            self.cluster_state.read_document,
+            self.cluster_state.apply_document,
+            clock,
         )
-        exchange = f"{told.host}:{told.exchange_ports[0]}"
+        exchange = f"{instance_settings.host}:{instance_settings.exchange_ports[0]}"
         self.identity = membershipview.Identity(
-            told.name, told.failure_domain, told.listen.callers, exchange
+            instance_settings.name,
+            instance_settings.failure_domain,
+            instance_settings.listen.callers,
+            exchange,
         )
         self.peering = peering.Peering(
             self.identity,
             self.incarnation,
-            partsettings.exchange_keys(told.store),
+            componentsettings.exchange_keys(instance_settings.store),
             clock,
             self._schedulers,
             digests,
-            self._owned_places,
-            documents,
+            self._engines_with_owners,
+            document_sync,
             lambda: self._available.evacuations,
             lambda: self.quarantine.digest,
             self,
         )
         self.quarantine = requestquarantine.RequestQuarantine(
-            told.name,
+            instance_settings.name,
             lambda: tuple(each.identity.name for each in self.peering.heartbeats.live()),
-            self.peering.present,
+            self.peering.known_names,
             self.peering.send,
             clock,
         )
         self._pool = clientpool.ClientPool(clock)
-        self._words = requestdialect.PlatformDialect()
-        self._sender = sending.Sender(self._pool, self._words, clock)
+        self._dialect = requestdialect.PlatformDialect()
+        self._sender = sending.Sender(self._pool, self._dialect, clock)
         self._loads = replicaload.ReplicaLoads(clock, rng)
         self._budgets = retrybudget.RetryBudgets(
-            partsettings.budget(told),
+            componentsettings.retry_budget(instance_settings),
             lambda service, outcome: self.instruments.routed.retries.add(
                 labels=(service, outcome)
             ),
         )
         engine_calls = enginecalls.EngineCalls(self._pool)
         self._registry = runregistry.RunRegistry()
-        self._engine_watch = enginewatch.EngineWatch(
+        self._engine_monitor = enginemonitor.EngineMonitor(
             self._replicas,
             self._schedulers,
             self._registry,
             self._pool,
             self.peering.heartbeats.announce,
-            told.policy.moves_runs,
+            instance_settings.policy.moves_runs,
         )
         self._crashes = crashdetector.CrashDetector(
             self._replicas,
             self._pool.listens,
-            self._engine_watch.has_reported_stop,
+            self._engine_monitor.has_reported_stop,
             lambda replica, lost: self.quarantine.crashed(replica.id, lost),
             clock,
         )
-        rates = partsettings.routing(told)
+        rates = componentsettings.routing(instance_settings)
         self.catalog = enginecatalog.EngineCatalog(
             self._available, self._schedulers, digests, self.peering.owned, rates
         )
@@ -172,32 +178,32 @@
             rng,
             rates,
         )
-        moves = migration.MigrationDependencies(
+        migrations = migration.MigrationDependencies(
             engine_calls,
             self.acquirer,
-            self.peering.turns,
+            self.peering.migration_slots,
             self.catalog,
             clock,
-            told.policy.arrivals_in_turn,
+            instance_settings.policy.arrivals_in_turn,
         )
-        pace = tokentimes.TokenTimes()
+        token_times = tokentimes.TokenTimes()
         self._drain_admission = drainadmission.DrainAdmission(
-            pace, self._outlasts, self._are_others_ready
+            token_times, self._survival, self._are_others_ready
         )
-        turns = ratelimitqueue.RateLimitQueue(self._available, clock)
+        rate_limit_queue = ratelimitqueue.RateLimitQueue(self._available, clock)
         runs = rundependencies.RunDependencies(
             self._sender,
             self.acquirer,
             self.catalog,
-            moves,
+            migrations,
             self._registry,
             self._budgets,
             self._crashes,
             self.quarantine,
-            self._learn,
-            pace,
+            self._record_length,
+            token_times,
             self.instruments,
-            turns,
+            rate_limit_queue,
             clock,
         )
         plain = bufferedexchange.BufferedExchange(
@@ -207,12 +213,12 @@
             self._budgets,
             self._crashes,
             self.quarantine,
-            turns,
+            rate_limit_queue,
             clock,
         )
         self.callers = callershandler.CallersHandler(
-            callershandler.HandlerParts(
-                self._words,
+            callershandler.HandlerDependencies(
+                self._dialect,
                 self._startup,
                 self._views,
                 plain,
@@ -220,22 +226,22 @@
                 self.quarantine,
                 self._budgets,
                 self._drain_admission,
-                self.following.belief,
+                self.cluster_state.replica_list_staleness,
                 self.instruments,
                 clock,
             )
         )
         self.poller = reportpoller.ReportPoller(
-            engine_calls, self._owned_engines, self._engine_reported, clock
+            engine_calls, self._owned_engines, self._on_engine_report, clock
         )
         self.draining: draining.Draining | None = None
         self._departed_at_by_replica: dict[str, float] = {}
-        self._has_been_introduced = False
+        self._was_introduced = False
         self._gauges = gauges.Gauges(
             self.instruments,
             self._views,
             self._available,
-            self.following,
+            self.cluster_state,
             self.quarantine,
             self._budgets,
             clock,
@@ -244,18 +250,18 @@
 
     def is_ready(self) -> bool:
         """Tell whether the instance takes callers."""
-        return self._knows_all and not self.is_leaving
+        return self._has_complete_state and not self.is_leaving
 
     @property
-    def _knows_all(self) -> bool:
+    def _has_complete_state(self) -> bool:
         # Without the list every request would be told that no replica is in use, and without
         # the evacuations some would go where nothing may go.
         has_list = self._replicas.version > 0 and self._available.evacuations.is_known
         return self._views.routes is not None and has_list
 
-    def _look_whether_begun(self) -> None:
-        if self._knows_all:
-            self._startup.end()
+    def _open_gate_when_ready(self) -> None:
+        if self._has_complete_state:
+            self._startup.open()
 
     @property
     def is_leaving(self) -> bool:
@@ -264,32 +270,32 @@
 
     def leave(self) -> draining.Draining:
         """Begin a planned stop, and tell the others; return its course."""
-        limit_s = self._told.bounds.stop_s - STOP_MARGIN_S
+        limit_s = self._settings.bounds.stop_s - STOP_MARGIN_S
         now = self._clock.now()
-        self.draining = draining.Draining(ANNOUNCED_S, propagation_s=0.0, hard_limit_s=limit_s)
+        self.draining = draining.Draining(ANNOUNCE_STOP_S, propagation_s=0.0, hard_limit_s=limit_s)
         self.draining.begin(now)
         self._drain_admission.begin(now, limit_s)
         self.peering.heartbeats.leave()
         return self.draining
 
-    def take_settings(self, told: settings.Settings) -> None:
+    def apply_settings(self, instance_settings: settings.Settings) -> None:
         """Take settings that were changed while the instance runs.
 
         What it is called and where it listens stays until its next start.
         """
-        self._told = told
-        self._budgets.configure(partsettings.budget(told))
-        self._available.set_bound(partsettings.cold_bound(told))
+        self._settings = instance_settings
+        self._budgets.configure(componentsettings.retry_budget(instance_settings))
+        self._available.set_bound(componentsettings.slow_start_bound(instance_settings))
 
     def addresses(self, failure_domain: str, region: str) -> tuple[str, ...]:
         """Return where a caller is to connect."""
         return directory.addresses(
             self.peering.heartbeats.members(),
-            self._told.name,
+            self._settings.name,
             self.is_ready(),
             failure_domain,
             region,
-            self._told.region_by_failure_domain,
+            self._settings.region_by_failure_domain,
         )
 
     def metrics(self) -> bytes:
@@ -297,7 +303,7 @@
         self._gauges.update()
         return self.instruments.exposition()
 
-    def count_connections(self, count: collections.abc.Callable[[], int]) -> None:
+    def set_connection_counter(self, count: collections.abc.Callable[[], int]) -> None:
         """Take what tells how many connections of callers are open."""
         self._gauges.count_connections = count
 
@@ -307,13 +313,13 @@
 
     def status(self) -> bytes:
         """Return the status page as JSON."""
-        versions = self.following.versions()
+        versions = self.cluster_state.versions()
         page = {
-            "name": self._told.name,
-            "failure_domain": self._told.failure_domain,
+            "name": self._settings.name,
+            "failure_domain": self._settings.failure_domain,
             "state": "ready" if self.is_ready() else "unready",
             "config_revision": versions.configuration,
-            "config_problem": self.following.problem,
+            "config_problem": self.cluster_state.problem,
             "list_version": positions.version(versions.replicas),
             "store_era": positions.era(versions.replicas),
             "evacuated": sorted(self._available.evacuations.domains),
@@ -324,45 +330,45 @@
     @property
     def tick_s(self) -> float:
         """Seconds until the next tick is due."""
-        is_silent = not self.watch.is_telling and self.quarantine.is_idle
-        is_idle = self.peering.is_idle and is_silent and self._startup.is_over
+        is_silent = not self.follower_role.has_pending_announcements and self.quarantine.is_idle
+        is_idle = self.peering.is_idle and is_silent and self._startup.is_open
         return IDLE_TICK_S if is_idle and not self._schedulers.has_waiting_requests else TICK_S
 
     def tick(self) -> None:
         """Do what is due; several times a second."""
-        self._look_whether_begun()
+        self._open_gate_when_ready()
         self.peering.tick()
         self.poller.tick()
         self._schedulers.process_queues()
         self.quarantine.tick()
-        self.pass_on()
+        self.send_announcements()
 
-    def on_store_outcome(self, table: str, outcome: following.TableOutcome) -> None:
+    def on_store_outcome(self, table: str, outcome: clusterstate.TableOutcome) -> None:
         """Take an outcome of following a table of the store."""
         if table == tables.CONFIGURATION:
-            self.following.on_configuration(outcome)
+            self.cluster_state.on_configuration(outcome)
         else:
-            self.following.on_replicas(outcome)
-        self.pass_on()
+            self.cluster_state.on_replicas(outcome)
+        self.send_announcements()
 
-    def pass_on(self) -> None:
+    def send_announcements(self) -> None:
         """Tell others what is new in the store, where that is this instance's part."""
         live = tuple(each.identity.name for each in self.peering.heartbeats.live())
-        for hint in self.watch.tick(live):
-            self.peering.send(hint.node, hint.message)
+        for announcement in self.follower_role.tick(live):
+            self.peering.send(announcement.node, announcement.message)
 
     def on_engine_leaving(self, replica_id: str) -> None:
         """Take an owner's word that an engine is about to stop."""
-        self._engine_watch.leaves(replica_id, enginewatch.PEER)
+        self._engine_monitor.on_leaving(replica_id, enginemonitor.PEER)
 
-    def on_hint(self, hint: messages.VersionAnnouncement) -> None:
-        """Take a hint of an instance that follows the store."""
-        self.watch.heard(hint)
-        self.following.on_hint(hint)
+    def on_announcement(self, announcement: messages.VersionAnnouncement) -> None:
+        """Take a announcement of an instance that follows the store."""
+        self.follower_role.on_announcement(announcement)
+        self.cluster_state.on_announcement(announcement)
 
     def on_evacuations(self, state: evacuationlib.Evacuations) -> None:
         """Take the evacuated failure domains as another instance knows them."""
-        self.following.take_evacuations(state, following.PEER)
+        self.cluster_state.apply_evacuations(state, clusterstate.PEER)
 
     def on_crash_report(self, sender: str, report: messages.CrashReport) -> None:
         """Take crashes that another instance has seen."""
@@ -376,11 +382,11 @@
         """Take the digest of all requests that another instance so refuses."""
         self.quarantine.on_digest(sender, digest)
 
-    def message_failed(self, error: Exception, where: str) -> None:
+    def on_message_error(self, error: Exception, where: str) -> None:
         """Log an error that a message caused here."""
         logs.failed(where, error)
 
-    def tidy(self) -> None:
+    def clean_up(self) -> None:
         """Forget what is gone; every second or so."""
         present = self._replicas.by_id
         self._pool.forget(frozenset(each.address for each in present.values()))
@@ -388,35 +394,35 @@
         self._available.forget_ended(self._clock.now())
         self._crashes.forget_old()
         self.quarantine.expire()
-        self._forget_departed()
-        self._engine_watch.forget_absent()
+        self._remove_departed()
+        self._engine_monitor.remove_absent()
         # An instance may have come back under its name in another failure domain.
         self.peering.update_owners()
         # Killed instances come back under their names: their part is not given away.
         names = [each.identity.name for each in self.peering.heartbeats.members()]
         self._budgets.set_node_count(len(names))
-        self._available.set_position(names.index(self._told.name), len(names))
+        self._available.set_position(names.index(self._settings.name), len(names))
 
-    def _forget_departed(self) -> None:
+    def _remove_departed(self) -> None:
         now = self._clock.now()
         for replica_id in tuple(self._replicas.departed_by_id):
             since = self._departed_at_by_replica.setdefault(replica_id, now)
-            if now - since > DEPARTED_S:
+            if now - since > DEPARTED_RETENTION_S:
                 self._replicas.forget_departed(replica_id)
                 del self._departed_at_by_replica[replica_id]
 
     def on_introduction(self, listed: tuple[contract.Instance, ...]) -> None:
         """Take the instances' own list of themselves."""
         self.peering.heartbeats.apply_list(listed)
-        if not self._has_been_introduced:
+        if not self._was_introduced:
             # At large sites it would take minutes until each had heard of this one.
-            self._has_been_introduced = True
+            self._was_introduced = True
             self.peering.heartbeats.announce()
-        self.watch.on_introduction()
-        self.pass_on()
+        self.follower_role.on_introduction()
+        self.send_announcements()
 
     def _held_versions(self) -> tuple[int, int]:
-        versions = self.following.versions()
+        versions = self.cluster_state.versions()
         return versions.configuration, versions.replicas
 
     def _engines(self) -> collections.abc.Iterator[replicamodels.Replica]:
@@ -427,12 +433,12 @@
             if service.engine is not None:
                 yield from self._replicas.of_service(name)
 
-    def _owned_places(self) -> collections.abc.Iterator[replicamodels.Replica]:
+    def _engines_with_owners(self) -> collections.abc.Iterator[replicamodels.Replica]:
         """Return what has an owner: runs leave an engine in turn also when it is not listed."""
         yield from self._engines()
         yield from self._replicas.departed_by_id.values()
 
-    def _engine_reported(
+    def _on_engine_report(
         self,
         replica: replicamodels.Replica,
         report: enginemodels.EngineReport | reportpoller.EngineLost | None,
@@ -440,41 +446,41 @@
         # Whether reports name limits is not said, so one without a limit lifts none.
         if isinstance(report, enginemodels.EngineReport) and report.limit is not None:
             self._available.limit_reported(replica.id, report.limit)
-        self._engine_watch.reported(replica, report)
+        self._engine_monitor.on_report(replica, report)
 
     def _owned_engines(self) -> list[replicamodels.Replica]:
         owned = self.peering.owned()
         return [replica for replica in self._engines() if replica.id in owned]
 
-    def _configured(self) -> None:
+    def _on_configured(self) -> None:
         view = self._views.routes
         configuration = view.configuration
         self.instruments.config_revision.set(configuration.revision)
         self._available.configure(configuration.service_by_name)
         self.peering.names.services.replace(route.name for route in configuration.routes)
         self.peering.names.teams.replace(["", *(team.name for team in configuration.teams)])
-        self._take_engines()
+        self._update_engines()
 
-    def _evacuations_changed(self) -> None:
+    def _on_evacuations_changed(self) -> None:
         # Those that wait for an evacuated engine are refused, and go to another at once.
         self._schedulers.process_queues()
-        self._look_whether_begun()
-        self.pass_on()
+        self._open_gate_when_ready()
+        self.send_announcements()
 
-    def _list_changed(self, changes: tuple[replicalist.ListChange, ...]) -> None:
+    def _on_list_changed(self, changes: tuple[replicalist.ListChange, ...]) -> None:
         self._available.list_changed(changes, self._clock.now())
         self._crashes.list_changed(changes)
-        self._take_engines()
+        self._update_engines()
         for change in changes:
             if change.kind in ("leaving", "gone"):
-                self._engine_watch.leaves(change.replica.id, enginewatch.LIST)
+                self._engine_monitor.on_leaving(change.replica.id, enginemonitor.LIST)
             elif change.kind == "restarted":
-                self._engine_watch.restarted(change.replica)
+                self._engine_monitor.on_restarted(change.replica)
             elif change.kind == "added":
-                self._engine_watch.added(change.replica.id)
+                self._engine_monitor.on_added(change.replica.id)
 
-    def _take_engines(self) -> None:
-        self._look_whether_begun()
+    def _update_engines(self) -> None:
+        self._open_gate_when_ready()
         view = self._views.routes
         if view is None:
             return
@@ -483,8 +489,8 @@
         service_by_name = view.configuration.service_by_name
         self._schedulers.configure(
             {
-                engine.id: partsettings.scheduler(
-                    service_by_name[engine.service].engine, self._told.policy
+                engine.id: componentsettings.scheduler(
+                    service_by_name[engine.service].engine, self._settings.policy
                 )
                 for engine in engines
             }
@@ -492,10 +498,10 @@
         self.peering.update_owners()
 
     def _are_others_ready(self) -> bool:
-        return directory.has_others_ready(self.peering.heartbeats.members(), self._told.name)
+        return directory.has_others_ready(self.peering.heartbeats.members(), self._settings.name)
 
-    def _outlasts(self, service: str, team: str, tokens: float) -> float:
+    def _survival(self, service: str, team: str, tokens: float) -> float:
         return self._lengths.table(service, team).survival(tokens)
 
-    def _learn(self, service: str, team: str, tokens: int, is_cut: bool) -> None:
+    def _record_length(self, service: str, team: str, tokens: int, is_cut: bool) -> None:
         self._schedulers.observe_length(service, team, tokens, censored=is_cut)
--- a/hornbeamglade/entry/listhistory.py
+++ b/hornbeamglade/entry/listhistory.py
@@ -15,12 +15,12 @@
 
 from hornbeamglade.store import contract
 
-MOST_CHANGES = 500
+MAX_CHANGES = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Change:
-    at: int
+    position: int
     key: str
     row: contract.Row | None
 
@@ -32,11 +32,12 @@
     ========
 
     >>> history = ListHistory()
-    >>> history.begin(4)
+    >>> history.reset(4)
     >>> history.add(contract.Changes((contract.Row("a", "1", 6),), ("b",), 7, 7))
-    >>> history.since(3) is None
+    >>> history.changes_since(3) is None
     True
-    >>> decode(history.since(4)).deleted_keys, decode(history.since(7)).deleted_keys
+    >>> after_4, after_7 = history.changes_since(4), history.changes_since(7)
+    >>> decode(after_4).deleted_keys, decode(after_7).deleted_keys
     (('b',), ())
     """
 
@@ -45,29 +46,31 @@
         self._changes: collections.deque[_Change] = collections.deque()
         self._newest = 0
 
-    def begin(self, at: int) -> None:
+    def reset(self, position: int) -> None:
         """Begin anew at a position as of which the whole list was read."""
         self._changes.clear()
-        self._complete_from = self._newest = at
+        self._complete_from = self._newest = position
 
     def add(self, changes: contract.Changes) -> None:
         """Take changes that follow on those before."""
-        at = changes.newest
-        self._changes += [_Change(at, row.key, row) for row in changes.written_rows]
-        self._changes += [_Change(at, key, None) for key in changes.deleted_keys]
-        self._newest = at
-        while len(self._changes) > MOST_CHANGES:
-            self._complete_from = self._changes.popleft().at
-
-    def since(self, at: int) -> bytes | None:
+        position = changes.newest
+        self._changes += [_Change(position, row.key, row) for row in changes.written_rows]
+        self._changes += [_Change(position, key, None) for key in changes.deleted_keys]
+        self._newest = position
+        while len(self._changes) > MAX_CHANGES:
+            self._complete_from = self._changes.popleft().position
+
+    def changes_since(self, position: int) -> bytes | None:
         """Return a document of what has changed after a position, or None if not known."""
-        if self._complete_from is None or not self._complete_from <= at <= self._newest:
+        if self._complete_from is None or not self._complete_from <= position <= self._newest:
             return None
-        newest_by_key = {change.key: change for change in self._changes if change.at > at}
+        newest_by_key = {
+            change.key: change for change in self._changes if change.position > position
+        }
         changed = newest_by_key.values()
         document = {
-            "since": at,
-            "rows": [_fields(each.row) for each in changed if each.row is not None],
+            "since": position,
+            "rows": [_row_fields(each.row) for each in changed if each.row is not None],
             "gone": [each.key for each in changed if each.row is None],
             "newest": self._newest,
         }
@@ -91,23 +94,23 @@
         return self.changes.deleted_keys
 
 
-def whole(rows: collections.abc.Iterable[contract.Row]) -> bytes:
+def encode_list(rows: collections.abc.Iterable[contract.Row]) -> bytes:
     """Return a document of a whole list, its rows in order of key.
 
     Instances with the same list have the same bytes of it.
     """
-    return json.dumps([_fields(row) for row in sorted(rows, key=lambda row: row.key)]).encode()
+    return json.dumps([_row_fields(row) for row in sorted(rows, key=lambda row: row.key)]).encode()
 
 
 def decode(document: bytes) -> Delta | tuple[contract.Row, ...]:
     """Read a document: what has changed, or the rows of a whole list."""
-    told = json.loads(document)
-    if isinstance(told, list):
-        return tuple(contract.Row(*row) for row in told)
-    rows = tuple(contract.Row(*row) for row in told["rows"])
-    newest = told["newest"]
-    return Delta(told["since"], contract.Changes(rows, tuple(told["gone"]), newest, newest))
+    parsed = json.loads(document)
+    if isinstance(parsed, list):
+        return tuple(contract.Row(*row) for row in parsed)
+    rows = tuple(contract.Row(*row) for row in parsed["rows"])
+    newest = parsed["newest"]
+    return Delta(parsed["since"], contract.Changes(rows, tuple(parsed["gone"]), newest, newest))
 
 
-def _fields(row: contract.Row) -> list[object]:
+def _row_fields(row: contract.Row) -> list[object]:
     return [row.key, row.value, row.version, row.problem]
--- a/hornbeamglade/entry/peering.py
+++ b/hornbeamglade/entry/peering.py
@@ -5,7 +5,7 @@
 import random
 
 from hornbeamglade.core import clocks
-from hornbeamglade.entry import sharing
+from hornbeamglade.entry import documentsync
 from hornbeamglade.exchange import (
     asyncgrantclient,
     asyncudp,
@@ -21,12 +21,12 @@
 from hornbeamglade.replicas import evacuations as evacuationlib
 from hornbeamglade.replicas import models as replicamodels
 
-MOST_ROOM_TOKENS = 2**31 - 1
+MAX_HEADROOM_TOKENS = 2**31 - 1
 
 Engines = collections.abc.Callable[[], collections.abc.Iterable[replicamodels.Replica]]
 
 
-class News(abc.ABC):
+class PeerEvents(abc.ABC):
     """Told of what other instances do and say."""
 
     @abc.abstractmethod
@@ -34,8 +34,8 @@
         """Take an owner's word that an engine is about to stop."""
 
     @abc.abstractmethod
-    def on_hint(self, hint: messages.VersionAnnouncement) -> None:
-        """Take a hint of an instance that follows the store."""
+    def on_announcement(self, announcement: messages.VersionAnnouncement) -> None:
+        """Take a announcement of an instance that follows the store."""
 
     @abc.abstractmethod
     def on_evacuations(self, state: evacuationlib.Evacuations) -> None:
@@ -54,7 +54,7 @@
         """Take the digest of all requests that another instance so refuses."""
 
     @abc.abstractmethod
-    def message_failed(self, error: Exception, where: str) -> None:
+    def on_message_error(self, error: Exception, where: str) -> None:
         """Take an error that a message caused here."""
 
 
@@ -68,11 +68,11 @@
     :param schedulers: this instance's schedulers.
     :param digests: takes what owners say.
     :param engines: returns the engines of the platform's list.
-    :param documents: what instances read from one another.
+    :param document_sync: what instances read from one another.
     :param evacuations: returns the evacuated failure domains as this instance knows them.
     :param quarantine_digest: returns the digest of the requests that this instance refuses
         since they crash replicas.
-    :param news: told of what the others do and say.
+    :param events: told of what the others do and say.
     """
 
     def __init__(
@@ -84,30 +84,32 @@
         schedulers: schedulerset.SchedulerSet,
         digests: digestcache.DigestCache,
         engines: Engines,
-        documents: sharing.SharedDocuments,
+        document_sync: documentsync.DocumentSync,
         evacuations: collections.abc.Callable[[], evacuationlib.Evacuations],
         quarantine_digest: collections.abc.Callable[[], int],
-        news: News,
+        events: PeerEvents,
     ) -> None:
         self._identity = identity
         self._clock = clock
         self._schedulers = schedulers
         self._digests = digests
         self._engines = engines
-        self._documents = documents
+        self._document_sync = document_sync
         self._evacuations = evacuations
         self._quarantine_digest = quarantine_digest
-        self._news = news
+        self._events = events
         self._ownership = ownership.Ownership()
-        self._owners_seen: tuple[list[ownership.Participant], dict[str, str]] | None = None
+        self._ownership_inputs: tuple[list[ownership.Participant], dict[str, str]] | None = None
         self.codec = codec.Codec(identity.name, incarnation, keys, clock)
-        self.transport = asyncudp.AsyncUdpTransport(self.codec, self._handle, news.message_failed)
+        self.transport = asyncudp.AsyncUdpTransport(
+            self.codec, self._handle, events.on_message_error
+        )
         self.grants = asyncgrantclient.AsyncGrantClient(incarnation, self.transport, clock)
         self.names = remotescheduler.ConfiguredNames()
         self._scheduler = remotescheduler.RemoteScheduler(schedulers, clock, self.names)
         self._server = grantserver.GrantServer(self._scheduler, self.transport, clock)
         self._scheduler.set_push(self._server.push)
-        self.turns = migrationcoordinator.MigrationCoordinator(
+        self.migration_slots = migrationcoordinator.MigrationCoordinator(
             identity.name, self, self.transport, clock
         )
         self.heartbeats = heartbeats.Heartbeats(
@@ -139,13 +141,13 @@
         return self._ownership.owned_by(self._identity.name)
 
     def record_no_response(self, owner: str) -> None:
-        """Note that an owner left an ask unanswered."""
+        """Note that an owner left an request unanswered."""
         self.heartbeats.record_no_reply(owner)
 
     @property
     def is_idle(self) -> bool:
         """Whether nothing that is under way here has another step within a tick."""
-        return self.turns.is_idle and not self._documents.is_behind
+        return self.migration_slots.is_idle and not self._document_sync.is_fetching
 
     def tick(self) -> None:
         """Send what is due and take note of what changed; several times a second."""
@@ -156,14 +158,14 @@
                 self._server.holder_gone(change.member.identity.name)
         self._server.tick()
         self.grants.tick()
-        self.turns.tick()
+        self.migration_slots.tick()
         if changes:
             self.update_owners()
-        ask = self._documents.due(self.heartbeats.live(), self._identity.name)
-        if ask is not None:
-            self.send(ask.node, ask.message)
+        request = self._document_sync.next_request(self.heartbeats.live(), self._identity.name)
+        if request is not None:
+            self.send(request.node, request.message)
 
-    def present(self) -> tuple[str, ...]:
+    def known_names(self) -> tuple[str, ...]:
         """Return the names of the instances that are not known to be gone."""
         return tuple(
             each.identity.name
@@ -185,9 +187,9 @@
             for each in members
         ]
         service_by_id = {each.id: each.service for each in self._engines()}
-        if (nodes, service_by_id) == self._owners_seen:
+        if (nodes, service_by_id) == self._ownership_inputs:
             return
-        self._owners_seen = (nodes, service_by_id)
+        self._ownership_inputs = (nodes, service_by_id)
         engines = ownership.assign_groups(
             (ownership.Participant(each.id, each.failure_domain) for each in self._engines()),
             service_by_id.__getitem__,
@@ -207,7 +209,7 @@
         replicas = tuple(
             _replica_digest(state) for name, state in sorted(states.items()) if name in owned
         )
-        versions = self._documents.versions()
+        versions = self._document_sync.versions()
         return heartbeats.Digest(
             versions.configuration,
             replicas,
@@ -224,9 +226,9 @@
             # A heartbeat that was overtaken must not put older figures back.
             if self.heartbeats.receive(message, sender, source):
                 self._digests.hear(sender.name, message.replicas)
-                self._hear_leaving(message.replicas)
-                self._news.on_evacuations(message.evacuations)
-                self._news.on_quarantine_digest(sender.name, message.quarantine_digest)
+                self._note_leaving_engines(message.replicas)
+                self._events.on_evacuations(message.evacuations)
+                self._events.on_quarantine_digest(sender.name, message.quarantine_digest)
         elif isinstance(message, messages.GrantRequest):
             self._server.asked(message, sender, source)
         elif isinstance(message, messages.GrantResponse):
@@ -234,37 +236,37 @@
         elif isinstance(message, messages.Progress):
             self._server.progressed(message, sender, source)
         elif isinstance(message, messages.MigrationSlot):
-            self.turns.handle_message(message, sender, source)
+            self.migration_slots.handle_message(message, sender, source)
         elif isinstance(message, messages.VersionAnnouncement):
-            self._news.on_hint(message)
-            for due in self._documents.on_hint(sender.name, message):
+            self._events.on_announcement(message)
+            for due in self._document_sync.on_announcement(sender.name, message):
                 self.transport.send(peer, due.message)
         elif isinstance(message, messages.SupersededIncarnation):
             incarnations.raise_above(message.incarnation, self.codec, self.grants, self.heartbeats)
         elif isinstance(message, messages.ChunkRequest):
-            offer = self._documents.asked(message)
-            if offer is not None:
-                self.transport.send(peer, offer)
+            chunk = self._document_sync.on_chunk_request(message)
+            if chunk is not None:
+                self.transport.send(peer, chunk)
         elif isinstance(message, messages.CrashReport):
-            self._news.on_crash_report(sender.name, message)
+            self._events.on_crash_report(sender.name, message)
         elif isinstance(message, messages.QuarantineNotice):
-            self._news.on_quarantine_notice(message)
+            self._events.on_quarantine_notice(message)
         elif isinstance(message, messages.DocumentChunk):
-            ask = self._documents.offered(message)
-            if ask is not None:
-                self.transport.send(peer, ask)
+            request = self._document_sync.on_chunk(message)
+            if request is not None:
+                self.transport.send(peer, request)
 
-    def _hear_leaving(self, digests: tuple[messages.ReplicaDigest, ...]) -> None:
+    def _note_leaving_engines(self, digests: tuple[messages.ReplicaDigest, ...]) -> None:
         for digest in digests:
             name = self.names.replicas.find(digest.replica) if digest.leaving else None
             if name is not None:
-                self._news.on_engine_leaving(name)
+                self._events.on_engine_leaving(name)
 
 
 def _replica_digest(state: schedulerset.SchedulerState) -> messages.ReplicaDigest:
     return messages.ReplicaDigest(
         replica=messages.key_hash(state.replica),
-        room_tokens=max(0, min(MOST_ROOM_TOKENS, int(state.headroom_tokens))),
+        room_tokens=max(0, min(MAX_HEADROOM_TOKENS, int(state.headroom_tokens))),
         queued=state.waiting_ahead,
         expected_wait_ms=int(state.expected_wait_s * 1000),
         leaving=state.leaving,
--- a/hornbeamglade/entry/policysettings.py
+++ b/hornbeamglade/entry/policysettings.py
@@ -56,12 +56,12 @@
     ('still', False, 0.35)
     """
     try:
-        told = yaml.safe_load(text)
+        parsed = yaml.safe_load(text)
     except yaml.YAMLError as error:
         raise codederrors.CodedError(VARIANT_INVALID, f"{text!r:.80}: no YAML") from error
-    if not isinstance(told, dict) or len(told) != 1:
+    if not isinstance(parsed, dict) or len(parsed) != 1:
         raise codederrors.CodedError(VARIANT_INVALID, f"{text!r:.80}: not NAME: {{FIELD: VALUE}}")
-    ((name, fields),) = told.items()
+    ((name, fields),) = parsed.items()
     if not isinstance(name, str) or not name.isidentifier():
         raise codederrors.CodedError(VARIANT_INVALID, f"{name!r:.80}: not a name")
     try:
--- a/hornbeamglade/entry/registration.py
+++ b/hornbeamglade/entry/registration.py
@@ -7,19 +7,19 @@
 from hornbeamglade.membership import discovery, dissemination, registry
 from hornbeamglade.store import contract
 
-FIRST_S = 0.5
+INITIAL_RETRY_S = 0.5
 """Pause between tries until the instance is in the list and has read it once."""
 
-AGAIN_S = 2.0
+SECOND_READ_S = 2.0
 """Instances of a site that starts as a whole write their rows within a second or two of
 one another."""
 
-LIST_S = 5.0
-LONG_LIST_S = 60.0
+LIST_INTERVAL_S = 5.0
+LONG_LIST_INTERVAL_S = 60.0
 """The list only introduces: an instance that comes tells the others itself. Each reading
 is paid for, and a long list is many bytes."""
 
-Introduced = collections.abc.Callable[[tuple[contract.Instance, ...]], None]
+OnList = collections.abc.Callable[[tuple[contract.Instance, ...]], None]
 
 
 class Registration:
@@ -36,7 +36,7 @@
     :param own: this instance's row.
     :param rows: the list in the store.
     :param seeds: addresses of instances that may be up.
-    :param introduced: called on that thread with each list.
+    :param on_list: called on that thread with each list.
     :param clock: monotonic time.
     :param is_first_start: whether the whole site starts for the first time.
     """
@@ -46,7 +46,7 @@
         own: contract.Instance,
         rows: registry.Registry,
         seeds: tuple[str, ...],
-        introduced: Introduced,
+        on_list: OnList,
         clock: clocks.Clock,
         is_first_start: bool = False,
     ) -> None:
@@ -54,10 +54,10 @@
         self._rows = rows
         self._seeds = discovery.Seeds(seeds)
         self._registers_first = is_first_start
-        self._introduced = introduced
+        self._on_list = on_list
         self._clock = clock
         self._is_registered = False
-        self._was_listed = False
+        self._had_row_at_start = False
         self._lists_read = 0
         self._stopping = threading.Event()
 
@@ -81,29 +81,33 @@
             self._registers_first = False
             known = self._seeds.fetch()
             if known:
-                self._introduced(known)
-            return LIST_S if self._is_registered and self._lists_read else FIRST_S
+                self._on_list(known)
+            return LIST_INTERVAL_S if self._is_registered and self._lists_read else INITIAL_RETRY_S
         self._lists_read += 1
-        self._introduced(listed)
+        self._on_list(listed)
         if self._is_registered and self._own not in listed:
             # The store has come back from a copy older than the row.
             self._register()
-        if not self._is_registered and not self._is_found(listed):
+        if not self._is_registered and not self._has_current_row(listed):
             self._register()
             # Whoever registered since the list was read is not in it.
-            return 0.0 if self._is_registered else FIRST_S
-        if self._lists_read == 1 and not self._was_listed:
-            return AGAIN_S
-        return LONG_LIST_S if len(listed) > dissemination.FULL_MESH_MAX_NODES else LIST_S
+            return 0.0 if self._is_registered else INITIAL_RETRY_S
+        if self._lists_read == 1 and not self._had_row_at_start:
+            return SECOND_READ_S
+        return (
+            LONG_LIST_INTERVAL_S
+            if len(listed) > dissemination.FULL_MESH_MAX_NODES
+            else LIST_INTERVAL_S
+        )
 
     def _register(self) -> None:
         outcome = self._rows.register(self._own)
         self._is_registered = isinstance(outcome, contract.Committed)
 
-    def _is_found(self, listed: tuple[contract.Instance, ...]) -> bool:
+    def _has_current_row(self, listed: tuple[contract.Instance, ...]) -> bool:
         """Note whether the row of a former run stands as it should."""
-        self._is_registered = self._was_listed = self._own in listed
-        return self._was_listed
+        self._is_registered = self._had_row_at_start = self._own in listed
+        return self._had_row_at_start
 
     def _run(self) -> None:
         while not self._stopping.is_set():
--- a/hornbeamglade/entry/startupgate.py
+++ b/hornbeamglade/entry/startupgate.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-LONGEST_S = 0.5
+MAX_WAIT_S = 0.5
 """An instance that starts has both from the store or from others within some tenths of a
 second; one that has neither by then may be cut off, and callers are sent elsewhere."""
 
@@ -21,21 +21,21 @@
     """
 
     def __init__(self) -> None:
-        self._known = asyncio.Event()
+        self._opened = asyncio.Event()
 
     @property
-    def is_over(self) -> bool:
+    def is_open(self) -> bool:
         """Whether configuration and list are known."""
-        return self._known.is_set()
+        return self._opened.is_set()
 
-    def end(self) -> None:
+    def open(self) -> None:
         """Note that both are known; idempotent."""
-        self._known.set()
+        self._opened.set()
 
     async def wait(self) -> None:
-        """Return when both are known, or after :data:`LONGEST_S`."""
+        """Return when both are known, or after :data:`MAX_WAIT_S`."""
         try:
-            async with asyncio.timeout(LONGEST_S):
-                await self._known.wait()
+            async with asyncio.timeout(MAX_WAIT_S):
+                await self._opened.wait()
         except TimeoutError:
             return
--- a/tests/entry/site.py
+++ b/tests/entry/site.py
@@ -23,7 +23,7 @@
 
 
 def route(name, kind, service, **changes):
-    told = {
+    fields = {
         "name": name,
         "host": HOST,
         "prefix": f"/{name}/",
@@ -34,7 +34,7 @@
         "service": service,
         "max_attempts": 2,
     }
-    return told | changes
+    return fields | changes
 
 
 def manifest(version=1, **changes):
@@ -71,8 +71,8 @@
     } | changes
 
 
-def entry(server, service, domain="a", state="ready", **more):
-    told = {
+def server_row(server, service, domain="a", state="ready", **more):
+    fields = {
         "service": service,
         "address": server.address,
         "zone": domain,
@@ -82,7 +82,7 @@
         "cold_remaining_ms": 0,
         "sequence": 1,
     }
-    return json.dumps(told | more)
+    return json.dumps(fields | more)
 
 
 class Node:
@@ -92,7 +92,7 @@
         clock = clock or clocks.SystemClock()
         ports = free_port(socket.SOCK_DGRAM)
         callers = f"127.0.0.1:{free_port(socket.SOCK_STREAM)}"
-        self.told = settings.Settings(
+        self.settings = settings.Settings(
             name=f"entry-{number}",
             host="127.0.0.1",
             failure_domain="ab"[number % 2],
@@ -104,13 +104,13 @@
             bounds=settings.Bounds(stop_s=8, address_ttl_s=5),
             region_by_failure_domain=region_by_failure_domain or {},
         )
-        self.instance = instance.EntryInstance(self.told, clock)
+        self.instance = instance.EntryInstance(self.settings, clock)
         self._server = serverside.CallersServer(self.instance.callers, clock)
         self._tasks = []
 
     async def start(self):
         await self.instance.peering.listen()
-        host, _, port = self.told.listen.callers.rpartition(":")
+        host, _, port = self.settings.listen.callers.rpartition(":")
         self.address = await self._server.listen(host, int(port))
         loop = asyncio.get_running_loop()
         self._tasks = [loop.create_task(self._tick())]
@@ -128,7 +128,7 @@
             connection.abort()
         self.instance.peering.transport.close()
 
-    async def ask(self, path, *, request_id="r1", key=KEY, more="", body=b"body"):
+    async def request(self, path, *, request_id="r1", key=KEY, more="", body=b"body"):
         """Send one request on a connection of its own; return the raw client."""
         client = await raw.RawClient.connect(self.address)
         head = (
@@ -173,9 +173,9 @@
             await server.start()
         self.put("op/config", json.dumps(manifest()))
         for number, server in enumerate(self.engines):
-            self.put(f"servers/{server.replica_id}", entry(server, "llm", "ab"[number % 2]))
+            self.put(f"servers/{server.replica_id}", server_row(server, "llm", "ab"[number % 2]))
         for server in self.services:
-            self.put(f"servers/{server.replica_id}", entry(server, "web"))
+            self.put(f"servers/{server.replica_id}", server_row(server, "web"))
         listed = registry.Registry(self.store)
         for node in self.nodes:
             await node.start()
@@ -191,10 +191,10 @@
             )
         for node in self.nodes:
             node.instance.on_introduction(listed.list())
-        self.tell()
-        await eventloop.until(self.is_settled)
+        self.read_store()
+        await eventloop.until(self.is_ready)
         for node in self.nodes:
-            node.instance.tidy()
+            node.instance.clean_up()
 
     def put(self, key, value):
         self.store.transact((), (contract.Put(key, value),))
@@ -202,10 +202,10 @@
     def delete(self, key):
         self.store.transact((), (contract.Delete(key),))
 
-    def tell(self, *nodes):
+    def read_store(self, *nodes):
         """Have nodes, by default all, read the store."""
         for node in nodes or self.nodes:
-            following = node.instance.following
+            following = node.instance.cluster_state
             following.on_configuration(self.store.snapshot("op"))
             following.on_replicas(self.store.snapshot("servers"))
 
@@ -214,9 +214,9 @@
         server = self.engines[number]
         server.is_leaving = True
         self.put(
-            f"servers/{server.replica_id}", entry(server, "llm", "ab"[number % 2], "draining")
+            f"servers/{server.replica_id}", server_row(server, "llm", "ab"[number % 2], "draining")
         )
-        self.tell()
+        self.read_store()
 
     async def stop(self):
         for node in self.nodes:
@@ -224,7 +224,7 @@
         for server in (*self.engines, *self.services):
             await server.stop()
 
-    def is_settled(self):
+    def is_ready(self):
         """Tell whether each node knows the others, and every engine has room."""
         views = [node.instance.peering.heartbeats.live() for node in self.nodes]
         heard = all(len(view) == len(self.nodes) for view in views)
@@ -235,7 +235,7 @@
         return len(known) == len(self.engines) and all(each.room_tokens for each in known)
 
 
-def play(test, **shape):
+def run(test, **shape):
     """Run ``test`` with a started site."""
 
     async def main():
--- a/tests/entry/test_calls.py
+++ b/tests/entry/test_calls.py
@@ -14,18 +14,18 @@
     return [each for server in site.services for each in server.ledger]
 
 
-def ask(path="/list/1?q=%20", faults=None, **asked):
+def request(path="/list/1?q=%20", faults=None, **options):
     async def test(site):
         for server in site.services:
             server.faults = routedfaults.RoutedFaults(**(faults or {}))
-        client = await site.nodes[0].ask(path, **asked)
+        client = await site.nodes[0].request(path, **options)
         return await client.answer(), ran(site)
 
-    return entrysite.play(test, engines=0)
+    return entrysite.run(test, engines=0)
 
 
 def test_request_passes_byte_for_byte():
-    (status, fields, body), ledger = ask(body=b"\x00\xff")
+    (status, fields, body), ledger = request(body=b"\x00\xff")
     assert (status, body[2:]) == (200, b":r1")
     assert (fields["attempt-id"], "response-seal" in fields) == ("r1", True)
     assert (ledger[0].target, ledger[0].body, ledger[0].team) == (
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "status"),
+    ("options", "status"),
     [
         ({"path": "/none/1"}, 404),
         ({"key": "stolen"}, 401),
@@ -44,8 +44,8 @@
         ({"more": "Content-Length: 4\r\n"}, 400),
     ],
 )
-def test_what_may_not_pass_runs_nowhere(asked, status):
-    (got, _, body), ledger = ask(**asked)
+def test_what_may_not_pass_runs_nowhere(options, status):
+    (got, _, body), ledger = request(**options)
     assert (got, ledger) == (status, [])
     if got != 400:
         assert json.loads(body)["run"] == "not_run"
@@ -57,7 +57,7 @@
     The operator bounds how long a caller is kept waiting; the request was sent, so that
     it has not run cannot be said.
     """
-    (status, fields, body), _ = ask("/quick/1", faults={"hang": True})
+    (status, fields, body), _ = request("/quick/1", faults={"hang": True})
     assert (status, json.loads(body)["run"]) == (504, "unknown")
     assert "retry-after" not in fields
 
@@ -66,16 +66,16 @@
     async def test(site):
         for server in site.services:
             await server.stop()
-        client = await site.nodes[0].ask("/hold/1")
+        client = await site.nodes[0].request("/hold/1")
         return await client.answer()
 
-    status, fields, body = entrysite.play(test, engines=0)
+    status, fields, body = entrysite.run(test, engines=0)
     assert (status, json.loads(body)["run"]) == (503, "not_run")
     assert float(fields["retry-after"]) > 0
 
 
 def test_time_to_come_back_is_at_most_a_third_of_the_callers_time():
-    (status, fields, _), _ = ask(faults={"refuse": True}, more="Deadline-Ms: 300\r\n")
+    (status, fields, _), _ = request(faults={"refuse": True}, more="Deadline-Ms: 300\r\n")
     assert status == 503
     assert float(fields["retry-after"]) <= 0.1
 
@@ -84,26 +84,26 @@
     async def test(site):
         for server in site.services:
             server.faults = routedfaults.RoutedFaults(hang=True)
-        client = await site.nodes[0].ask("/list/1")
+        client = await site.nodes[0].request("/list/1")
         await eventloop.until(lambda: ran(site))
         client.close()
         await eventloop.until(lambda: not any(server._writers for server in site.services))
 
-    entrysite.play(test, engines=0)
+    entrysite.run(test, engines=0)
 
 
 def test_key_that_is_taken_away_is_refused_and_a_new_one_let_in():
     async def test(site):
         changed = entrysite.manifest(2, tenants=[{"name": "clinic", "api_keys": ["k2"]}])
         site.put("op/config", json.dumps(changed))
-        site.tell()
+        site.read_store()
         statuses = []
         for key in ("k1", "k2"):
-            client = await site.nodes[0].ask("/list/1", key=key)
+            client = await site.nodes[0].request("/list/1", key=key)
             statuses.append((await client.answer())[0])
         return statuses
 
-    assert entrysite.play(test, engines=0) == [401, 200]
+    assert entrysite.run(test, engines=0) == [401, 200]
 
 
 def test_configuration_never_goes_back():
@@ -114,24 +114,24 @@
 
     async def test(site):
         site.put("op/config", json.dumps(entrysite.manifest(5, tenants=[])))
-        site.tell()
+        site.read_store()
         site.put("op/config", json.dumps(entrysite.manifest(4)))
-        site.tell()
-        return site.nodes[0].instance.following.versions().configuration
+        site.read_store()
+        return site.nodes[0].instance.cluster_state.versions().configuration
 
-    assert entrysite.play(test, engines=0) == 5
+    assert entrysite.run(test, engines=0) == 5
 
 
 def test_unreadable_configuration_leaves_the_last_good_one_in_force():
     async def test(site):
         site.put("op/config", '{"version": 9}')
-        site.tell()
-        client = await site.nodes[0].ask("/list/1")
+        site.read_store()
+        client = await site.nodes[0].request("/list/1")
         status = (await client.answer())[0]
         page = json.loads(site.nodes[0].instance.status())
         return status, page["config_revision"], page["config_problem"]
 
-    assert entrysite.play(test, engines=0) == (200, 1, "config_invalid")
+    assert entrysite.run(test, engines=0) == (200, 1, "config_invalid")
 
 
 def begins(told_after_s):
@@ -142,13 +142,13 @@
         try:
             for server in site.services:
                 await server.start()
-                site.put(f"servers/{server.replica_id}", entrysite.entry(server, "web"))
+                site.put(f"servers/{server.replica_id}", entrysite.server_row(server, "web"))
             site.put("op/config", json.dumps(entrysite.manifest()))
             await site.nodes[0].start()
             loop = asyncio.get_running_loop()
             if told_after_s is not None:
-                loop.call_later(told_after_s, site.tell)
-            client = await site.nodes[0].ask("/list/1")
+                loop.call_later(told_after_s, site.read_store)
+            client = await site.nodes[0].request("/list/1")
             return await client.answer()
         finally:
             await site.stop()
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -14,13 +14,13 @@
     return view.Member(identity, 1, 1, 0, state, 0.0, heartbeat if heard else None)
 
 
-def ask(members, domain="a", region="north", own="n0", *, ready=True):
+def addresses(members, domain="a", region="north", own="n0", *, ready=True):
     return directory.addresses(tuple(members), own, ready, domain, region, REGIONS)
 
 
 def test_own_failure_domain_is_enough_with_two():
     members = [member("n0", "a"), member("n1", "a"), member("n2", "b")]
-    assert ask(members) == ("n0:80", "n1:80")
+    assert addresses(members) == ("n0:80", "n1:80")
 
 
 def test_one_near_instance_is_joined_by_those_of_the_region():
@@ -29,13 +29,13 @@
     Its callers would have nowhere to go until they ask again.
     """
     members = [member("n0", "a"), member("n1", "b"), member("n2", "c")]
-    assert ask(members) == ("n0:80", "n1:80")
+    assert addresses(members) == ("n0:80", "n1:80")
 
 
 def test_callers_of_an_empty_domain_get_what_there_is():
     members = [member("n0", "c"), member("n1", "c")]
-    assert ask(members) == ("n0:80", "n1:80")
-    assert ask(members, "x", "") == ("n0:80", "n1:80")
+    assert addresses(members) == ("n0:80", "n1:80")
+    assert addresses(members, "x", "") == ("n0:80", "n1:80")
 
 
 def test_only_those_that_can_serve_are_named():
@@ -49,13 +49,13 @@
         member("n5", "a", heard=False),
         member("n6", "a", listed=0),
     ]
-    assert ask(members) == ("n0:80",)
+    assert addresses(members) == ("n0:80",)
 
 
 def test_instance_that_leaves_does_not_name_itself():
     members = [member("n0", "a"), member("n1", "a")]
-    assert ask(members, ready=False) == ("n1:80",)
+    assert addresses(members, ready=False) == ("n1:80",)
 
 
 def test_instance_without_peers_names_itself():
-    assert ask([member("n0", "a", heard=False)]) == ("n0:80",)
+    assert addresses([member("n0", "a", heard=False)]) == ("n0:80",)
--- a/tests/entry/test_sharing.py
+++ b/tests/entry/test_documentsync.py
@@ -3,7 +3,7 @@
 import random
 
 from hornbeamglade.core import clocks
-from hornbeamglade.entry import sharing
+from hornbeamglade.entry import documentsync
 from hornbeamglade.exchange import messages
 from hornbeamglade.membership import view
 
@@ -15,10 +15,10 @@
 
     def __init__(self, clock):
         self.held = {CONFIGURATION: (0, b""), REPLICAS: (0, b"")}
-        self.documents = sharing.SharedDocuments(self._versions, self._read, self._take, clock)
+        self.documents = documentsync.DocumentSync(self._versions, self._read, self._take, clock)
 
     def _versions(self):
-        return sharing.Versions(self.held[CONFIGURATION][0], self.held[REPLICAS][0])
+        return documentsync.Versions(self.held[CONFIGURATION][0], self.held[REPLICAS][0])
 
     def _read(self, subject, _since):
         return self.held[subject][1] or None
@@ -51,13 +51,13 @@
     """Let questions and answers go back and forth; lose some when ``rng`` says so."""
     for _ in range(200):
         clock.advance(0.1)
-        ask = behind.documents.due((member(ahead),), "a")
+        ask = behind.documents.next_request((member(ahead),), "a")
         question = None if ask is None else ask.message
         while question is not None:
-            offer = ahead.documents.asked(question)
+            offer = ahead.documents.on_chunk_request(question)
             if offer is None or (rng is not None and rng.random() < 0.4):
                 break
-            question = behind.documents.offered(offer)
+            question = behind.documents.on_chunk(offer)
 
 
 def test_what_an_instance_lacks_comes_whole_from_one_that_has_it():
@@ -82,11 +82,11 @@
 def test_the_stores_own_way_goes_first():
     clock, behind, ahead = pair()
     ahead.held[CONFIGURATION] = (2, b"{}")
-    assert behind.documents.due((member(ahead),), "a") is None
-    clock.advance(sharing.BEHIND_S / 2)
+    assert behind.documents.next_request((member(ahead),), "a") is None
+    clock.advance(documentsync.FETCH_DELAY_S / 2)
     behind.held[CONFIGURATION] = (2, b"{}")
-    clock.advance(sharing.BEHIND_S)
-    assert behind.documents.due((member(ahead),), "a") is None
+    clock.advance(documentsync.FETCH_DELAY_S)
+    assert behind.documents.next_request((member(ahead),), "a") is None
 
 
 def test_nothing_is_asked_of_those_that_have_no_more():
@@ -94,16 +94,16 @@
     behind.held[CONFIGURATION] = (5, b"{}")
     ahead.held[CONFIGURATION] = (4, b"{}")
     clock.advance(10.0)
-    assert behind.documents.due((member(ahead),), "a") is None
+    assert behind.documents.next_request((member(ahead),), "a") is None
 
 
 def test_document_that_was_replaced_is_asked_for_anew():
     clock, behind, ahead = pair()
     ahead.held[CONFIGURATION] = (1, random.Random(4).randbytes(4_000))
-    assert behind.documents.due((member(ahead),), "a") is None
+    assert behind.documents.next_request((member(ahead),), "a") is None
     clock.advance(1.0)
-    ask = behind.documents.due((member(ahead),), "a").message
-    behind.documents.offered(ahead.documents.asked(ask))
+    ask = behind.documents.next_request((member(ahead),), "a").message
+    behind.documents.on_chunk(ahead.documents.on_chunk_request(ask))
     ahead.held[CONFIGURATION] = (2, random.Random(5).randbytes(4_000))
     pursue(clock, behind, ahead)
     assert behind.held == ahead.held
@@ -121,17 +121,17 @@
     """
     _, behind, ahead = pair()
     ahead.held = {CONFIGURATION: (7, b"{}"), REPLICAS: (41, b"[]")}
-    for ask in behind.documents.on_hint("b", hint(ahead)):
-        behind.documents.offered(ahead.documents.asked(ask.message))
+    for ask in behind.documents.on_announcement("b", hint(ahead)):
+        behind.documents.on_chunk(ahead.documents.on_chunk_request(ask.message))
     assert behind.held == ahead.held
-    assert behind.documents.on_hint("b", hint(ahead)) == ()
+    assert behind.documents.on_announcement("b", hint(ahead)) == ()
 
 
 def test_a_follower_that_died_after_its_hint_is_not_asked_again():
     clock, behind, ahead = pair()
     ahead.held[CONFIGURATION] = (7, b"{}")
-    behind.documents.on_hint("gone", hint(ahead))
-    clock.advance(sharing.BEHIND_S + sharing.ASK_AGAIN_S)
-    behind.documents.due((member(ahead),), "a")
-    clock.advance(sharing.BEHIND_S)
-    assert behind.documents.due((member(ahead),), "a").node == "b"
+    behind.documents.on_announcement("gone", hint(ahead))
+    clock.advance(documentsync.FETCH_DELAY_S + documentsync.REQUEST_RETRY_S)
+    behind.documents.next_request((member(ahead),), "a")
+    clock.advance(documentsync.FETCH_DELAY_S)
+    assert behind.documents.next_request((member(ahead),), "a").node == "b"
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -37,7 +37,7 @@
 async def streams(site, node=0, count=6, prefix="r"):
     """Ask for several streams at once; return their statuses."""
     clients = [
-        await site.nodes[node].ask("/draft/1", request_id=f"{prefix}{n}", more=entrysite.USAGE)
+        await site.nodes[node].request("/draft/1", request_id=f"{prefix}{n}", more=entrysite.USAGE)
         for n in range(count)
     ]
     return [(await client.answer())[0] for client in clients]
@@ -46,14 +46,14 @@
 def test_nothing_new_goes_to_an_evacuated_domain_until_it_is_taken_back():
     async def test(site):
         evacuate(site, "a")
-        site.tell()
+        site.read_store()
         first = await streams(site), runs(engines_in(site, "a"))
         site.delete("op/evacuate/a")
-        site.tell()
+        site.read_store()
         second = await streams(site, prefix="s"), runs(engines_in(site, "a"))
         return first, second
 
-    first, second = entrysite.play(test, engines=4)
+    first, second = entrysite.run(test, engines=4)
     assert first == ([200] * 6, 0)
     assert second[0] == [200] * 6
     assert second[1] > 0
@@ -62,12 +62,12 @@
 def test_instance_that_the_store_turns_away_learns_of_an_evacuation_from_others():
     async def test(site):
         evacuate(site, "a")
-        site.tell(site.nodes[0])
+        site.read_store(site.nodes[0])
         await known_everywhere(site, ["a"])
         statuses = await streams(site, node=1)
         return statuses, runs(engines_in(site, "a"))
 
-    assert entrysite.play(test, nodes=3, engines=4) == ([200] * 6, 0)
+    assert entrysite.run(test, nodes=3, engines=4) == ([200] * 6, 0)
 
 
 def test_instance_that_starts_while_the_store_is_away_learns_of_an_evacuation_first():
@@ -75,7 +75,7 @@
 
     async def test(site):
         evacuate(site, "a")
-        site.tell(site.nodes[0], site.nodes[1])
+        site.read_store(site.nodes[0], site.nodes[1])
         await site.nodes[2].stop()
         again = site.nodes[2] = entrysite.Node(2)
         await again.start()
@@ -91,7 +91,7 @@
         await eventloop.until(again.instance.is_ready)
         return evacuated(again)
 
-    assert entrysite.play(test, nodes=3) == ["a"]
+    assert entrysite.run(test, nodes=3) == ["a"]
 
 
 def test_overlapping_evacuations_are_kept_apart():
@@ -106,12 +106,12 @@
             lambda: evacuate(site, "a"),
         ):
             change()
-            site.tell(site.nodes[0])
+            site.read_store(site.nodes[0])
             await eventloop.until(lambda: evacuated(site.nodes[1]) == evacuated(site.nodes[0]))
             seen.append(evacuated(site.nodes[1]))
         return seen
 
-    assert entrysite.play(test, nodes=2) == [["a"], ["a", "b"], ["b"], ["a", "b"]]
+    assert entrysite.run(test, nodes=2) == [["a"], ["a", "b"], ["b"], ["a", "b"]]
 
 
 def test_row_that_vanishes_with_the_stores_history_ends_its_evacuation():
@@ -119,34 +119,34 @@
 
     async def test(site):
         evacuate(site, "a")
-        site.tell()
+        site.read_store()
         site.delete("op/evacuate/a")
         site.nodes[1].instance.on_store_outcome(
             tables.CONFIGURATION, contract.Unavailable("status 503")
         )
         away = evacuated(site.nodes[1])
-        site.tell()
+        site.read_store()
         return away, evacuated(site.nodes[1])
 
-    assert entrysite.play(test, nodes=2) == (["a"], [])
+    assert entrysite.run(test, nodes=2) == (["a"], [])
 
 
 def test_request_that_waits_for_an_evacuated_engine_goes_to_another_at_once():
     async def test(site):
         first = [
-            await site.nodes[0].ask("/draft/1", request_id=f"r{n}", more=entrysite.USAGE)
+            await site.nodes[0].request("/draft/1", request_id=f"r{n}", more=entrysite.USAGE)
             for n in range(40)
         ]
         await eventloop.until(lambda: runs(site.engines) >= 16)
         evacuate(site, "a")
-        site.tell()
+        site.read_store()
         # What was let in just before may still be on its way.
         await asyncio.sleep(IN_FORCE_S)
         before = runs(engines_in(site, "a"))
         answers = [(await client.answer())[0] for client in first]
         return answers, runs(engines_in(site, "a")) - before, runs(site.engines)
 
-    answers, later, ran = entrysite.play(test, engines=2, events=10)
+    answers, later, ran = entrysite.run(test, engines=2, events=10)
     assert later == 0
     assert answers.count(200) == ran
 
@@ -154,13 +154,13 @@
 def test_what_runs_in_an_evacuated_domain_goes_on_to_its_end():
     async def test(site):
         clients = [
-            await site.nodes[0].ask("/draft/1", request_id=f"r{n}", more=entrysite.USAGE)
+            await site.nodes[0].request("/draft/1", request_id=f"r{n}", more=entrysite.USAGE)
             for n in range(6)
         ]
         await eventloop.until(lambda: runs(site.engines) == 6)
         evacuate(site, "a")
-        site.tell()
+        site.read_store()
         statuses = [(await client.answer())[0] for client in clients]
         return statuses, runs(site.engines)
 
-    assert entrysite.play(test, engines=4) == ([200] * 6, 6)
+    assert entrysite.run(test, engines=4) == ([200] * 6, 6)
--- a/tests/entry/test_storewatch.py
+++ b/tests/entry/test_followerrole.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hornbeamglade.core import clocks
-from hornbeamglade.entry import storewatch
+from hornbeamglade.entry import followerrole
 from hornbeamglade.membership import followers
 from hornbeamglade.replicas import evacuations
 
@@ -14,7 +14,7 @@
 
 
 class Site:
-    """Watches of many instances; followers see each change, the others what they are told."""
+    """Watches of many instances; followers see each change, the others what they are announced."""
 
     def __init__(self, count, lose=0.0):
         self.clock = clocks.ManualClock(100.0)
@@ -26,12 +26,12 @@
         self.held = dict.fromkeys(self.names, (1, 1))
         self.followed_at = {}
         self.rng = random.Random(7)
-        self.watch_by_name = {name: self._watch(name) for name in self.names}
-        for watch in self.watch_by_name.values():
-            watch.on_introduction()
+        self.role_by_name = {name: self._make_role(name) for name in self.names}
+        for role in self.role_by_name.values():
+            role.on_introduction()
 
-    def _watch(self, name):
-        return storewatch.StoreWatch(
+    def _make_role(self, name):
+        return followerrole.FollowerRole(
             name,
             lambda: self.held[name],
             evacuations.Evacuations,
@@ -47,17 +47,17 @@
                     self._step(name)
 
     def _step(self, name):
-        watch = self.watch_by_name[name]
-        if watch.is_following and name not in self.unreached:
+        role = self.role_by_name[name]
+        if role.is_following and name not in self.unreached:
             self.held[name] = self.store
-        for hint in watch.tick(self.names):
-            if hint.node not in self.dead and self.rng.random() >= self.lose:
-                self.watch_by_name[hint.node].heard(hint.message)
-                told = (hint.message.revision, hint.message.list_version)
-                self.held[hint.node] = max(self.held[hint.node], told)
+        for announcement in role.tick(self.names):
+            if announcement.node not in self.dead and self.rng.random() >= self.lose:
+                self.role_by_name[announcement.node].on_announcement(announcement.message)
+                announced = (announcement.message.revision, announcement.message.list_version)
+                self.held[announcement.node] = max(self.held[announcement.node], announced)
 
     def following(self):
-        return {name for name in self.names if self.watch_by_name[name].is_following}
+        return {name for name in self.names if self.role_by_name[name].is_following}
 
 
 def test_few_follow_at_a_large_site_and_all_at_a_small_one():
@@ -107,7 +107,7 @@
     site.unreached = set(chosen)
     site.run(5)
     site.unreached = set()
-    site.run(2 * storewatch.ALONE_AT_LEAST_S)
+    site.run(2 * followerrole.MIN_FALLBACK_S)
     assert site.following() == chosen
 
 
@@ -124,22 +124,22 @@
     site.run(8)
     assert site.following() == set(site.names)
     site.unreached = set()
-    site.run(storewatch.ALONE_AT_LEAST_S + 1.5 * storewatch.HINT_EVERY_S)
+    site.run(followerrole.MIN_FALLBACK_S + 1.5 * followerrole.ANNOUNCE_INTERVAL_S)
     assert site.following() == chosen
-    assert storewatch.ALONE_AT_LEAST_S <= storewatch.HINT_EVERY_S
+    assert followerrole.MIN_FALLBACK_S <= followerrole.ANNOUNCE_INTERVAL_S
 
 
 def test_an_instance_waits_for_the_list_of_the_others_before_it_follows():
     """82 instances start at once; each would read the whole tables before it knows them."""
     clock = clocks.ManualClock()
-    watch = storewatch.StoreWatch(
+    role = followerrole.FollowerRole(
         "a", lambda: (0, 0), evacuations.Evacuations, lambda: False, clock
     )
-    watch.tick(("a",))
-    assert not watch.is_following
-    clock.advance(storewatch.BEGIN_S)
-    watch.tick(("a",))
-    assert watch.is_following
+    role.tick(("a",))
+    assert not role.is_following
+    clock.advance(followerrole.INTRODUCTION_TIMEOUT_S)
+    role.tick(("a",))
+    assert role.is_following
 
 
 @pytest.mark.parametrize("count", [6, 40])
@@ -153,8 +153,8 @@
     site = Site(count)
     site.run(10)
     leaver = site.names[3]
-    watch = site.watch_by_name[leaver]
+    role = site.role_by_name[leaver]
     others = tuple(name for name in site.names if name != leaver)
-    watch.tick(others)
-    assert watch.is_following
-    assert watch.tick(others) == ()
+    role.tick(others)
+    assert role.is_following
+    assert role.tick(others) == ()
--- a/tests/entry/test_membership.py
+++ b/tests/entry/test_membership.py
@@ -40,7 +40,7 @@
             )
         for node in site.nodes:
             node.instance.on_introduction(listed.list())
-        site.tell()
+        site.read_store()
 
         def members():
             return first.instance.peering.heartbeats.members()
@@ -54,4 +54,4 @@
         await eventloop.until(is_heard)
         return again.instance.incarnation < known
 
-    assert entrysite.play(test, nodes=2)
+    assert entrysite.run(test, nodes=2)
--- a/tests/entry/test_quarantine.py
+++ b/tests/entry/test_quarantine.py
@@ -15,7 +15,7 @@
     statuses = []
     for number in range(times):
         node = site.nodes[number % len(site.nodes)]
-        client = await node.ask(
+        client = await node.request(
             path, request_id=f"again-{number}", more=entrysite.USAGE, body=BOOM
         )
         statuses.append((await client.answer())[0])
@@ -40,7 +40,7 @@
         await ask_again(site, "/draft/1", 9)
         return ran(site.engines)
 
-    assert entrysite.play(test, nodes=nodes, engines=10) <= CRASHES_ALLOWED + RETRIES_ALLOWED
+    assert entrysite.run(test, nodes=nodes, engines=10) <= CRASHES_ALLOWED + RETRIES_ALLOWED
 
 
 def test_a_request_that_crashes_plain_servers_reaches_few_after_the_third():
@@ -51,4 +51,4 @@
         await ask_again(site, "/hold/1", 9)
         return ran(site.services)
 
-    assert entrysite.play(test, nodes=3, services=10) <= CRASHES_ALLOWED + RETRIES_ALLOWED
+    assert entrysite.run(test, nodes=3, services=10) <= CRASHES_ALLOWED + RETRIES_ALLOWED
--- a/tests/entry/test_ratelimits.py
+++ b/tests/entry/test_ratelimits.py
@@ -14,26 +14,26 @@
 """Requests of an instance count so long after it has passed on an answer with the limit."""
 
 
-CROWD = 24
+BATCH = 24
 
 
-async def ask(site, path, number):
-    return await ask_at(site.nodes[number % len(site.nodes)], path, number)
+async def send(site, path, number):
+    return await send_to(site.nodes[number % len(site.nodes)], path, number)
 
 
-async def ask_at(node, path, number):
-    client = await node.ask(path, request_id=f"r{number}", more=entrysite.USAGE)
+async def send_to(node, path, number):
+    client = await node.request(path, request_id=f"r{number}", more=entrysite.USAGE)
     return (await client.answer())[0]
 
 
-async def until_all_are_told(site, path, servers):
+async def until_all_know_the_limit(site, path, servers):
     """Ask until each instance has passed on an answer of each server."""
     number = 0
     for node in site.nodes:
         available = node.instance.catalog
         while not all(available.limit(server.replica_id) for server in servers):
-            await asyncio.gather(*(ask(site, path, number + each) for each in range(CROWD)))
-            number += CROWD
+            await asyncio.gather(*(send(site, path, number + each) for each in range(BATCH)))
+            number += BATCH
     await asyncio.sleep(GRACE_S)
     return number
 
@@ -42,7 +42,7 @@
     """Send requests at a steady rate, to each instance in turn; return their statuses."""
     tasks = []
     for number in range(first, first + count):
-        tasks.append(asyncio.ensure_future(ask(site, path, number)))
+        tasks.append(asyncio.ensure_future(send(site, path, number)))
         await asyncio.sleep(gap_s)
     return await asyncio.gather(*tasks)
 
@@ -57,12 +57,12 @@
     async def test(site):
         limited = site.services[0]
         limited.faults = routedfaults.RoutedFaults(limit=str(LIMIT_PER_S))
-        told = await until_all_are_told(site, "/list/1", [limited])
+        sent = await until_all_know_the_limit(site, "/list/1", [limited])
         since = time.monotonic()
-        statuses = await send_steadily(site, "/list/1", told, 60, 0.05)
+        statuses = await send_steadily(site, "/list/1", sent, 60, 0.05)
         return len(arrivals(limited, since)), set(statuses)
 
-    count, statuses = entrysite.play(test, nodes=3, services=3)
+    count, statuses = entrysite.run(test, nodes=3, services=3)
     assert count <= ALLOWED
     assert statuses == {200}
 
@@ -71,12 +71,12 @@
     async def test(site):
         limited = site.engines[0]
         limited.faults = routedfaults.RoutedFaults(limit=str(LIMIT_PER_S))
-        told = await until_all_are_told(site, "/tag/1", [limited])
+        sent = await until_all_know_the_limit(site, "/tag/1", [limited])
         since = time.monotonic()
-        statuses = await send_steadily(site, "/tag/1", told, 60, 0.05)
+        statuses = await send_steadily(site, "/tag/1", sent, 60, 0.05)
         return len(arrivals(limited, since)), set(statuses)
 
-    count, statuses = entrysite.play(test, nodes=3, engines=3, events=5)
+    count, statuses = entrysite.run(test, nodes=3, engines=3, events=5)
     assert count <= ALLOWED
     assert statuses == {200}
 
@@ -87,12 +87,12 @@
     async def test(site):
         for server in site.services:
             server.faults = routedfaults.RoutedFaults(limit=str(LIMIT_PER_S))
-        told = await until_all_are_told(site, "/list/1", site.services)
+        sent = await until_all_know_the_limit(site, "/list/1", site.services)
         since = time.monotonic()
-        statuses = await send_steadily(site, "/list/1", told, 60, 0.05)
+        statuses = await send_steadily(site, "/list/1", sent, 60, 0.05)
         return [len(arrivals(each, since)) for each in site.services], statuses
 
-    counts, statuses = entrysite.play(test, nodes=3)
+    counts, statuses = entrysite.run(test, nodes=3)
     assert max(counts) <= ALLOWED
     assert set(statuses) <= {200, 503}
     assert statuses.count(503) > 30
@@ -104,12 +104,12 @@
     async def test(site):
         limited = site.engines[0]
         limited.faults = routedfaults.RoutedFaults(limit=str(LIMIT_PER_S))
-        told = await until_all_are_told(site, "/tag/1", [limited])
+        sent = await until_all_know_the_limit(site, "/tag/1", [limited])
         node = next(each for each in site.nodes if not each.instance.peering.owned())
         catalog = node.instance.catalog
         await eventloop.until(lambda: catalog.may_send(limited.replica_id))
         since = time.monotonic()
-        await asyncio.gather(*(ask_at(node, "/tag/1", told + each) for each in range(60)))
+        await asyncio.gather(*(send_to(node, "/tag/1", sent + each) for each in range(60)))
         return len(arrivals(limited, since))
 
-    assert entrysite.play(test, nodes=3, engines=2, events=5) <= 2
+    assert entrysite.run(test, nodes=3, engines=2, events=5) <= 2
--- a/tests/entry/test_regions.py
+++ b/tests/entry/test_regions.py
@@ -15,16 +15,16 @@
         each["allowed_regions"] = list(route)
     manifest["tenants"][0]["allowed_regions"] = list(team)
     site.put("op/config", json.dumps(manifest))
-    site.tell()
+    site.read_store()
 
 
 def play(test, **shape):
-    return entrysite.play(test, region_by_failure_domain=REGION_BY_DOMAIN, **shape)
+    return entrysite.run(test, region_by_failure_domain=REGION_BY_DOMAIN, **shape)
 
 
 async def statuses(site, path, more="", count=8):
     clients = [
-        await site.nodes[n % len(site.nodes)].ask(path, request_id=f"r{n}", more=more)
+        await site.nodes[n % len(site.nodes)].request(path, request_id=f"r{n}", more=more)
         for n in range(count)
     ]
     return [(await client.answer())[0] for client in clients]
@@ -56,7 +56,7 @@
 
     async def test(site):
         bind(site, route=["south"])
-        client = await site.nodes[0].ask("/draft/1", request_id="r1", more=entrysite.USAGE)
+        client = await site.nodes[0].request("/draft/1", request_id="r1", more=entrysite.USAGE)
         await eventloop.until(
             lambda: any(run.made > 5 for run in site.engines[1].run_by_id.values())
         )
@@ -80,8 +80,8 @@
     async def test(site):
         bind(site, team=["south"])
         for server in site.services[1:]:
-            site.put(f"servers/{server.replica_id}", entrysite.entry(server, "web", "b"))
-        site.tell()
+            site.put(f"servers/{server.replica_id}", entrysite.server_row(server, "web", "b"))
+        site.read_store()
         found = await statuses(site, "/list/1")
         return found, [bool(server.ledger) for server in site.services]
 
--- a/tests/entry/test_registration.py
+++ b/tests/entry/test_registration.py
@@ -15,24 +15,24 @@
     rows = registry.Registry(platform)
     for number in range(others):
         rows.register(row(f"other-{number}"))
-    told = []
-    kept = registration.Registration(
-        row("own"), rows, (), told.append, clocks.ManualClock(), is_first_start
+    lists = []
+    registrar = registration.Registration(
+        row("own"), rows, (), lists.append, clocks.ManualClock(), is_first_start
     )
-    return platform, kept, told
+    return platform, registrar, lists
 
 
 def test_a_small_site_reads_the_list_every_few_seconds():
-    _, kept, told = make(others=2)
-    assert kept.step() == registration.AGAIN_S
-    assert kept.step() == registration.LIST_S
-    assert {each.name for each in told[-1]} == {"own", "other-0", "other-1"}
+    _, registrar, lists = make(others=2)
+    assert registrar.step() == registration.SECOND_READ_S
+    assert registrar.step() == registration.LIST_INTERVAL_S
+    assert {each.name for each in lists[-1]} == {"own", "other-0", "other-1"}
 
 
 def test_a_large_site_reads_its_long_list_seldom():
-    _, kept, _ = make(others=dissemination.FULL_MESH_MAX_NODES)
-    kept.step()
-    assert kept.step() == registration.LONG_LIST_S
+    _, registrar, _ = make(others=dissemination.FULL_MESH_MAX_NODES)
+    registrar.step()
+    assert registrar.step() == registration.LONG_LIST_INTERVAL_S
 
 
 def test_an_outage_at_the_start_is_tried_again_soon_and_a_later_one_is_not():
@@ -40,14 +40,14 @@
 
     Each call is paid for, and none of them would tell anything new.
     """
-    platform, kept, told = make()
+    platform, registrar, lists = make()
     platform.set_faults(memory.Faults(down=True))
-    assert kept.step() == registration.FIRST_S
+    assert registrar.step() == registration.INITIAL_RETRY_S
     platform.set_faults(memory.Faults())
-    kept.step()
+    registrar.step()
     platform.set_faults(memory.Faults(down=True))
-    assert kept.step() > registration.FIRST_S
-    assert len(told) == 1
+    assert registrar.step() > registration.INITIAL_RETRY_S
+    assert len(lists) == 1
 
 
 def test_an_instance_that_comes_to_a_running_site_registers_and_reads_again():
@@ -55,21 +55,23 @@
 
     Without a second reading after it has registered, neither would know the other for a minute.
     """
-    platform, kept, told = make(others=dissemination.FULL_MESH_MAX_NODES, is_first_start=False)
-    assert kept.step() == 0.0
+    platform, registrar, lists = make(
+        others=dissemination.FULL_MESH_MAX_NODES, is_first_start=False
+    )
+    assert registrar.step() == 0.0
     registry.Registry(platform).register(row("other-late"))
-    assert kept.step() == registration.LONG_LIST_S
-    assert {"own", "other-late"} <= {each.name for each in told[-1]}
+    assert registrar.step() == registration.LONG_LIST_INTERVAL_S
+    assert {"own", "other-late"} <= {each.name for each in lists[-1]}
 
 
 def test_an_instance_whose_row_the_store_has_lost_writes_it_again():
     """Guards instances that start against a list that lacks one which is there."""
-    platform, kept, _ = make(others=2)
+    platform, registrar, _ = make(others=2)
     copy = platform.backup()
-    kept.step()
-    kept.step()
+    registrar.step()
+    registrar.step()
     platform.restore(copy)
-    kept.step()
+    registrar.step()
     assert "own" in {each.name for each in registry.Registry(platform).list()}
 
 
@@ -100,11 +102,11 @@
     for number in range(30):
         registry.Registry(platform).register(row(f"other-{number}"))
     registry.Registry(platform).register(row("own"))
-    told = []
-    kept = registration.Registration(row("own"), rows, (), told.append, clocks.ManualClock())
-    assert kept.step() == registration.LONG_LIST_S
+    lists = []
+    registrar = registration.Registration(row("own"), rows, (), lists.append, clocks.ManualClock())
+    assert registrar.step() == registration.LONG_LIST_INTERVAL_S
     assert rows.calls == ["list"]
-    assert len(told[0]) == 31
+    assert len(lists[0]) == 31
 
 
 def test_a_row_of_a_former_run_elsewhere_is_replaced():
@@ -115,8 +117,8 @@
     platform, _, _ = make()
     rows = registry.Registry(platform)
     rows.register(contract.Instance("own", "d", "10.0.0.9:80", "10.0.0.9:7200", False))
-    kept = registration.Registration(row("own"), rows, (), print, clocks.ManualClock())
-    kept.step()
+    registrar = registration.Registration(row("own"), rows, (), print, clocks.ManualClock())
+    registrar.step()
     assert rows.list() == (row("own"),)
 
 
@@ -126,8 +128,8 @@
     Nobody but those that it has heard of knows it: its next try must not wait for as long as
     a later reading of the list.
     """
-    platform, kept, _ = make(others=2, is_first_start=False)
-    kept._rows.register = lambda own: contract.Unavailable("away")
-    assert kept.step() == registration.FIRST_S
+    platform, registrar, _ = make(others=2, is_first_start=False)
+    registrar._rows.register = lambda own: contract.Unavailable("away")
+    assert registrar.step() == registration.INITIAL_RETRY_S
     platform.set_faults(memory.Faults(down=True))
-    assert kept.step() == registration.FIRST_S
+    assert registrar.step() == registration.INITIAL_RETRY_S
--- a/tests/entry/test_settings.py
+++ b/tests/entry/test_settings.py
@@ -29,9 +29,9 @@
 
 
 def test_settings_are_read():
-    told = parse()
-    assert (told.listen.callers, told.listen.directory) == ("10.0.0.1:80", None)
-    assert (told.exchange_ports, told.budget.slack) == ((7200, 7215), 52)
+    parsed = parse()
+    assert (parsed.listen.callers, parsed.listen.directory) == ("10.0.0.1:80", None)
+    assert (parsed.exchange_ports, parsed.budget.slack) == ((7200, 7215), 52)
 
 
 @pytest.mark.parametrize(
@@ -105,8 +105,8 @@
     whole = settings.parse(text, "entry.yaml")
     for end in range(len(text)):
         try:
-            told = settings.parse(text[:end], "entry.yaml")
+            parsed = settings.parse(text[:end], "entry.yaml")
         except codederrors.CodedError:
             continue
-        in_force = (told.budget, told.slow_start, told.policy)
+        in_force = (parsed.budget, parsed.slow_start, parsed.policy)
         assert in_force == (whole.budget, whole.slow_start, whole.policy)
--- a/tests/entry/test_ticks.py
+++ b/tests/entry/test_ticks.py
@@ -3,7 +3,7 @@
 import math
 
 from hornbeamglade.core import clocks, outcomes
-from hornbeamglade.entry import instance, partsettings, policysettings, storewatch
+from hornbeamglade.entry import componentsettings, followerrole, instance, policysettings
 from hornbeamglade.exchange import messages
 from hornbeamglade.grants import replicascheduler
 from hornbeamglade.membership import followers
@@ -13,7 +13,7 @@
 
 def begun_node():
     node = entrysite.Node(0)
-    node.instance._startup.end()
+    node.instance._startup.open()
     return node
 
 
@@ -29,14 +29,14 @@
     """
     node = begun_node()
     schedulers = node.instance._schedulers
-    schedulers.configure({"e1": partsettings.scheduler(_Engine(), policysettings.Policy())})
+    schedulers.configure({"e1": componentsettings.scheduler(_Engine(), policysettings.Policy())})
     schedulers.set_owned(frozenset(("e1",)))
     assert node.instance.tick_s == instance.IDLE_TICK_S
     deadline = clocks.SystemClock().now() + 60
-    told = []
+    answered = []
     # More of them than the engine takes at a time.
     answers = [
-        schedulers.request_grant("e1", _work(number), 1.0, deadline, told.append)
+        schedulers.request_grant("e1", _work(number), 1.0, deadline, answered.append)
         for number in range(12)
     ]
     waiting = [one.request_id for one in answers if isinstance(one, replicascheduler.Queued)]
@@ -50,9 +50,9 @@
 def test_an_instance_that_wants_a_newer_document_ticks_often():
     """A chunk of a document is lost: it must be asked for again within a tick of its time."""
     node = begun_node()
-    hint = messages.VersionAnnouncement(5, 9, True)
+    announcement = messages.VersionAnnouncement(5, 9, True)
     assert node.instance.tick_s == instance.IDLE_TICK_S
-    node.instance.peering._documents.on_hint("entry-1", hint)
+    node.instance.peering._document_sync.on_announcement("entry-1", announcement)
     assert node.instance.tick_s == instance.TICK_S
 
 
@@ -65,14 +65,14 @@
     versions = [(0, 0)]
     nodes = tuple(f"n{number:02}" for number in range(60))
     chosen = followers.select(nodes)
-    told = next(node for node in nodes if node not in chosen)
-    watch = storewatch.StoreWatch(
-        told, lambda: versions[0], evacuations.Evacuations, lambda: True, clock
+    listener = next(node for node in nodes if node not in chosen)
+    role = followerrole.FollowerRole(
+        listener, lambda: versions[0], evacuations.Evacuations, lambda: True, clock
     )
-    watch.tick(nodes)
+    role.tick(nodes)
     versions[0] = (4, 9)
-    watch.tick(nodes)
-    assert not watch.is_telling
+    role.tick(nodes)
+    assert not role.has_pending_announcements
 
 
 class _Engine:
--- a/tests/failures/test_entry.py
+++ b/tests/failures/test_entry.py
@@ -55,7 +55,7 @@
         self.put("op/config", json.dumps(entrysite.manifest()))
         for name, service, address in (("w0", "web", self.web), ("e0", "llm", engine_address)):
             server = type("Server", (), {"address": address})
-            self.put(f"servers/{name}", entrysite.entry(server, service))
+            self.put(f"servers/{name}", entrysite.server_row(server, service))
 
     def put(self, key, value):
         outcome = self.client.transact((), (contract.Put(key, value),))
@@ -184,7 +184,7 @@
     processes.client = storeclient.StoreClient(f"127.0.0.1:{port}")
     processes.put("op/config", json.dumps(entrysite.manifest()))
     server = type("Server", (), {"address": processes.web})
-    processes.put("servers/w0", entrysite.entry(server, "web"))
+    processes.put("servers/w0", entrysite.server_row(server, "web"))
     until(lambda: processes.ask(addresses[0]).status == 200)
 
 
@@ -222,7 +222,7 @@
         url = f"http://{address}/standin/faults"
         processes.http.request("PUT", url, body='{"crash_on":"body"}')
         server = type("Server", (), {"address": address})
-        processes.put(f"servers/crashes-{number}", entrysite.entry(server, "web"))
+        processes.put(f"servers/crashes-{number}", entrysite.server_row(server, "web"))
     processes.http.request("PUT", f"http://{processes.web}/standin/faults", body='{"refuse":true}')
     process, path, addresses = processes.entry()
 
@@ -253,12 +253,12 @@
     processes.http.request("PUT", f"{store}/copy")
     web = type("Server", (), {"address": processes.web})
     for number in range(40):
-        processes.put("servers/w0", entrysite.entry(web, "web", sequence=number + 2))
+        processes.put("servers/w0", entrysite.server_row(web, "web", sequence=number + 2))
     until(lambda: processes.ask(addresses[0]).status == 200)
     processes.http.request("PUT", f"{store}/restore")
     _, address = processes.standin("routed", "--id", "w1")
     server = type("Server", (), {"address": address})
-    processes.put("servers/w1", entrysite.entry(server, "web"))
+    processes.put("servers/w1", entrysite.server_row(server, "web"))
     outcome = processes.client.transact((), (contract.Delete("servers/w0"),))
     assert isinstance(outcome, contract.Committed)
 
