--- a/hornbeamglade/configuration/__init__.py
+++ b/hornbeamglade/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' files, the revision in force, and how nodes follow it."""
+"""Configuration files of operators, accepted revisions, and how nodes adopt them."""
--- a/hornbeamglade/configuration/documentchecks.py
+++ b/hornbeamglade/configuration/documentchecks.py
@@ -1,4 +1,4 @@
-"""Checks of an effective configuration that no single field can make."""
+"""Checks of an effective configuration that involve several fields."""
 
 import collections.abc
 import dataclasses
@@ -8,10 +8,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finding:
-    """One fault found, with the path of the value at fault.
+    """One error in a configuration, with the path of the invalid value.
 
     :param code: a stable identifier.
-    :param path: keys as the YAML files write them.
+    :param path: keys as in the YAML files.
     :param detail: one sentence for a person.
     """
 
@@ -21,7 +21,7 @@
 
 
 def findings(site: models.SiteConfiguration) -> tuple[Finding, ...]:
-    """Return every fault, in the order of the configuration.
+    """Return every error, grouped by check.
 
     Examples
     ========
@@ -61,12 +61,12 @@
     for replica_name, replica in pool.replica_by_name.items():
         if replica.memory_tokens is None:
             path = ("pools", name, "replicas", replica_name, "memory_tokens")
-            detail = "a replica that serves generations needs its memory stated"
+            detail = "a replica that serves generations must state its memory_tokens"
             yield Finding("config_missing_key", path, detail)
 
 
 def _model_findings(site: models.SiteConfiguration) -> collections.abc.Iterator[Finding]:
-    """Yield models that two services answer to: a request could not tell them apart."""
+    """Yield models of more than one service: a request names only the model."""
     service_by_model: dict[str, str] = {}
     for name, service in site.service_by_name.items():
         if service.model is None:
@@ -82,21 +82,21 @@
     for pool_name, pool in site.pool_by_name.items():
         for name, replica in pool.replica_by_name.items():
             path = ("pools", pool_name, "replicas", name, "address")
-            place = documentyaml.dotted_key(path[:-1])
-            first = first_by_address.setdefault(replica.address, place)
-            if first != place:
+            replica_key = documentyaml.dotted_key(path[:-1])
+            first = first_by_address.setdefault(replica.address, replica_key)
+            if first != replica_key:
                 detail = f"{first} has the same address {replica.address}"
                 yield Finding("config_duplicate_address", path, detail)
 
 
 def _replica_findings(site: models.SiteConfiguration) -> collections.abc.Iterator[Finding]:
-    """Find replicas of one name in two pools: nodes know a replica by its name alone."""
+    """Yield replica names used in two pools: nodes identify a replica by its name alone."""
     pool_by_replica: dict[str, str] = {}
     for pool_name, pool in site.pool_by_name.items():
         for name in pool.replica_by_name:
             other = pool_by_replica.setdefault(name, pool_name)
             if other != pool_name:
-                detail = f"replica {name} is in pool {other} too"
+                detail = f"pool {other} has a replica {name} too"
                 path = ("pools", pool_name, "replicas", name)
                 yield Finding("config_duplicate_replica", path, detail)
 
@@ -112,7 +112,7 @@
 
 
 def _key_hash_findings(site: models.SiteConfiguration) -> collections.abc.Iterator[Finding]:
-    """Yield keys stated twice: a request could not be told to be one team's."""
+    """Yield keys listed twice: a request's key would not identify one team."""
     first_by_key_hash: dict[str, str] = {}
     for name, team in site.team_by_name.items():
         for position, key_hash in enumerate(team.key_hashes):
--- a/hornbeamglade/configuration/documentdiff.py
+++ b/hornbeamglade/configuration/documentdiff.py
@@ -1,11 +1,11 @@
-"""What differs between two canonical documents, value by value."""
+"""Differences between two canonical documents, value by value."""
 
 import dataclasses
 import json
 
 from hornbeamglade.configuration import documents, documentyaml
 
-LONGEST_SHOWN = 60
+MAX_SHOWN_LENGTH = 60
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -22,12 +22,12 @@
     after: str | None
 
     def __str__(self) -> str:
-        """Return the line that an operator sees."""
-        return f"{self.key}: {_shown(self.before)} -> {_shown(self.after)}"
+        """Return the line that is shown to operators."""
+        return f"{self.key}: {_abbreviated(self.before)} -> {_abbreviated(self.after)}"
 
 
 def differences(before: str | None, after: str) -> tuple[Difference, ...]:
-    """Return what differs, in order of key.
+    """Return the values that differ, sorted by key.
 
     :param before: a canonical document, or None when there was none.
     :param after: a canonical document.
@@ -54,14 +54,14 @@
     )
 
 
-def _shown(value: str | None) -> str:
+def _abbreviated(value: str | None) -> str:
     if value is None:
         return "absent"
-    return value if len(value) <= LONGEST_SHOWN else value[: LONGEST_SHOWN - 3] + "..."
+    return value if len(value) <= MAX_SHOWN_LENGTH else value[: MAX_SHOWN_LENGTH - 3] + "..."
 
 
 def _leaves(text: str) -> dict[tuple[str, ...], str]:
-    """Return every value that is not a filled mapping, by path; lists are one value."""
+    """Return the leaf values by path; lists and empty mappings are leaves."""
     base, overlay_by_site = documents.parts(text)
     leaf_by_path: dict[tuple[str, ...], str] = {}
     pending: list[tuple[tuple[str, ...], object]]
--- a/hornbeamglade/configuration/documents.py
+++ b/hornbeamglade/configuration/documents.py
@@ -1,17 +1,17 @@
-"""A base file and one overlay a site, checked and put into canonical form.
+"""Configuration documents: a base file and one overlay per site, in canonical form.
 
 Explanation
 ===========
 
-An overlay states only what differs at its site: mappings are merged key by
-key, anything else replaces what the base says, and ``null`` removes a key. The
-base lists the ``sites``; every listed site has its overlay, though that may
-name no more than its ``site``. So a file left out by mistake is refused instead
-of quietly putting its site back to the base.
+An overlay contains only what differs at its site: mappings are merged key by key,
+any other value replaces the base's, and ``null`` removes a key. The base lists the
+``sites``, and every listed site must have an overlay, which may contain nothing but
+its ``site``. So an overlay that is left out by mistake is an error, and its site
+does not silently revert to the base.
 
-The canonical form is JSON with sorted keys, and its SHA-256 digest names it.
-It holds base and overlays unmerged, so that ``effective`` gives every node the
-same values, and an operator can get the files back.
+The canonical form is JSON with sorted keys, identified by its SHA-256 digest. It
+contains the base and the overlays unmerged, so that ``effective`` returns the same
+values on every node and an operator can export the files again.
 """
 
 import collections.abc
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """A checked configuration of all sites.
+    """A validated configuration of all sites.
 
     :param text: the canonical JSON, ``{"base":...,"overlays":{site:...}}``.
     :param digest: of ``text``, see :func:`digest`.
@@ -44,7 +44,7 @@
 
     :param number: grows by one with every accepted change; the first is 1.
     :param digest: of ``document``.
-    :param change_id: unique for the change that made it.
+    :param change_id: unique id of the change that created it.
     :param document: the canonical JSON.
     """
 
@@ -54,25 +54,26 @@
     document: str
 
     def verify(self) -> None:
-        """Check that the content is the one that its digest names.
+        """Check the content against the digest.
 
-        :raises ConfigurationError: when it is another.
+        :raises ConfigurationError: when they differ.
         """
         if digest(self.document) != self.digest:
             detail = f"content of revision {self.number} differs from its digest"
-            raise _refusal("config_digest_differs", detail)
+            raise _error("config_digest_differs", detail)
 
     def effective(self, site: str) -> models.SiteConfiguration:
-        """Return the configuration of one site; computed anew by each call.
+        """Return the configuration of one site; computed by each call.
 
+        :param site: the site's name.
         :raises ConfigurationError: for an unknown site, or for content of a
-            newer release that this one does not understand.
+            newer release that this one does not support.
         """
         return effective(self.document, site)
 
 
 def digest(text: str) -> str:
-    """Return the digest that names a canonical document.
+    """Return the digest that identifies a canonical document.
 
     Examples
     ========
@@ -86,9 +87,11 @@
 def load(
     base: documentyaml.SourceFile, overlays: collections.abc.Iterable[documentyaml.SourceFile]
 ) -> Document:
-    r"""Check an operator's files and put them into canonical form.
+    r"""Validate an operator's files and convert them to canonical form.
 
-    :raises ConfigurationError: with every problem that was found.
+    :param base: the base file.
+    :param overlays: one overlay per site.
+    :raises ConfigurationError: with all problems that were found.
 
     Examples
     ========
@@ -106,7 +109,7 @@
     problems: dict[tuple[str, int, str], documentyaml.Problem] = {}
     for site, tree in overlay_by_site.items():
         for problem in _site_problems(site, base_tree, tree):
-            # A fault of the base shows at every site and is told once.
+            # An error in the base is found for every site and reported once.
             problems.setdefault((problem.file, problem.line, problem.key), problem)
     if problems:
         raise documentyaml.ConfigurationError(tuple(problems.values()))
@@ -116,46 +119,49 @@
 
 
 def canonical(value: object) -> str:
-    """Return JSON text that is the same for the same value."""
+    """Return JSON text that is equal for equal values."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"), allow_nan=False)
 
 
 def parts(text: str) -> tuple[dict[str, object], dict[str, dict[str, object]]]:
     """Return the base and the overlays by site of a canonical document.
 
-    :raises ConfigurationError: when ``text`` is no such document.
+    :param text: the canonical JSON.
+    :raises ConfigurationError: when ``text`` is not a canonical document.
     """
     try:
         value = json.loads(text)
         base, overlay_by_site = value["base"], value["overlays"]
-        sound = isinstance(base, dict) and all(
+        is_valid = isinstance(base, dict) and all(
             isinstance(overlay, dict) for overlay in overlay_by_site.values()
         )
     except (ValueError, TypeError, KeyError, AttributeError, RecursionError):
-        sound = False
-    if not sound:
-        raise _refusal("config_not_canonical", "not a canonical configuration document")
+        is_valid = False
+    if not is_valid:
+        raise _error("config_not_canonical", "not a canonical configuration document")
     return base, overlay_by_site
 
 
 def sites(text: str) -> tuple[str, ...]:
-    """Return the sites of a canonical document, in order of name."""
+    """Return the sites of a canonical document, sorted by name."""
     return tuple(sorted(parts(text)[1]))
 
 
 def effective(text: str, site: str) -> models.SiteConfiguration:
     """Return the configuration of one site from a canonical document.
 
-    :raises ConfigurationError: for an unknown site or content that fails the checks.
+    :param text: the canonical JSON.
+    :param site: the site's name.
+    :raises ConfigurationError: for an unknown site or invalid content.
     """
     base, overlay_by_site = parts(text)
     if site not in overlay_by_site:
-        raise _refusal("config_unknown_site", f"there is no site {site!r}")
+        raise _error("config_unknown_site", f"there is no site {site!r}")
     try:
         checked = documentsites.site_or_findings(site, base, overlay_by_site[site])
     except RecursionError:
-        # Such a document was never accepted; a node that reads it must not stop.
-        raise _refusal("config_too_deep", "nested too deep") from None
+        # Such a document was never accepted; a node that reads it must not fail.
+        raise _error("config_too_deep", "nested too deeply") from None
     if isinstance(checked, models.SiteConfiguration):
         return checked
     raise documentyaml.ConfigurationError(
@@ -168,7 +174,7 @@
     )
 
 
-def _refusal(code: str, detail: str) -> documentyaml.ConfigurationError:
+def _error(code: str, detail: str) -> documentyaml.ConfigurationError:
     return documentyaml.ConfigurationError((documentyaml.Problem(code, "", 0, "", detail),))
 
 
@@ -181,35 +187,35 @@
         site = overlay.value.get("site")
         if not isinstance(site, str) or site not in listed:
             detail = f"{site!r} is not among the sites of {base.file}"
-            raise _refusal_at(overlay, "config_unknown_site", ("site",), detail)
+            raise _error_at(overlay, "config_unknown_site", ("site",), detail)
         if site in overlay_by_site:
             detail = f"{overlay_by_site[site].file} is an overlay of the same site"
-            raise _refusal_at(overlay, "config_duplicate_site", ("site",), detail)
+            raise _error_at(overlay, "config_duplicate_site", ("site",), detail)
         overlay_by_site[site] = overlay
     for position, site in enumerate(listed):
         if site not in overlay_by_site:
             detail = f"no overlay was given for {site!r}"
-            raise _refusal_at(base, "config_missing_overlay", ("sites", position), detail)
+            raise _error_at(base, "config_missing_overlay", ("sites", position), detail)
     return overlay_by_site
 
 
 def _listed_sites(base: documentyaml.Tree) -> list[str]:
     listed = base.value.get("sites")
     if not isinstance(listed, list) or not listed:
-        detail = "the base must list its sites"
-        raise _refusal_at(base, "config_missing_key", ("sites",), detail)
+        detail = "the base file must list the sites"
+        raise _error_at(base, "config_missing_key", ("sites",), detail)
     for position, site in enumerate(listed):
         path = ("sites", position)
         try:
             _SITE_NAME_ADAPTER.validate_python(site)
         except pydantic.ValidationError:
-            raise _refusal_at(base, "config_bad_value", path, "not a site's name") from None
+            raise _error_at(base, "config_bad_value", path, "not a valid site name") from None
         if site in listed[:position]:
-            raise _refusal_at(base, "config_duplicate_site", path, "stated twice")
+            raise _error_at(base, "config_duplicate_site", path, "listed twice")
     return listed
 
 
-def _refusal_at(
+def _error_at(
     tree: documentyaml.Tree, code: str, path: documentyaml.Path, detail: str
 ) -> documentyaml.ConfigurationError:
     key = documentyaml.dotted_key(path)
@@ -223,13 +229,13 @@
     checked = documentsites.site_or_findings(site, base.value, overlay.value)
     if isinstance(checked, models.SiteConfiguration):
         return ()
-    return tuple(_placed(found, base, overlay) for found in checked)
+    return tuple(_located(found, base, overlay) for found in checked)
 
 
-def _placed(
+def _located(
     found: documentchecks.Finding, base: documentyaml.Tree, overlay: documentyaml.Tree
 ) -> documentyaml.Problem:
-    """Give a finding the file and line that stated the value, or what encloses it."""
+    """Return a finding with the file and line of its value, or of an enclosing value."""
     for length in range(len(found.path), -1, -1):
         for tree in (overlay, base):
             prefix = found.path[:length]
--- a/hornbeamglade/configuration/documentsites.py
+++ b/hornbeamglade/configuration/documentsites.py
@@ -1,4 +1,4 @@
-"""One site's configuration: the base with the overlay applied, then checked."""
+"""Merges the base and the overlay of one site and validates the result."""
 
 import copy
 
@@ -16,11 +16,11 @@
 def site_or_findings(
     site: str, base: dict[str, object], overlay: dict[str, object]
 ) -> models.SiteConfiguration | tuple[documentchecks.Finding, ...]:
-    """Return a site's configuration, or every fault found.
+    """Return a site's configuration, or every error found.
 
     :param site: the site's name.
-    :param base: what the base file holds; not changed.
-    :param overlay: what the site's overlay holds; not changed.
+    :param base: the content of the base file; not modified.
+    :param overlay: the content of the site's overlay; not modified.
 
     Examples
     ========
@@ -42,7 +42,9 @@
     findings: list[documentchecks.Finding] = []
     for value, key in ((base, "site"), (overlay, "sites")):
         if key in value:
-            findings.append(documentchecks.Finding("config_unknown_key", (key,), "not taken here"))
+            findings.append(
+                documentchecks.Finding("config_unknown_key", (key,), "not allowed in this file")
+            )
     base_value = {key: value for key, value in base.items() if key != "sites"}
     overlay_value = {key: value for key, value in overlay.items() if key not in ("site", "sites")}
     merged = _merge(copy.deepcopy(base_value), overlay_value, (), findings)
@@ -56,11 +58,11 @@
     path: documentyaml.Path,
     findings: list[documentchecks.Finding],
 ) -> dict[str, object]:
-    """Apply an overlay to a base that the caller gives away."""
+    """Apply an overlay to a base, in place; add errors to ``findings``."""
     for key, value in overlay.items():
         present = base.get(key)
         if value is None and key not in base:
-            # Most likely a misspelt name: the value meant to go would stay.
+            # The key is probably misspelled; the value meant to be removed would stay.
             finding = documentchecks.Finding(
                 "config_removes_nothing", (*path, key), "the base has no such key to remove"
             )
@@ -96,11 +98,11 @@
 def _known_path(
     location: tuple[str | int, ...], merged: dict[str, object], kind: str
 ) -> documentyaml.Path:
-    """Leave out the parts of a location that name branches of a type, not keys."""
+    """Return pydantic's location without the parts that name types instead of keys."""
     value: object = merged
     path: list[str | int] = []
     for part in location:
-        if _holds(value, part):
+        if _contains(value, part):
             value = value[part]
         elif not (kind == "missing" and isinstance(value, dict)):
             continue
@@ -108,12 +110,12 @@
     return tuple(path)
 
 
-def _holds(value: object, part: str | int) -> bool:
+def _contains(value: object, part: str | int) -> bool:
     if isinstance(value, dict):
         return part in value
     return isinstance(value, list) and isinstance(part, int) and part < len(value)
 
 
 def to_yaml_values(site: models.SiteConfiguration) -> dict[str, object]:
-    """Return a site's configuration as the YAML files would write it, defaults included."""
+    """Return a site's configuration with the keys of the YAML files, including defaults."""
     return _SITE_ADAPTER.dump_python(site, mode="json", by_alias=True)
--- a/hornbeamglade/configuration/documentyaml.py
+++ b/hornbeamglade/configuration/documentyaml.py
@@ -1,12 +1,12 @@
-"""From the bytes of one YAML file to plain values that remember their lines.
+"""Parses one YAML file to plain values with their line numbers.
 
 Explanation
 ===========
 
-Only what a settings file needs is taken: mappings, sequences and plain
-scalars of the YAML 1.2 core schema, so that ``no`` is text and ``1:30`` is not
-a number. Anchors, aliases and tags are refused: a few lines of nested aliases
-would expand into gigabytes. Keys are always text.
+Only a subset of YAML is supported: mappings, sequences and scalars of the YAML 1.2
+core schema, so that ``no`` is a string and ``1:30`` is not a number. Anchors,
+aliases and tags are errors: a few lines of nested aliases would expand to
+gigabytes. Keys are always strings.
 """
 
 import collections.abc
@@ -22,7 +22,7 @@
 
 Path = tuple[str | int, ...]
 
-# The loader over libyaml is several times faster; it is missing where there is no wheel.
+# The libyaml loader is several times faster; it is missing on platforms without a wheel.
 LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 _NULL = re.compile(r"^(~|null|Null|NULL|)$")
 _BOOL = re.compile(r"^(true|True|TRUE|false|False|FALSE)$")
@@ -31,7 +31,7 @@
 
 
 def dotted_key(path: Path) -> str:
-    """Return a path as operators read it.
+    """Return a path with its parts joined by dots, as shown to operators.
 
     Examples
     ========
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One fault of a configuration, with its place.
+    """One error in a configuration, with its location.
 
     :param code: a stable identifier that begins with ``config_``.
     :param file: the file's name as it was given; empty when no file is known.
@@ -60,16 +60,16 @@
     detail: str
 
     def __str__(self) -> str:
-        """Return the line that an operator sees."""
-        place = f"{self.file}:{self.line}" if self.file else "configuration"
+        """Return the line that is shown to operators."""
+        location = f"{self.file}:{self.line}" if self.file else "configuration"
         key = f" {self.key}:" if self.key else ""
-        return f"{place}:{key} {self.detail} [{self.code}]"
+        return f"{location}:{key} {self.detail} [{self.code}]"
 
 
 class ConfigurationError(codederrors.CodedError):
-    """A configuration was refused.
+    """A configuration is invalid.
 
-    :param problems: at least one; the first gives the code.
+    :param problems: at least one; the first one's code is the error's code.
     """
 
     def __init__(self, problems: tuple[Problem, ...]) -> None:
@@ -79,9 +79,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SourceFile:
-    """One file as the operator gave it.
+    """One file of an operator.
 
-    :param name: for messages.
+    :param name: the file's name, for messages.
     :param content: its bytes.
     """
 
@@ -91,11 +91,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tree:
-    """The mapping that a file holds.
+    """The mapping that a file contains.
 
     :param file: the file's name.
-    :param value: nested dicts, lists, text, numbers, booleans and None.
-    :param line_by_path: the line, from 1, on which each value was stated.
+    :param value: nested dicts, lists, strings, numbers, booleans and None.
+    :param line_by_path: the line of each value, from 1.
     """
 
     file: str
@@ -111,9 +111,10 @@
 
 
 def parse(source: SourceFile) -> Tree:
-    r"""Read one file.
+    r"""Parse one file.
 
-    :raises ConfigurationError: for anything but a YAML mapping within the bounds.
+    :param source: the file.
+    :raises ConfigurationError: for anything but a YAML mapping within the limits.
 
     Examples
     ========
@@ -130,36 +131,36 @@
     except yaml.YAMLError as error:
         mark = getattr(error, "problem_mark", None)
         line = mark.line + 1 if mark else 1
-        detail = getattr(error, "problem", None) or "not readable as YAML"
-        raise builder.refusal("config_not_yaml", line, (), str(detail)) from None
+        detail = getattr(error, "problem", None) or "invalid YAML"
+        raise builder.error("config_not_yaml", line, (), str(detail)) from None
     if not isinstance(value, dict):
-        raise builder.refusal("config_not_mapping", 1, (), "a mapping is expected")
+        raise builder.error("config_not_mapping", 1, (), "expected a mapping at the top level")
     return Tree(source.name, value, builder.line_by_path)
 
 
 def _text(source: SourceFile, builder: "_Builder") -> str:
     if len(source.content) > LARGEST_FILE_BYTES:
         detail = f"larger than {LARGEST_FILE_BYTES} bytes"
-        raise builder.refusal("config_too_large", 1, (), detail)
+        raise builder.error("config_too_large", 1, (), detail)
     try:
         return source.content.decode("utf-8-sig")
     except UnicodeDecodeError as error:
         line = source.content.count(b"\n", 0, error.start) + 1
-        raise builder.refusal("config_not_utf8", line, (), "not UTF-8 text") from None
+        raise builder.error("config_not_utf8", line, (), "not UTF-8 text") from None
 
 
 class _Builder:
     """Builds the values of one file from the events of the YAML parser.
 
-    The parser's events are read rather than its nodes: an alias or a deep
-    nesting is refused where it stands, before anything is expanded.
+    It uses the parser's events instead of its nodes, so that aliases and deep
+    nesting are rejected before anything is expanded.
     """
 
     def __init__(self, file: str) -> None:
         self._file = file
         self.line_by_path: dict[Path, int] = {}
 
-    def refusal(self, code: str, line: int, path: Path, detail: str) -> ConfigurationError:
+    def error(self, code: str, line: int, path: Path, detail: str) -> ConfigurationError:
         return ConfigurationError((Problem(code, self._file, line, dotted_key(path), detail),))
 
     def document(self, events: collections.abc.Iterator[yaml.Event]) -> object:
@@ -169,17 +170,17 @@
             return {}
         value = self._value(next(events), events, ())
         next(events)  # the end of the document
-        following = next(events)
-        if not isinstance(following, yaml.StreamEndEvent):
-            line = following.start_mark.line + 1
-            raise self.refusal("config_many_documents", line, (), "one document is expected")
+        next_event = next(events)
+        if not isinstance(next_event, yaml.StreamEndEvent):
+            line = next_event.start_mark.line + 1
+            raise self.error("config_many_documents", line, (), "expected a single YAML document")
         return value
 
     def _value(
         self, event: yaml.Event, events: collections.abc.Iterator[yaml.Event], path: Path
     ) -> object:
         line = event.start_mark.line + 1
-        self._check_plain(event, line, path)
+        self._check_allowed(event, line, path)
         self.line_by_path.setdefault(path, line)
         if isinstance(event, yaml.MappingStartEvent):
             return self._mapping(events, path)
@@ -187,14 +188,14 @@
             return self._sequence(events, path)
         return self._scalar(event, line, path)
 
-    def _check_plain(self, event: yaml.Event, line: int, path: Path) -> None:
+    def _check_allowed(self, event: yaml.Event, line: int, path: Path) -> None:
         if isinstance(event, yaml.AliasEvent) or event.anchor is not None:
-            raise self.refusal("config_anchor", line, path, "anchors and aliases are not taken")
+            raise self.error("config_anchor", line, path, "anchors and aliases are not supported")
         if event.tag is not None:
-            raise self.refusal("config_tag", line, path, "tags are not taken")
+            raise self.error("config_tag", line, path, "tags are not supported")
         if len(path) > DEEPEST_NESTING:
             detail = f"nested deeper than {DEEPEST_NESTING}"
-            raise self.refusal("config_too_deep", line, (), detail)
+            raise self.error("config_too_deep", line, (), detail)
 
     def _mapping(
         self, events: collections.abc.Iterator[yaml.Event], path: Path
@@ -202,13 +203,13 @@
         value: dict[str, object] = {}
         while not isinstance(event := next(events), yaml.MappingEndEvent):
             line = event.start_mark.line + 1
-            self._check_plain(event, line, path)
+            self._check_allowed(event, line, path)
             if not isinstance(event, yaml.ScalarEvent):
-                raise self.refusal("config_key_not_text", line, path, "a key must be text")
+                raise self.error("config_key_not_text", line, path, "a key must be a string")
             key = self._checked_text(event.value, line, path)
             if key in value:
-                detail = f"stated twice, first on line {self.line_by_path[(*path, key)]}"
-                raise self.refusal("config_duplicate_key", line, (*path, key), detail)
+                detail = f"duplicate key, first on line {self.line_by_path[(*path, key)]}"
+                raise self.error("config_duplicate_key", line, (*path, key), detail)
             self.line_by_path[(*path, key)] = line
             value[key] = self._value(next(events), events, (*path, key))
         return value
@@ -231,20 +232,20 @@
         if _INT.match(text):
             return int(text)
         if _FLOAT.match(text):
-            return self._finite(text, line, path)
+            return self._parse_float(text, line, path)
         return text
 
-    def _finite(self, text: str, line: int, path: Path) -> float:
+    def _parse_float(self, text: str, line: int, path: Path) -> float:
         number = float(text)
         if number in (float("inf"), float("-inf")):
-            raise self.refusal("config_number_range", line, path, "number out of range")
+            raise self.error("config_number_range", line, path, "number out of range")
         return number
 
     def _checked_text(self, text: str, line: int, path: Path) -> str:
-        # An escape may name half of a surrogate pair, which no file can hold; the
-        # parser written in Python lets it pass.
+        # An escape sequence may denote half of a surrogate pair, which UTF-8 cannot
+        # encode; PyYAML's pure Python parser accepts it.
         try:
             text.encode("utf-8")
         except UnicodeEncodeError:
-            raise self.refusal("config_not_utf8", line, path, "not UTF-8 text") from None
+            raise self.error("config_not_utf8", line, path, "not UTF-8 text") from None
         return text
--- a/hornbeamglade/configuration/follower.py
+++ b/hornbeamglade/configuration/follower.py
@@ -1,13 +1,13 @@
-"""A node's copy of the configuration: one thread that polls the head.
+"""A node's copy of the configuration, updated by a thread that polls the head.
 
 Explanation
 ===========
 
-Polling reads one row; the content is fetched only when the number has grown.
-A hint from a peer makes the next poll come at once. All decisions are those of
-:class:`hornbeamglade.configuration.following.RevisionTracker`; here are the calls to
-the platform, the thread, and one lock around the decisions. The lock is never
-held over a call to the platform.
+A poll reads one row; the content is fetched only when the revision number has
+grown. A version announcement of a peer triggers a poll at once. All decisions are
+made by :class:`hornbeamglade.configuration.following.RevisionTracker`; this module
+has the calls to the platform, the thread, and one lock around the decisions. The
+lock is never held during a call to the platform.
 """
 
 import collections.abc
@@ -19,12 +19,12 @@
 from hornbeamglade.store import contract
 
 POLL_S = 1.0
-JOIN_S = 10.0
+JOIN_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(slots=True)
 class FollowerCounts:
-    """What the follower has done since it began; only grows."""
+    """Counters of a follower since its start."""
 
     polls: int = 0
     failed_polls: int = 0
@@ -36,12 +36,12 @@
 
     :param table: holds the head row.
     :param objects: holds the documents.
-    :param clock: dates what is read.
+    :param clock: the time of reads and announcements.
     :param site: the node's site.
     :param node: the node's name.
     :param poll_s: seconds between polls.
 
-    ``on_adopted`` is called after each adoption, in the thread that brought it.
+    ``on_adopted`` is called after each adoption, in the thread that adopted.
     """
 
     def __init__(
@@ -57,93 +57,94 @@
         self._content = headcontent.HeadContent(objects, clock)
         self._clock = clock
         self._poll_s = poll_s
-        self._following = following.RevisionTracker(site, node)
+        self._tracker = following.RevisionTracker(site, node)
         self._lock = threading.Lock()
         self._wake = threading.Event()
         self._stopping = False
         self._thread: threading.Thread | None = None
         self.counts = FollowerCounts()
-        self.on_adopted: collections.abc.Callable[[], None] = _nothing
+        self.on_adopted: collections.abc.Callable[[], None] = _no_op
 
     def current(self) -> documents.Revision | None:
-        """Return the revision in force at this node; never a lower one than before."""
-        return self._following.current
+        """Return the active revision of this node; its number never decreases."""
+        return self._tracker.current
 
     def active(self) -> following.ActiveRevision | None:
-        """Return the revision with the site's configuration that it gives, as one value."""
-        return self._following.active
+        """Return the active revision together with the site's configuration."""
+        return self._tracker.active
 
     @property
     def provisional(self) -> bool:
-        """Return whether the revision came from peers and no head has confirmed it."""
-        return self._following.provisional
+        """Return whether the revision came from peers and the head has not confirmed it."""
+        return self._tracker.provisional
 
     @property
     def age_s(self) -> float | None:
-        """Return seconds since the revision was seen to be the newest, None for never."""
-        return self._following.age_s(self._clock.now())
+        """Return the seconds since the head confirmed the revision, or None for never."""
+        return self._tracker.age_s(self._clock.now())
 
     @property
     def readiness(self) -> following.Readiness:
-        """Return whether there is a configuration to serve by, or why not."""
-        return self._following.readiness
+        """Return whether a configuration is active, or why not."""
+        return self._tracker.readiness
 
     @property
     def problem(self) -> str | None:
-        """Return the code of what keeps the newest revision out, if anything does."""
-        return self._following.problem
+        """Return the code of the problem that prevents adopting the newest revision, if any."""
+        return self._tracker.problem
 
     def on_version_announcement(self, revision: int, peer: str | None = None) -> None:
-        """Note that a peer holds ``revision`` (0 for none); poll at once if it is news.
+        """Record the revision that a peer has announced; poll at once if it is newer.
 
-        :param peer: the peer's name; needed for starting during an outage.
+        :param revision: the peer's revision; 0 for none.
+        :param peer: the peer's name; needed to start during an outage.
         """
         with self._lock:
-            news = self._following.on_version_announcement(revision, self._clock.now(), peer)
-        if news:
+            is_new = self._tracker.on_version_announcement(revision, self._clock.now(), peer)
+        if is_new:
             self._wake.set()
 
     def set_listed_nodes(self, names: frozenset[str]) -> None:
-        """Take the names of the site's nodes, for starting during an outage."""
+        """Set the names of the site's nodes, needed to start during an outage."""
         with self._lock:
-            self._following.set_listed_nodes(names, self._clock.now())
+            self._tracker.set_listed_nodes(names, self._clock.now())
 
     def revision_for_peers(self) -> documents.Revision | None:
-        """Return what to give a peer that asks, or None."""
-        return self._following.current
+        """Return the revision to send to a peer that requests it, or None."""
+        return self._tracker.current
 
     def consider(self, revision: documents.Revision) -> bool:
-        """Consider a revision that a peer gave; return whether it is now in force."""
+        """Consider a revision received from a peer; return whether it was adopted."""
         with self._lock:
-            adopted = self._following.consider(revision, self._clock.now())
+            adopted = self._tracker.consider(revision, self._clock.now())
         if adopted:
-            self._tell_adopted()
+            self._notify_adopted()
         return adopted
 
     def poll(self) -> None:
-        """Read the head once and adopt what is newer."""
+        """Read the head once and adopt its revision if it is newer."""
         self.counts.polls += 1
         try:
             reached = self._poll()
         except codederrors.CodedError as error:
-            # A damaged row or object must not stop the node: it serves on.
+            # A damaged row or object must not stop the node: it continues to serve.
             reached = False
             with self._lock:
-                self._following.problem = error.code
+                self._tracker.problem = error.code
         if not reached:
             self.counts.failed_polls += 1
 
     def start(self) -> None:
-        """Begin to poll in a thread of its own."""
+        """Start the polling thread."""
         self._thread = threading.Thread(target=self._run, name="config-follower", daemon=True)
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread; what is in force stays readable."""
+        """Stop the polling thread; the active revision stays readable."""
         self._stopping = True
         self._wake.set()
         if self._thread is not None:
-            self._thread.join(JOIN_S)
+            self._thread.join(JOIN_TIMEOUT_S)
 
     def _run(self) -> None:
         while not self._stopping:
@@ -158,24 +159,24 @@
             return False
         head = headrecords.read_head(read.row.value) if isinstance(read, contract.Found) else None
         with self._lock:
-            self._following.see_head(head, asked_at)
-            wanted = head is not None and self._following.wants(head)
+            self._tracker.compare_head(head, asked_at)
+            wanted = head is not None and self._tracker.needs_content(head)
         return self._fetch(head, asked_at) if wanted else True
 
     def _fetch(self, head: headrecords.Head, asked_at: float) -> bool:
-        revision = self._content.read(head, held=self._following.current)
+        revision = self._content.read(head, held=self._tracker.current)
         if isinstance(revision, contract.Unavailable):
             return False
         with self._lock:
-            adopted = self._following.take_head(revision, asked_at, self._clock.now())
+            adopted = self._tracker.adopt_head(revision, asked_at, self._clock.now())
         if adopted:
-            self._tell_adopted()
+            self._notify_adopted()
         return adopted
 
-    def _tell_adopted(self) -> None:
+    def _notify_adopted(self) -> None:
         self.counts.adopted += 1
         self.on_adopted()
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     return None
--- a/hornbeamglade/configuration/following.py
+++ b/hornbeamglade/configuration/following.py
@@ -1,40 +1,42 @@
-"""Which revision a node holds: only ever a newer one.
+"""Decides which revision a node adopts; its number never decreases.
 
 Explanation
 ===========
 
-A node moves to a revision that it reads at the head, or that a peer holds, if
-the number is larger than any it held. Only accepted revisions are ever held,
-so taking a newer one from a peer is safe at any time.
-
-The hard case is a node that starts with nothing while the store is down. Two
-rules were weighed:
-
-(a) It refuses to serve until it has read the head. Nothing can revert, but
-    instances are replaced all the time and outages last: in the end no node
-    of the site would serve.
-(b) It starts from its peers. Adopting whatever the first peer holds could put
-    an older revision back: the peer may have been cut off from the store when
-    the newest one came into force at the others, since replaced.
-
-Chosen is (b) with a quorum: the node counts the listed nodes that hold a
-revision (nodes with nothing do not count, but make the list longer), waits for
-more than half of the list, itself included, and takes the newest number that it
-has heard of from anyone, within the last seconds. If fewer answer, it stays unready with a code.
-
-Why it cannot revert: let a revision be in force at more than half of the
-listed nodes for longer than ``ANNOUNCEMENT_FRESH_S``; a node with nothing uses neither
-hearsay nor an answer of the store that is older. The nodes with an older
-revision are then fewer than half. A node never
-goes lower, and a new node adopts an older one only if more than half of the
-list held nothing newer, which needs more such nodes than there are. So their
-number never grows, however many nodes are replaced. The two majorities are
-taken over lists of the same length; a list that lags over a change of the
-site's size can weaken this by as many nodes as it has wrong.
-
-A revision held by a minority when the store went down may be missed if all its
-holders vanish: it was not yet in force at the site. The head tells of it when
-the store is back.
+A node adopts a revision that it reads at the head, or receives from a peer, if its
+number is larger than that of its own revision. Nodes only have accepted revisions,
+so adopting a newer one from a peer is always safe.
+
+The difficult case is a node that starts without a revision while the store is
+down. Two rules were considered:
+
+(a) The node does not serve until it has read the head. No node can go back to an
+    older revision, but instances are replaced all the time, so in a long outage no
+    node of the site would serve in the end.
+(b) The node starts from its peers. Adopting the revision of the first peer could
+    bring an older one back: that peer may have been disconnected from the store
+    while the newest revision became active at the others, which were replaced
+    since.
+
+Rule (b) is used, with a quorum. The node counts the listed nodes that have
+announced a revision within the last seconds; nodes without a revision are listed
+but do not count. When they are more than half of the list, which includes the node
+itself, it adopts the newest number that any peer has announced. Until then it stays
+unready and reports a code.
+
+Why the site cannot go back: let a revision be active at more than half of the
+listed nodes for longer than ``ANNOUNCEMENT_FRESH_S``. A starting node uses no
+announcements and no store responses that are older than this. The nodes with an
+older revision are then fewer than half. No node goes back, and a starting node
+adopts an older revision only if more than half of the list have nothing newer,
+which needs more such nodes than exist. So their number never grows, however many
+nodes are replaced. Both majorities refer to lists of the same length: while a list
+is stale after a change of the site's size, the guarantee is weaker by the number of
+wrong entries.
+
+A revision that only a minority has when the store goes down may be missed if all of
+them vanish: it was not active at the site yet. It is read from the head when the
+store is available again.
 """
 
 import dataclasses
@@ -46,7 +48,7 @@
 
 
 class Readiness(enum.Enum):
-    """Whether a node has a configuration to serve by, or why not."""
+    """Whether a node has an active configuration, or why not."""
 
     READY = "ready"
     NO_HEAD = "config_no_head"
@@ -58,10 +60,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ActiveRevision:
-    """A revision and what it says for the node's site.
+    """The revision that a node has adopted.
 
     :param revision: the whole revision.
-    :param site: the site's configuration by that revision.
+    :param site: the configuration of the node's site in that revision.
     """
 
     revision: documents.Revision
@@ -75,7 +77,7 @@
 
 
 class RevisionTracker:
-    """The revision that one node holds, and what it has heard of newer ones.
+    """The active revision of one node, and the revisions announced by its peers.
 
     :param site: the node's site.
     :param node: the node's name.
@@ -92,10 +94,10 @@
         self._site = site
         self._node = node
         self._listed: frozenset[str] = frozenset()
-        self._heard_by_peer: dict[str, _Announcement] = {}
+        self._announcement_by_peer: dict[str, _Announcement] = {}
         self._candidate: documents.Revision | None = None
         self._refused_digest = ""
-        self._newest_at: float | None = None
+        self._confirmed_at: float | None = None
         self.active: ActiveRevision | None = None
         self.provisional = False
         self.highest_announced = 0
@@ -103,17 +105,17 @@
 
     @property
     def current(self) -> documents.Revision | None:
-        """Return the revision held."""
+        """Return the active revision, or None."""
         return self.active.revision if self.active else None
 
     @property
     def number(self) -> int:
-        """Return the number of the revision held; 0 for none."""
+        """Return the number of the active revision; 0 for none."""
         return self.current.number if self.current else 0
 
     @property
     def readiness(self) -> Readiness:
-        """Return whether there is a configuration to serve by."""
+        """Return whether a configuration is active, or why not."""
         if self.current is not None:
             return Readiness.READY
         if self.problem == Readiness.NO_HEAD.value:
@@ -125,39 +127,41 @@
         return Readiness.FEW_PEERS
 
     def age_s(self, now: float) -> float | None:
-        """Return seconds since the revision held was seen to be the newest."""
-        return None if self._newest_at is None else now - self._newest_at
+        """Return the seconds since the head confirmed the active revision."""
+        return None if self._confirmed_at is None else now - self._confirmed_at
 
     def set_listed_nodes(self, names: frozenset[str], now: float) -> None:
-        """Take the site's list of nodes, by name."""
+        """Set the names of the site's nodes."""
         self._listed = names | {self._node}
         self._start_from_peers(now)
 
     def on_version_announcement(self, number: int, now: float, peer: str | None = None) -> bool:
-        """Note a revision that a peer holds; return whether it is news.
+        """Record the revision of a peer; return whether it is newer than any known one.
 
-        :param number: the revision; 0 for a peer that holds none.
-        :param peer: the peer's name, where it is known.
+        :param number: the revision's number; 0 for a peer that has none.
+        :param now: monotonic seconds.
+        :param peer: the peer's name, if it is known.
         """
         if peer is not None and peer != self._node:
-            self._heard_by_peer[peer] = _Announcement(number, now)
-        news = number > max(self.number, self.highest_announced)
+            self._announcement_by_peer[peer] = _Announcement(number, now)
+        is_new = number > max(self.number, self.highest_announced)
         self.highest_announced = max(self.highest_announced, number)
         self._start_from_peers(now)
-        return news
+        return is_new
 
-    def wants(self, head: headrecords.Head) -> bool:
-        """Return whether the content of ``head`` is to be fetched."""
+    def needs_content(self, head: headrecords.Head) -> bool:
+        """Return whether the content of ``head`` has to be fetched."""
         return head.revision > self.number and head.digest != self._refused_digest
 
-    def see_head(self, head: headrecords.Head | None, asked_at: float) -> None:
-        """Compare the head, as just read, with the revision held.
+    def compare_head(self, head: headrecords.Head | None, asked_at: float) -> None:
+        """Compare the head that was just read with the active revision.
 
-        :param asked_at: when the head was asked for, in seconds of the clock.
+        :param head: the head, or None when there is no head row.
+        :param asked_at: when the read began, in monotonic seconds.
         """
         number = head.revision if head else 0
-        if number < self._floor():
-            # The store was put back to an older state, or a change came while it was read.
+        if number < self._lowest_acceptable():
+            # The store was restored to an older state, or the head moved during the read.
             self.problem = "config_head_behind"
         elif head is None:
             self.problem = Readiness.NO_HEAD.value
@@ -168,34 +172,36 @@
         else:
             self._confirm(asked_at)
 
-    def take_head(self, revision: documents.Revision, asked_at: float, now: float) -> bool:
-        """Adopt the content of the head if it is newer; return whether it was.
+    def adopt_head(self, revision: documents.Revision, asked_at: float, now: float) -> bool:
+        """Adopt the content of the head if it is newer; return whether it was adopted.
 
-        A node that holds nothing takes none lower than it has heard of: peers
-        serve the newer one already.
+        A node without a revision adopts none that is lower than the highest announced
+        one, by which its peers already serve.
 
-        :param asked_at: when the head was asked for, in seconds of the clock.
+        :param revision: the content of the head.
+        :param asked_at: when the read of the head began, in monotonic seconds.
+        :param now: monotonic seconds.
         """
-        if self._is_late(asked_at, now):
+        if self._is_stale_read(asked_at, now):
             self.problem = "config_read_late"
             return False
-        if revision.number < self._floor() or not self._adopt(revision):
+        if revision.number < self._lowest_acceptable() or not self._adopt(revision):
             return False
         self._confirm(asked_at)
         return True
 
-    def _is_late(self, asked_at: float, now: float) -> bool:
-        """Return whether a node with nothing must drop what the store answered.
+    def _is_stale_read(self, asked_at: float, now: float) -> bool:
+        """Return whether a node without a revision must discard a response of the store.
 
-        Failure: a new node reads revision 1 and is held up, by a slow store or
-        a pause; 2 comes into force at its peers; then it starts by 1, and stays
-        there if the store goes down. Such an answer is as stale as hearsay.
-        A node that holds a revision can only gain by the answer.
+        A new node may read revision 1 and be delayed by a slow store or a pause, while
+        revision 2 becomes active at its peers. It would then start with revision 1, and
+        keep it if the store goes down. A node that has a revision can use a late
+        response, since it only adopts newer ones.
         """
         return self.current is None and now - asked_at > ANNOUNCEMENT_FRESH_S
 
     def consider(self, revision: documents.Revision, now: float) -> bool:
-        """Consider what a peer holds; return whether it was adopted."""
+        """Consider a revision received from a peer; return whether it was adopted."""
         before = self.number
         try:
             revision.verify()
@@ -210,39 +216,44 @@
             self._start_from_peers(now)
         return self.number > before
 
-    def _floor(self) -> int:
+    def _lowest_acceptable(self) -> int:
         return self.number if self.current else self.highest_announced
 
     def _start_from_peers(self, now: float) -> None:
-        """Adopt the candidate once the quorum of the module's explanation is there."""
+        """Adopt the candidate once there is a quorum, see the module's explanation."""
         candidate = self._candidate
         if self.current is not None or candidate is None or not self._listed:
             return
         if candidate.number < self.highest_announced:
             return
-        holders = sum(1 for name in self._listed if self._holds_one(name, now))
+        holders = sum(1 for name in self._listed if self._has_recent_revision(name, now))
         if holders > len(self._listed) // 2:
             self._adopt_from_peer(candidate)
 
-    def _holds_one(self, peer: str, now: float) -> bool:
-        # Failure: what was heard long ago says nothing of what came into force
-        # since; the quorum must hold now.
-        heard = self._heard_by_peer.get(peer)
-        return heard is not None and heard.number > 0 and now - heard.at <= ANNOUNCEMENT_FRESH_S
+    def _has_recent_revision(self, peer: str, now: float) -> bool:
+        # An old announcement does not show which revision became active since; the
+        # quorum must exist now.
+        announced = self._announcement_by_peer.get(peer)
+        return (
+            announced is not None
+            and announced.number > 0
+            and now - announced.at <= ANNOUNCEMENT_FRESH_S
+        )
 
     def _adopt_from_peer(self, revision: documents.Revision) -> None:
         if self._adopt(revision):
             self.provisional = True
 
     def _adopt(self, revision: documents.Revision) -> bool:
-        # Failure: two threads, or a peer and the store, bring revisions out of
-        # order; requests would be judged by an older configuration again.
+        # Two threads, or a peer and the store, may deliver revisions out of order; the
+        # node must not go back to an older configuration.
         if revision.number <= self.number:
             return False
         try:
             effective = revision.effective(self._site)
         except documentyaml.ConfigurationError:
-            # A newer release's keys, or the site was removed: serve on by what is held.
+            # The revision has keys of a newer release, or the site was removed: the node
+            # keeps the revision that it has.
             self.problem = Readiness.REFUSED.value
             self._refused_digest = revision.digest
             return False
@@ -254,4 +265,4 @@
     def _confirm(self, asked_at: float) -> None:
         self.provisional = False
         self.problem = None
-        self._newest_at = asked_at
+        self._confirmed_at = asked_at
--- a/hornbeamglade/configuration/headcontent.py
+++ b/hornbeamglade/configuration/headcontent.py
@@ -1,4 +1,4 @@
-"""The documents of revisions in the object store, whole and as deltas."""
+"""The documents of revisions in the object store, complete and as deltas."""
 
 from hornbeamglade.configuration import documentdelta, documents, headrecords
 from hornbeamglade.core import clocks, codederrors
@@ -12,7 +12,7 @@
     """Writes and reads documents by their digest.
 
     :param objects: the object store.
-    :param clock: paces the retries.
+    :param clock: times the retries.
     """
 
     def __init__(self, objects: contract.ObjectStore, clock: clocks.Clock) -> None:
@@ -22,22 +22,23 @@
     def store(
         self, document: documents.Document, before: str | None
     ) -> contract.Unavailable | contract.Unknown | None:
-        """Put a document under its digest; return what kept it out, if anything did.
+        """Store a document under its digest; return the failure, or None.
 
-        :param before: the document that it follows, or None.
+        :param document: the document.
+        :param before: the text of the previous document, or None.
         """
         key = headrecords.content_key(document.digest)
         outcome = self._objects.put(key, document.text)
         for _ in range(ATTEMPTS - 1):
             if not isinstance(outcome, contract.Unknown):
                 break
-            # The content is named by its digest: putting it twice changes nothing.
+            # The key is the content's digest, so storing it twice changes nothing.
             self._clock.sleep(RETRY_PAUSE_S)
             outcome = self._objects.put(key, document.text)
         if not isinstance(outcome, contract.Committed):
             return outcome
         if before is not None:
-            # Its outcome does not matter: without it nodes read the whole document.
+            # The outcome does not matter: without a delta, nodes read the whole document.
             delta = documentdelta.make(before, document.text)
             self._objects.put(headrecords.delta_key(document.digest), delta)
         return None
@@ -47,9 +48,10 @@
         found: headrecords.Head | headrecords.AuditRecord,
         held: documents.Revision | None = None,
     ) -> documents.Revision | contract.Unavailable:
-        """Return the revision that a row names.
+        """Return the revision that a row refers to.
 
-        :param held: a revision at hand, from which a delta may lead there.
+        :param found: the head or audit row.
+        :param held: a revision at hand, to which a delta may apply.
         :raises CodedError: when the content is missing or differs from its digest.
         """
         text = self._by_delta(found.digest, held) if held is not None else None
--- a/hornbeamglade/configuration/headrecords.py
+++ b/hornbeamglade/configuration/headrecords.py
@@ -1,4 +1,4 @@
-"""The rows that hold the configuration's head and its audit trail."""
+"""The rows of the configuration's head and of its audit trail."""
 
 import dataclasses
 import json
@@ -20,8 +20,8 @@
     """The newest accepted revision.
 
     :param revision: its number.
-    :param digest: names its content in the object store.
-    :param change_id: of the change that made it.
+    :param digest: the key of its content in the object store.
+    :param change_id: of the change that created it.
     """
 
     revision: _Positive
@@ -31,17 +31,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AuditRecord:
-    """Who made a revision, when and why; written once and never changed.
+    """Who created a revision, when and why; written once and never changed.
 
     :param revision: its number.
-    :param digest: names its content.
-    :param change_id: unique for the change.
-    :param based_on: the revision that the change was made from; 0 for the first.
+    :param digest: the key of its content in the object store.
+    :param change_id: unique id of the change.
+    :param based_on: the revision that the change was based on; 0 for the first.
     :param who: the operator.
     :param why: the operator's reason.
     :param at_s: wall-clock seconds since the Unix epoch, by the operator's clock.
-    :param differed: the first of the values that differed, as lines.
-    :param differed_count: how many values differed.
+    :param differed: the first of the differences, as lines.
+    :param differed_count: the number of differences.
     """
 
     revision: _Positive
@@ -60,7 +60,7 @@
 
 
 def audit_key(revision: int) -> str:
-    """Return the key of a revision's audit row; keys sort by revision.
+    """Return the key of a revision's audit row; keys sort in the order of revisions.
 
     Examples
     ========
@@ -77,39 +77,43 @@
 
 
 def delta_key(digest: str) -> str:
-    """Return the key of the delta that leads to a document."""
+    """Return the key of the delta that results in a document."""
     return f"config/delta/{digest}"
 
 
-def written(record: Head | AuditRecord) -> str:
-    """Return the row's value."""
+def encode(record: Head | AuditRecord) -> str:
+    """Return the value of a record's row."""
     return json.dumps(dataclasses.asdict(record), sort_keys=True)
 
 
 def read_head(value: str) -> Head:
-    """Return the head that a row holds.
+    """Return the head that a row contains.
 
-    :raises CodedError: when the row holds anything else.
+    :param value: the row's value.
+    :raises CodedError: when the row is malformed.
 
     Examples
     ========
 
-    >>> read_head(written(Head(3, "sha256-00", "c1")))
+    >>> read_head(encode(Head(3, "sha256-00", "c1")))
     Head(revision=3, digest='sha256-00', change_id='c1')
     """
     try:
         return _HEAD_ADAPTER.validate_json(value)
     except pydantic.ValidationError:
-        raise codederrors.CodedError("config_head_malformed", "the head row is damaged") from None
+        raise codederrors.CodedError(
+            "config_head_malformed", "the head row is malformed"
+        ) from None
 
 
 def read_audit(value: str) -> AuditRecord:
-    """Return the record that an audit row holds.
+    """Return the record that an audit row contains.
 
-    :raises CodedError: when the row holds anything else.
+    :param value: the row's value.
+    :raises CodedError: when the row is malformed.
     """
     try:
         return _AUDIT_ADAPTER.validate_json(value)
     except pydantic.ValidationError:
-        detail = "an audit row is damaged"
+        detail = "an audit row is malformed"
         raise codederrors.CodedError("config_audit_malformed", detail) from None
--- a/hornbeamglade/configuration/models.py
+++ b/hornbeamglade/configuration/models.py
@@ -3,11 +3,11 @@
 Explanation
 ===========
 
-Each class is a plain frozen data class that the decisions use as it stands;
-the annotations carry the bounds that :mod:`hornbeamglade.configuration.documents`
-has pydantic check at the border. So each field is stated once. In the YAML
-files a collection is written by its plural (``services``); here it is named by
-its key (``service_by_name``).
+Each class is a plain frozen data class that is used throughout. Its annotations
+contain the constraints that :mod:`hornbeamglade.configuration.documents` validates
+with pydantic when a document is loaded, so each field is declared once. In the YAML
+files a collection is named in the plural (``services``); here it is named by its
+value and key (``service_by_name``).
 
 Examples
 ========
@@ -36,10 +36,10 @@
 
 
 def checked_address(address: str) -> str:
-    """Return ``address`` when it is an IP number and a port.
+    """Return ``address`` if it is an IP address with a port.
 
     :param address: ``192.0.2.1:8000`` or ``[2001:db8::1]:8000``.
-    :raises ValueError: when it is anything else, a host name included.
+    :raises ValueError: when it is anything else, such as a host name.
 
     Examples
     ========
@@ -52,16 +52,16 @@
     ValueError: expected ip:port, not 'engine-1:8000'
     """
     host, _, port = address.rpartition(":")
-    complaint = f"expected ip:port, not {address!r}"
+    message = f"expected ip:port, not {address!r}"
     if not (port.isascii() and port.isdigit() and 0 < int(port[:6]) <= LARGEST_PORT):
-        raise ValueError(complaint)
+        raise ValueError(message)
     bracketed = host.startswith("[") and host.endswith("]")
     try:
         number = ipaddress.ip_address(host[1:-1] if bracketed else host)
     except ValueError:
-        raise ValueError(complaint) from None
+        raise ValueError(message) from None
     if bracketed != (number.version == 6):
-        raise ValueError(complaint)
+        raise ValueError(message)
     return address
 
 
@@ -76,17 +76,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """What callers ask for by name: generations of a model, or a plain service.
+    """A service that callers request by name: generations of a model, or a plain service.
 
     :param kind: ``generation`` or ``plain``.
     :param pool: the pool whose replicas serve it.
-    :param model: what callers put in ``model``; for generations only.
+    :param model: the value of ``model`` in callers' requests; for generations only.
     :param repeatable: whether a request may be run again after a failure.
     :param first_token_s: seconds to wait for the first token (or response head).
-    :param progress_s: seconds without a token or keep-alive after which a link is stalled.
-    :param queue_s: seconds a request may wait for room before it is refused.
-    :param total_s: seconds a request may take in all.
-    :param max_prompt_tokens: larger prompts are refused.
+    :param progress_s: seconds without a token or keep-alive after which a connection
+        counts as stalled.
+    :param queue_s: seconds that a request may wait for free capacity before it is refused.
+    :param total_s: the total timeout of a request, in seconds.
+    :param max_prompt_tokens: longer prompts are refused.
     :param max_body_bytes: larger request bodies are refused.
     :param resume: whether the replicas can resume a stream.
     :param idempotency_key: whether callers must send an ``Idempotency-Key``.
@@ -113,8 +114,8 @@
     """One backend server of a pool.
 
     :param address: ``ip:port``.
-    :param failure_domain: where it stands.
-    :param memory_tokens: what its memory holds; None for a plain service.
+    :param failure_domain: the failure domain that it is in.
+    :param memory_tokens: tokens that its KV cache holds; None for a plain service.
     :param checks_fencing: whether it refuses orders with an old fencing number.
     """
 
@@ -128,7 +129,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Wanted:
-    """What every engine of a pool is ordered to have loaded.
+    """The state that every engine of a pool is ordered to load.
 
     :param models: names of models, with their version where one is named.
     :param adapters: names of adapters.
@@ -144,12 +145,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Admission:
-    """How full the engines of a pool may be planned.
+    """How requests are admitted to the engines of a pool.
 
-    :param policy: ``probabilistic`` plans growth; ``present_memory`` admits while the
-        memory in use leaves room for the prompt; ``least_outstanding`` admits all, to
-        be compared with.
-    :param overflow_z: deviations of expected growth that must fit; larger is safer.
+    :param policy: ``probabilistic`` accounts for the expected growth of running
+        requests; ``present_memory`` admits a request while the memory in use leaves
+        enough free for its prompt; ``least_outstanding`` admits all, for comparison.
+    :param overflow_z: standard deviations of the expected growth that must fit in
+        memory; larger values make overflow less likely.
     """
 
     __pydantic_config__: typing.ClassVar = _STRICT
@@ -162,10 +164,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Queue:
-    """How many requests may wait for one replica of a pool.
+    """The maximum length of the queue of one replica of a pool.
 
-    :param max_waiting: of all teams together.
-    :param max_waiting_per_team: of any one team.
+    :param max_waiting: for all teams together.
+    :param max_waiting_per_team: for any one team.
     """
 
     __pydantic_config__: typing.ClassVar = _STRICT
@@ -179,7 +181,9 @@
     """A model pool, or the backend servers of a plain service.
 
     :param replica_by_name: its backend servers.
-    :param wanted: what its engines are ordered to load; None gives no orders.
+    :param wanted: the state that its engines are ordered to load; None for no orders.
+    :param admission: how requests are admitted.
+    :param queue: the maximum length of the queues.
     """
 
     __pydantic_config__: typing.ClassVar = _STRICT
@@ -194,13 +198,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Team:
-    """A team of callers and its share.
+    """A team of callers, its share and its limits.
 
-    :param key_hashes: digests of the keys that its callers show.
-    :param weight: its share beside other teams of the same priority.
+    :param key_hashes: digests of the keys that its callers use.
+    :param weight: its share relative to other teams of the same priority.
     :param priority: larger is more urgent.
-    :param requests_in_flight: bound at the site.
-    :param tokens_in_flight: bound at the site, prompts included.
+    :param requests_in_flight: its limit at the site.
+    :param tokens_in_flight: its limit at the site, including prompts.
     :param services: names of the services that it may call, or ``all``.
     """
 
@@ -214,16 +218,16 @@
     services: tuple[Name, ...] | typing.Literal["all"] = "all"
 
     def may_call(self, service: str) -> bool:
-        """Return whether the team's requests for ``service`` are taken."""
+        """Return whether the team may call ``service``."""
         return self.services == "all" or service in self.services
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Addresses:
-    """What callers are told when they ask which addresses to use.
+    """The addresses of nodes that callers look up.
 
-    :param ttl_s: seconds that callers keep the answer.
-    :param per_team: addresses in an answer.
+    :param ttl_s: seconds that callers may cache the response.
+    :param per_team: addresses in a response.
     """
 
     __pydantic_config__: typing.ClassVar = _STRICT
@@ -236,7 +240,7 @@
 class Node:
     """Limits of one entry node.
 
-    :param max_streams: requests in flight at one node.
+    :param max_streams: the maximum of requests in flight at one node.
     """
 
     __pydantic_config__: typing.ClassVar = _STRICT
@@ -249,6 +253,11 @@
     """The effective configuration of one site: the base with its overlay applied.
 
     :param site: the site's name.
+    :param service_by_name: its services.
+    :param pool_by_name: its pools.
+    :param team_by_name: its teams.
+    :param addresses: the addresses that callers look up.
+    :param node: limits of an entry node.
     """
 
     __pydantic_config__: typing.ClassVar = _STRICT
--- a/tests/configuration/samples.py
+++ b/tests/configuration/samples.py
@@ -1,4 +1,4 @@
-"""Small documents for the tests."""
+"""Small configuration documents for tests."""
 
 from hornbeamglade.configuration import documents, documentyaml
 
@@ -32,5 +32,5 @@
 
 
 def revision(number: int) -> documents.Revision:
-    made = numbered(number)
-    return documents.Revision(number, made.digest, f"change-{number}", made.text)
+    content = numbered(number)
+    return documents.Revision(number, content.digest, f"change-{number}", content.text)
--- a/tests/configuration/test_documentdelta.py
+++ b/tests/configuration/test_documentdelta.py
@@ -22,20 +22,20 @@
 
 @hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=300)
 @hypothesis.given(TEXTS, TEXTS)
-def test_a_delta_leads_from_any_document_to_any_other(before, after):
+def test_a_delta_converts_any_document_to_any_other(before, after):
     assert documentdelta.apply(before, documentdelta.make(before, after)) == after
 
 
 @hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=200)
 @hypothesis.given(TEXTS, TEXTS, TEXTS)
-def test_a_delta_is_of_one_document_only(before, after, other):
+def test_a_delta_applies_to_one_document_only(before, after, other):
     delta = documentdelta.make(before, after)
     assert documentdelta.apply(other, delta) == (after if other == before else None)
 
 
 @hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=200)
 @hypothesis.given(TEXTS, strategies.lists(strategies.sampled_from("wxyz"), max_size=3))
-def test_a_damaged_path_is_no_delta_or_a_document(before, path):
+def test_a_delta_with_any_path_is_refused_or_results_in_a_document(before, path):
     setting = {"path": path, "removed": True}
     delta = documents.canonical({"before": documents.digest(before), "settings": [setting]})
     applied = documentdelta.apply(before, delta)
--- a/tests/configuration/test_documents.py
+++ b/tests/configuration/test_documents.py
@@ -44,22 +44,22 @@
         ),
     ],
 )
-def test_a_fault_is_told_with_file_line_and_key(overlay, code, line, key):
+def test_a_problem_has_code_line_and_key(overlay, code, line, key):
     problem = problem_of(overlay)
     assert problem.code == code
     assert problem.key.startswith(key)
     assert problem.line == line
 
 
-def test_a_fault_of_the_base_is_told_once_at_its_own_line():
+def test_a_problem_of_the_base_is_reported_once_with_its_line():
     base = samples.BASE.replace("[krakow]", "[krakow, pirkanmaa]").replace(
         "weight: 2", "weight: 0"
     )
     overlays = [samples.source(f"site: {site}\n", site) for site in ("krakow", "pirkanmaa")]
     with pytest.raises(documentyaml.ConfigurationError) as caught:
         documents.load(samples.source(base), overlays)
-    places = [(problem.file, problem.line) for problem in caught.value.problems]
-    assert places == [("base.yaml", samples.BASE[: samples.BASE.index("weight")].count("\n") + 1)]
+    found = [(problem.file, problem.line) for problem in caught.value.problems]
+    assert found == [("base.yaml", samples.BASE[: samples.BASE.index("weight")].count("\n") + 1)]
 
 
 @pytest.mark.parametrize(
@@ -77,7 +77,7 @@
     assert caught.value.code == code
 
 
-def test_an_overlay_states_only_what_differs():
+def test_an_overlay_contains_only_what_differs():
     document = samples.document(
         "teams: {clerks: {priority: 3}, notary: {key_hashes: []}}\nservices: {mailbox: null}\n"
     )
@@ -94,19 +94,19 @@
 
 
 @pytest.mark.parametrize("depth", [300, 600, 100_000])
-def test_a_stored_document_that_is_nested_too_deep_is_refused(depth):
+def test_a_stored_document_that_is_nested_too_deeply_is_refused(depth):
     nested = '{"a":' * depth + "1" + "}" * depth
     text = f'{{"base":{nested},"overlays":{{"krakow":{nested}}}}}'
     with pytest.raises(documentyaml.ConfigurationError):
         documents.effective(text, "krakow")
 
 
-def test_an_unknown_site_of_an_accepted_document_is_refused():
+def test_an_unknown_site_of_an_accepted_document_is_an_error():
     with pytest.raises(documentyaml.ConfigurationError, match="config_unknown_site"):
         samples.revision(1).effective("elsewhere")
 
 
-def test_replicas_of_one_name_in_two_pools_are_refused():
+def test_replicas_with_the_same_name_in_two_pools_are_refused():
     pool = "{replicas: {e1: {address: '192.0.2.%d:80', failure_domain: d1}}}"
     base = (
         f"sites: [krakow]\nservices: {{}}\nteams: {{}}\npools: {{a: {pool % 1}, b: {pool % 2}}}\n"
--- a/tests/configuration/test_documentyaml.py
+++ b/tests/configuration/test_documentyaml.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("loader", [documentyaml.LOADER, yaml.SafeLoader])
 @hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=300)
 @hypothesis.given(INPUTS, strategies.one_of(strategies.just(b"site: krakow\n"), INPUTS))
-def test_any_bytes_give_a_canonical_document_or_a_coded_error(loader, base, overlay):
+def test_any_bytes_result_in_a_canonical_document_or_a_coded_error(loader, base, overlay):
     overlays = [samples.source(overlay, "krakow.yaml")]
     try:
         with mock.patch.object(documentyaml, "LOADER", loader):
@@ -44,7 +44,7 @@
 
 @hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=200)
 @hypothesis.given(strategies.text(max_size=60))
-def test_any_text_as_a_stored_document_gives_a_value_or_a_coded_error(text):
+def test_any_text_as_a_stored_document_results_in_a_value_or_a_coded_error(text):
     try:
         documents.effective(text, "krakow")
     except codederrors.CodedError as error:
@@ -69,7 +69,7 @@
         (b"#" * (documentyaml.LARGEST_FILE_BYTES + 1), "config_too_large", 1),
     ],
 )
-def test_a_file_is_refused_with_its_line(text, code, line):
+def test_an_invalid_file_is_refused_with_code_and_line(text, code, line):
     with pytest.raises(documentyaml.ConfigurationError) as caught:
         documentyaml.parse(samples.source(text))
     assert (caught.value.code, caught.value.problems[0].line) == (code, line)
@@ -83,6 +83,6 @@
         documentyaml.parse(samples.source(text))
 
 
-def test_words_and_times_stay_text():
+def test_words_and_times_are_strings():
     tree = documentyaml.parse(samples.source("a: no\nb: 1:30\nc: 2026-12-02\non: 010\n"))
     assert tree.value == {"a": "no", "b": "1:30", "c": "2026-12-02", "on": 10}
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -28,7 +28,7 @@
     return follower.Follower(platform, platform, clock, "krakow", "n1", poll_s)
 
 
-def test_a_hint_brings_the_newest_revision_at_once(platform):
+def test_a_version_announcement_triggers_a_poll_at_once(platform):
     node = follower_of(platform)
     adopted = threading.Event()
     node.on_adopted = adopted.set
@@ -42,7 +42,7 @@
     assert node.active().site.node.max_streams == 2
 
 
-def test_an_outage_leaves_the_revision_in_force(platform):
+def test_the_revision_stays_active_during_an_outage(platform):
     node = follower_of(platform)
     node.poll()
     platform.set_faults(memory.Faults(down=True))
@@ -51,7 +51,8 @@
 
 
 def test_a_slow_store_does_not_start_a_node(platform):
-    # As with a paused node: the two reads of the store took longer than hearsay lasts.
+    # The two reads of the store together take longer than announcements stay fresh, as for
+    # a process that is paused.
     clock = clocks.ManualClock()
     slow = memory.MemoryPlatform(clock)
     apply_number(slow, 1)
@@ -62,7 +63,7 @@
 
 
 def test_damaged_content_does_not_stop_the_node(platform):
-    # All nodes of a site stop at once: objects in the store are damaged.
+    # A damaged object in the store must not stop all nodes of a site at once.
     node = follower_of(platform)
     node.poll()
     apply_number(platform, 2)
@@ -73,7 +74,7 @@
     assert (node.current().number, node.problem) == (1, "config_digest_differs")
 
 
-def test_a_node_that_follows_reads_only_what_changed(platform):
+def test_a_node_with_the_previous_revision_reads_only_the_delta(platform):
     node = follower_of(platform)
     node.poll()
     apply_number(platform, 2)
@@ -83,9 +84,9 @@
 
 
 @pytest.mark.parametrize("delta", ["damaged", '{"before":"","settings":[]}', None])
-def test_a_node_reads_the_whole_document_when_the_delta_does_not_fit(platform, delta):
-    # A node stays on its revision although the next one is in the store: it missed
-    # the one between, or the delta was damaged.
+def test_a_node_reads_the_whole_document_when_the_delta_does_not_apply(platform, delta):
+    # A node that missed a revision, or reads a damaged delta, must still get the newest
+    # revision.
     node = follower_of(platform)
     node.poll()
     apply_number(platform, 2)
@@ -97,8 +98,8 @@
     assert node.current().number == (2 if delta else 3)
 
 
-def test_a_delta_to_something_else_is_not_taken(platform):
-    # A node serves a configuration that nobody accepted: a delta was mixed up.
+def test_a_delta_to_another_document_is_not_used(platform):
+    # With a wrong delta, a node would serve a configuration that was never accepted.
     node = follower_of(platform)
     node.poll()
     apply_number(platform, 2)
@@ -108,9 +109,9 @@
     assert node.current().document == samples.numbered(2).text
 
 
-def test_missing_content_is_told(platform):
+def test_missing_content_is_reported(platform):
     node = follower_of(platform)
-    text = headrecords.written(headrecords.Head(1, "sha256-00", "c1"))
+    text = headrecords.encode(headrecords.Head(1, "sha256-00", "c1"))
     platform.transact((), (contract.Put(headrecords.HEAD_KEY, text),))
     node.poll()
     assert (node.current(), node.problem) == (None, "config_content_missing")
@@ -124,7 +125,7 @@
     assert (node.current().number, node.problem) == (1, "config_head_malformed")
 
 
-def test_a_node_gives_its_revision_to_a_peer_that_started_in_an_outage(platform):
+def test_a_node_sends_its_revision_to_a_peer_that_starts_during_an_outage(platform):
     holders = [follower_of(platform), follower_of(platform)]
     for holder in holders:
         holder.poll()
--- a/tests/configuration/test_following.py
+++ b/tests/configuration/test_following.py
@@ -19,31 +19,33 @@
     return headrecords.Head(number, revision.digest, revision.change_id)
 
 
-def fresh(*nodes: str) -> following.RevisionTracker:
+def starting_node(*nodes: str) -> following.RevisionTracker:
     node = following.RevisionTracker("krakow", "n1")
     node.set_listed_nodes(frozenset(nodes or NODES), 0.0)
     return node
 
 
 def read_head(node: following.RevisionTracker, number: int, now: float = 0.0) -> bool:
-    node.see_head(head_of(number), now)
-    return node.wants(head_of(number)) and node.take_head(REVISION_BY_NUMBER[number], now, now)
+    node.compare_head(head_of(number), now)
+    return node.needs_content(head_of(number)) and node.adopt_head(
+        REVISION_BY_NUMBER[number], now, now
+    )
 
 
-class FollowingMachine(stateful.RuleBasedStateMachine):
-    """Three nodes; each may be cut off from the store and replaced at any time."""
+class RevisionTrackerMachine(stateful.RuleBasedStateMachine):
+    """Three nodes, each of which may lose the store or be replaced at any time."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.head = 1
-        self.node_by_name = {name: self.started(name) for name in NODES}
+        self.node_by_name = {name: self.start_node(name) for name in NODES}
         for name in NODES:
             read_head(self.node_by_name[name], 1)
-        self.in_force_since = [(0.0, 1)]
-        self.coming_by_name: dict[str, tuple[int, float]] = {}
+        self.active_since = [(0.0, 1)]
+        self.pending_read_by_name: dict[str, tuple[int, float]] = {}
 
-    def started(self, name: str) -> following.RevisionTracker:
+    def start_node(self, name: str) -> following.RevisionTracker:
         node = following.RevisionTracker("krakow", name)
         node.set_listed_nodes(frozenset(NODES), self.now)
         return node
@@ -52,13 +54,13 @@
         number = self.node_by_name[name].number
         assert number >= before
         recently = self.now - following.ANNOUNCEMENT_FRESH_S
-        floor = max([held for since, held in self.in_force_since if since < recently], default=0)
+        floor = max([held for since, held in self.active_since if since < recently], default=0)
         assert before or not number or number >= floor
         held = sorted(node.number for node in self.node_by_name.values())
-        self.in_force_since.append((self.now, held[len(NODES) // 2]))
+        self.active_since.append((self.now, held[len(NODES) // 2]))
 
     @stateful.rule(cut_off=NODE, wait_s=strategies.sampled_from([0.0, STALE_S]))
-    def a_change_reaches_all_but_one(self, cut_off, wait_s):
+    def all_but_one_read_a_change(self, cut_off, wait_s):
         self.head = min(LAST, self.head + 1)
         for name in sorted({*NODES} - {cut_off}):
             before = self.node_by_name[name].number
@@ -67,16 +69,16 @@
         self.now += wait_s
 
     @stateful.rule()
-    def answers_come(self):
-        for name, (number, asked_at) in self.coming_by_name.items():
+    def delayed_reads_finish(self):
+        for name, (number, asked_at) in self.pending_read_by_name.items():
             before = self.node_by_name[name].number
             revision = REVISION_BY_NUMBER[number]
-            self.node_by_name[name].take_head(revision, asked_at, self.now)
+            self.node_by_name[name].adopt_head(revision, asked_at, self.now)
             self.check(name, before)
-        self.coming_by_name = {}
+        self.pending_read_by_name = {}
 
     @stateful.rule(name=NODE, peers=PEERS, offers=strategies.booleans())
-    def node_hears_peers(self, name, peers, offers):
+    def peers_announce_to_a_node(self, name, peers, offers):
         node, before = self.node_by_name[name], self.node_by_name[name].number
         for peer in peers:
             node.on_version_announcement(self.node_by_name[peer].number, self.now, peer)
@@ -85,41 +87,42 @@
         self.check(name, before)
 
     @stateful.rule(name=NODE, number=strategies.integers(1, LAST))
-    def a_document_comes_late(self, name, number):
+    def a_document_arrives_late(self, name, number):
         before = self.node_by_name[name].number
         self.node_by_name[name].consider(REVISION_BY_NUMBER[min(number, self.head)], self.now)
         self.check(name, before)
 
     @stateful.rule(name=NODE, peers=PEERS, offers=strategies.booleans())
     def a_node_is_replaced(self, name, peers, offers):
-        self.node_by_name[name] = self.started(name)
-        self.coming_by_name[name] = (self.head, self.now)
-        self.node_hears_peers(name, peers, offers)
+        self.node_by_name[name] = self.start_node(name)
+        self.pending_read_by_name[name] = (self.head, self.now)
+        self.peers_announce_to_a_node(name, peers, offers)
 
     @stateful.rule()
     def time_passes(self):
         self.now += STALE_S
 
 
-TestFollowingMachine = FollowingMachine.TestCase
-TestFollowingMachine.settings = hypothesis.settings(
+TestRevisionTrackerMachine = RevisionTrackerMachine.TestCase
+TestRevisionTrackerMachine.settings = hypothesis.settings(
     derandomize=True, database=None, deadline=None, max_examples=600, stateful_step_count=10
 )
 
 
-def test_a_newer_revision_replaces_an_older_one_and_never_the_reverse():
-    node = fresh()
+def test_a_newer_revision_replaces_an_older_one_but_not_the_reverse():
+    node = starting_node()
     assert read_head(node, 3)
-    assert not node.take_head(REVISION_BY_NUMBER[2], 0.0, 0.0)
+    assert not node.adopt_head(REVISION_BY_NUMBER[2], 0.0, 0.0)
     assert not node.consider(REVISION_BY_NUMBER[2], 0.0)
     assert read_head(node, 4)
     assert node.number == 4
 
 
 def test_a_node_without_a_majority_stays_unready():
-    # A site answers by an older configuration. One peer was cut off from the store
-    # at revision 1; the nodes that held 2 were replaced while the store was down.
-    node = fresh(*NODES, "n4", "n5")
+    # One peer was disconnected from the store at revision 1, and the nodes that had
+    # revision 2 were replaced while the store was down. Starting from the one peer would
+    # bring the older configuration back.
+    node = starting_node(*NODES, "n4", "n5")
     node.on_version_announcement(1, 0.0, "n2")
     node.consider(REVISION_BY_NUMBER[1], 0.0)
     node.on_version_announcement(0, 0.0, "n3")
@@ -129,7 +132,7 @@
 
 
 def test_a_majority_lets_a_node_start_by_the_newest():
-    node = fresh()
+    node = starting_node()
     node.on_version_announcement(2, 0.0, "n3")
     node.consider(REVISION_BY_NUMBER[1], 0.0)
     node.on_version_announcement(1, 0.0, "n2")
@@ -139,76 +142,77 @@
     assert node.active.site.node.max_streams == 2
 
 
-def test_what_was_heard_long_ago_does_not_count():
-    # A new node serves an older configuration. It heard of revision 1 from a peer,
-    # then 2 came into force, and only later did it hear from another straggler.
-    node = fresh()
+def test_an_old_announcement_does_not_count():
+    # A new node received an announcement of revision 1, then revision 2 became active, and
+    # later another peer that lags behind announced revision 1. Counted together, the node
+    # would start with the older configuration.
+    node = starting_node()
     node.consider(REVISION_BY_NUMBER[1], 0.0)
     node.on_version_announcement(1, 0.0, "n2")
     node.on_version_announcement(1, STALE_S, "n3")
     assert node.current is None
 
 
-def test_a_head_lower_than_what_peers_hold_is_not_taken_at_the_start():
-    # After the store was put back to a backup, replaced nodes judge by an older
-    # configuration than their neighbours.
-    node = fresh()
+def test_a_starting_node_does_not_adopt_a_head_lower_than_announced():
+    # After the store was restored from a backup, replaced nodes would serve by an older
+    # configuration than their peers.
+    node = starting_node()
     node.on_version_announcement(3, 0.0)
     assert not read_head(node, 2)
     assert (node.current, node.problem) == (None, "config_head_behind")
 
 
-def test_a_late_answer_of_the_store_does_not_start_a_node():
-    # A site answers by an older configuration. A new node read revision 1 and was
-    # paused; 2 came into force at its peers and the store went down; it woke up.
-    node = fresh()
-    assert not node.take_head(REVISION_BY_NUMBER[1], 0.0, STALE_S)
+def test_a_starting_node_does_not_adopt_a_late_response_of_the_store():
+    # A new node read revision 1 and was paused. Meanwhile revision 2 became active at its
+    # peers and the store went down, so the node would keep the older configuration.
+    node = starting_node()
+    assert not node.adopt_head(REVISION_BY_NUMBER[1], 0.0, STALE_S)
     assert (node.current, node.problem) == (None, "config_read_late")
 
 
 def test_the_head_confirms_a_provisional_revision():
-    node = fresh()
+    node = starting_node()
     node.consider(REVISION_BY_NUMBER[1], 0.0)
     node.on_version_announcement(1, 0.0, "n2")
     node.on_version_announcement(1, 0.0, "n3")
     assert (node.provisional, node.age_s(4.0)) == (True, None)
-    node.see_head(head_of(1), 3.0)
+    node.compare_head(head_of(1), 3.0)
     assert (node.provisional, node.age_s(4.0)) == (False, 1.0)
 
 
-def test_other_content_under_the_same_number_is_told():
-    node = fresh()
+def test_other_content_with_the_same_number_is_reported():
+    node = starting_node()
     read_head(node, 1)
-    node.see_head(headrecords.Head(1, REVISION_BY_NUMBER[2].digest, "other"), 1.0)
+    node.compare_head(headrecords.Head(1, REVISION_BY_NUMBER[2].digest, "other"), 1.0)
     assert (node.number, node.problem) == (1, "config_head_differs")
 
 
 def test_content_that_differs_from_its_digest_is_not_adopted():
-    # A node serves a configuration that nobody accepted. A peer's answer was
-    # damaged or crossed on its way.
-    node = fresh()
+    # A peer's response was damaged or mixed up; the node would serve a configuration that
+    # was never accepted.
+    node = starting_node()
     read_head(node, 1)
     text = REVISION_BY_NUMBER[3].document
     assert not node.consider(dataclasses.replace(REVISION_BY_NUMBER[2], document=text), 0.0)
     assert (node.number, node.problem) == (1, "config_digest_differs")
 
 
-def test_a_revision_that_is_not_understood_is_refused_once():
-    # Every node of an older release fetches the whole content each second: the
-    # newest revision has a key that it does not know.
+def test_an_unsupported_revision_is_fetched_only_once():
+    # The newest revision has a key that an older release does not support. Without the
+    # check, its nodes would fetch the whole content with each poll.
     text = REVISION_BY_NUMBER[2].document.replace("max_streams", "new_key")
     newer = documents.Revision(2, documents.digest(text), "c2", text)
-    node = fresh()
+    node = starting_node()
     read_head(node, 1)
     newer_head = headrecords.Head(2, newer.digest, "c2")
-    assert node.wants(newer_head)
-    assert not node.take_head(newer, 0.0, 0.0)
-    node.see_head(newer_head, 1.0)
-    assert (node.wants(newer_head), node.number) == (False, 1)
+    assert node.needs_content(newer_head)
+    assert not node.adopt_head(newer, 0.0, 0.0)
+    node.compare_head(newer_head, 1.0)
+    assert (node.needs_content(newer_head), node.number) == (False, 1)
     assert node.problem == following.Readiness.REFUSED.value
 
 
-def test_no_head_at_all_is_told():
-    node = fresh()
-    node.see_head(None, 0.0)
+def test_a_missing_head_is_reported():
+    node = starting_node()
+    node.compare_head(None, 0.0)
     assert node.readiness is following.Readiness.NO_HEAD
--- a/tests/configuration/test_head.py
+++ b/tests/configuration/test_head.py
@@ -11,19 +11,19 @@
 from hornbeamglade.store import contract, memory
 from tests.configuration import samples
 
-WELL = memory.Faults()
+NO_FAULTS = memory.Faults()
 DOWN = memory.Faults(down=True)
 ANSWER_LOST = memory.Faults(lose_answers=True)
 WRITE_LOST = memory.Faults(lose_writes=True)
 STALLED = memory.Faults(stall_writes=True)
-FAULTS = strategies.sampled_from([WELL, DOWN, ANSWER_LOST, WRITE_LOST, STALLED])
+FAULTS = strategies.sampled_from([NO_FAULTS, DOWN, ANSWER_LOST, WRITE_LOST, STALLED])
 OPERATORS = strategies.sampled_from(["ada", "bo"])
 
 Step = memory.Faults | collections.abc.Callable[[], object]
 
 
 class ScriptedTable(contract.Table):
-    """Before each call: changes the faults, or lets something else happen."""
+    """A table that changes the faults or runs a function before each call."""
 
     def __init__(self, platform: memory.MemoryPlatform) -> None:
         self._platform = platform
@@ -32,7 +32,7 @@
     def _platform_after_step(self) -> memory.MemoryPlatform:
         if self.script:
             step = self.script.pop(0)
-            self._platform.set_faults(step if isinstance(step, memory.Faults) else WELL)
+            self._platform.set_faults(step if isinstance(step, memory.Faults) else NO_FAULTS)
             if callable(step):
                 step()
         return self._platform
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass
 class Store:
-    """A platform with its head; ``rival`` is another operator's way to it."""
+    """A platform with a head; ``rival`` is the head as used by another operator."""
 
     platform: memory.MemoryPlatform = dataclasses.field(
         default_factory=lambda: memory.MemoryPlatform(clocks.ManualClock())
@@ -61,15 +61,15 @@
         self.rival = head.ConfigurationHead(self.platform, self.platform, clocks.ManualClock())
 
     def send(self, change: head.Change, *script: Step) -> head.Outcome:
-        self.platform.set_faults(WELL)
+        self.platform.set_faults(NO_FAULTS)
         self.table.script = [*script]
         outcome = self.head.apply(change)
         self.table.script = []
-        self.platform.set_faults(WELL)
+        self.platform.set_faults(NO_FAULTS)
         return outcome
 
     def records(self) -> list[headrecords.AuditRecord]:
-        self.platform.set_faults(WELL)
+        self.platform.set_faults(NO_FAULTS)
         return list(reversed(self.rival.history(1000)))
 
 
@@ -93,12 +93,12 @@
     def rival_applies(self, who: str) -> None:
         self.seen_by_operator[who] = len(self.store.records())
         change = self.new_change(who)
-        self.learn(change, self.store.rival.apply(change))
+        self.record_outcome(change, self.store.rival.apply(change))
 
-    def learn(self, change: head.Change, outcome: head.Outcome) -> None:
+    def record_outcome(self, change: head.Change, outcome: head.Outcome) -> None:
         known = self.outcome_by_id.get(change.change_id)
         if isinstance(known, head.OutcomeUnknown) and isinstance(outcome, head.PlatformDown):
-            return  # of the earlier sending this says nothing
+            return  # does not show the outcome of the earlier attempt
         self.outcome_by_id[change.change_id] = outcome
         if isinstance(outcome, head.Applied):
             self.seen_by_operator[change.who] = outcome.revision
@@ -106,7 +106,7 @@
     def send(self, change: head.Change, script: list[Step | str]) -> None:
         rival = "bo" if change.who == "ada" else "ada"
         steps = [(lambda: self.rival_applies(rival)) if s == "rival" else s for s in script]
-        self.learn(change, self.store.send(change, *steps))
+        self.record_outcome(change, self.store.send(change, *steps))
 
     @stateful.rule(who=OPERATORS)
     def operator_reads(self, who):
@@ -117,7 +117,7 @@
         script=strategies.lists(strategies.one_of(FAULTS, strategies.just("rival")), max_size=5),
     )
     def operator_applies(self, who, script):
-        self.send(self.new_change(who), [WELL, *script])
+        self.send(self.new_change(who), [NO_FAULTS, *script])
 
     @stateful.rule(script=strategies.lists(FAULTS, max_size=5))
     def operator_repeats_unknown(self, script):
@@ -130,7 +130,7 @@
         self.store.platform.deliver_stalled()
 
     @stateful.invariant()
-    def every_outcome_is_true(self):
+    def outcomes_match_the_audit_rows(self):
         records = self.store.records()
         assert [record.revision for record in records] == list(range(1, len(records) + 1))
         assert all(record.based_on == record.revision - 1 for record in records)
@@ -151,28 +151,28 @@
 )
 
 
-def test_a_lost_answer_is_resolved_after_a_later_change():
-    # An operator is told "conflict" although the change was accepted. Its answer was
-    # lost and the command broke off; a colleague went on from it; then it was repeated.
+def test_a_lost_response_is_resolved_after_a_later_change():
+    # A change is accepted, its response is lost and the command fails. Another change
+    # follows, and the first command is repeated. It must not report a conflict.
     store = Store()
     change = change_of(1, 0)
-    assert isinstance(store.send(change, WELL, ANSWER_LOST, DOWN, DOWN), head.OutcomeUnknown)
+    assert isinstance(store.send(change, NO_FAULTS, ANSWER_LOST, DOWN, DOWN), head.OutcomeUnknown)
     assert store.rival.apply(change_of(2, 1, "bo")) == head.Applied(2)
     assert store.send(change) == head.Applied(1)
 
 
-def test_a_write_that_arrives_late_was_not_reported_as_without_effect():
-    # An operator is told "nothing took effect" and sees the change in force a minute
-    # later. The write stalled on its way, and the platform refused the next attempt.
+def test_a_write_that_may_arrive_late_is_not_reported_as_without_effect():
+    # A write is delayed in the network, and the platform is unavailable at the next
+    # attempt. Reported as without effect, the change would become active later.
     store = Store()
-    outcome = store.send(change_of(1, 0), WELL, STALLED, WELL, DOWN)
+    outcome = store.send(change_of(1, 0), NO_FAULTS, STALLED, NO_FAULTS, DOWN)
     store.platform.deliver_stalled()
     assert isinstance(outcome, head.OutcomeUnknown)
     assert store.records()[0].change_id == "c1"
 
 
-def test_a_lost_answer_without_a_reason_is_still_a_lost_answer():
-    # As above; the adapter's error had no text.
+def test_a_lost_response_without_a_reason_is_still_a_lost_response():
+    # As above, with an adapter whose error has no text.
     store = Store()
     outcomes = [contract.Unknown(""), contract.Unavailable("down")]
     with mock.patch.object(store.platform, "transact", side_effect=outcomes):
@@ -180,36 +180,37 @@
 
 
 def test_writes_that_all_stall_leave_the_outcome_unknown():
-    # As above, but every attempt stalls.
+    # As above, but all attempts are delayed.
     store = Store()
-    outcome = store.send(change_of(1, 0), WELL, *[STALLED] * 8)
+    outcome = store.send(change_of(1, 0), NO_FAULTS, *[STALLED] * 8)
     store.platform.deliver_stalled()
     assert isinstance(outcome, head.OutcomeUnknown)
     assert store.send(change_of(1, 0)) == head.Applied(1)
 
 
-def test_a_conflict_that_cannot_be_looked_into_is_not_called_lost():
-    # An operator is told "conflict" although the change is in force. The first
-    # sending took effect unanswered, the second met it, and then the store went down.
+def test_a_conflict_that_cannot_be_resolved_is_not_a_lost_race():
+    # The first attempt takes effect and its response is lost. The second one conflicts
+    # with it, and then the store is down. A lost race would be reported although the
+    # change is active.
     store = Store()
-    outcome = store.send(change_of(1, 0), WELL, ANSWER_LOST, DOWN, WELL, DOWN)
+    outcome = store.send(change_of(1, 0), NO_FAULTS, ANSWER_LOST, DOWN, NO_FAULTS, DOWN)
     assert isinstance(outcome, head.OutcomeUnknown)
     assert store.records()[0].change_id == "c1"
 
 
 def test_a_rival_between_read_and_write_wins():
-    # Of two operators' changes one vanishes without a word. Both read the same
-    # head; the later write would overwrite the earlier one.
+    # Two operators read the same head. The later write would silently overwrite the
+    # earlier one.
     store = Store()
     rival = change_of(2, 0, "bo")
-    outcome = store.send(change_of(1, 0), WELL, lambda: store.rival.apply(rival))
+    outcome = store.send(change_of(1, 0), NO_FAULTS, lambda: store.rival.apply(rival))
     assert isinstance(outcome, head.LostRace)
     assert [record.change_id for record in store.records()] == ["c2"]
 
 
 def test_an_audit_row_is_never_overwritten():
-    # The trail shows a change that was never made. The head row was deleted by hand,
-    # and numbering began anew over the old records.
+    # The head row was deleted by hand. Numbering would start over and overwrite the audit
+    # records of earlier changes.
     store = Store()
     store.rival.apply(change_of(1, 0))
     store.platform.transact((), (contract.Delete(headrecords.HEAD_KEY),))
@@ -217,9 +218,9 @@
         store.send(change_of(2, 0))
 
 
-def test_a_head_row_put_back_by_hand_is_told():
-    # A change is called lost to a revision that is not newer than its own start: the
-    # head row was put back from a backup, without the audit rows.
+def test_a_head_row_restored_by_hand_is_reported():
+    # The head row was restored from a backup without the audit rows. The change would be
+    # reported as a lost race against a revision that is not newer than its base.
     store = Store()
     store.rival.apply(change_of(1, 0))
     first_head = store.platform.read(headrecords.HEAD_KEY).row.value
@@ -230,26 +231,26 @@
 
 
 def test_a_rival_whose_audit_row_was_deleted_still_wins():
-    # As in a race, but the audit row that would show it was cleared away.
+    # A lost race, where the audit row that shows it was deleted.
     store = Store()
 
     def rival() -> None:
         store.rival.apply(change_of(2, 0, "bo"))
         store.platform.transact((), (contract.Delete(headrecords.audit_key(1)),))
 
-    assert isinstance(store.send(change_of(1, 0), WELL, rival), head.LostRace)
+    assert isinstance(store.send(change_of(1, 0), NO_FAULTS, rival), head.LostRace)
 
 
-def test_an_unreadable_earlier_content_does_not_hold_up_a_change():
-    # The operator sees every change refused. The object of the newest revision was
-    # damaged in the store; the summary of differences cannot be made from it.
+def test_unreadable_content_of_an_earlier_revision_does_not_block_a_change():
+    # The object of the newest revision is damaged, so the summary of differences cannot be
+    # made. Without this rule, every further change would be refused.
     store = Store()
     store.rival.apply(change_of(1, 0))
     store.platform.put(headrecords.content_key(samples.numbered(1).digest), "damaged")
     assert store.send(change_of(2, 1)) == head.Applied(2)
 
 
-def test_a_loser_learns_what_the_winner_changed():
+def test_a_lost_race_reports_the_changes_of_the_winner():
     store = Store()
     store.rival.apply(change_of(1, 0))
     store.rival.apply(change_of(2, 1))
@@ -258,8 +259,8 @@
     assert [str(found) for found in lost.theirs] == ["overlays.krakow.node.max_streams: 1 -> 2"]
 
 
-def test_a_loser_is_not_told_that_nothing_changed_when_it_cannot_be_read():
-    # The loser sees "it changed: nothing" and applies over the winner's change.
+def test_a_lost_race_reports_no_differences_when_they_cannot_be_read():
+    # Shown an empty list of differences, the operator would overwrite the winner's change.
     store = Store()
     store.rival.apply(change_of(1, 0))
     store.rival.apply(change_of(2, 1))
@@ -267,7 +268,7 @@
     assert store.send(change_of(3, 1, "bo")) == head.LostRace(2, None)
 
 
-def test_content_whose_answer_is_lost_is_put_again():
+def test_content_whose_response_is_lost_is_stored_again():
     store = Store()
     outcomes = [contract.Unknown("lost"), contract.Committed({})]
     with mock.patch.object(store.platform, "put", side_effect=outcomes):
@@ -281,6 +282,6 @@
     assert store.send(again) == head.NothingChanged(1)
 
 
-def test_a_base_that_does_not_exist_yet_is_bad_input():
+def test_a_base_that_does_not_exist_yet_is_an_error():
     with pytest.raises(codederrors.CodedError, match="config_based_on_unknown"):
         Store().send(change_of(1, 7))
