--- a/hornbeamglade/routed/__init__.py
+++ b/hornbeamglade/routed/__init__.py
@@ -1,16 +1,15 @@
-"""Routed requests: from a caller's host and path to a replica of the route's service.
+"""Reverse proxy: forwards requests by host and path to replicas of the route's service.
 
 Explanation
 ===========
 
-One of the two faces of an entry node; the other is the chat interface of
-:mod:`hornbeamglade.callers`. A request is passed on byte for byte, so nothing here
-reads or writes a body.
+An entry node has two request interfaces: this one, and the chat interface of
+:mod:`hornbeamglade.callers`. Request bodies are forwarded byte for byte and never parsed.
 
-- :mod:`hornbeamglade.routed.calls`: requests and answers, as values
-- :mod:`hornbeamglade.routed.dialect`: how they are written, behind an abstract class
-- :mod:`hornbeamglade.routed.callrouter`: route, team and service of a request
-- :mod:`hornbeamglade.routed.bufferedexchange`: whole answers
-- :mod:`hornbeamglade.routed.streamrun`: streams of events
-- :mod:`hornbeamglade.routed.placefinder`: the engines that they run at
+- :mod:`hornbeamglade.routed.calls`: requests and responses as immutable values
+- :mod:`hornbeamglade.routed.dialect`: abstract class that parses and writes their headers
+- :mod:`hornbeamglade.routed.callrouter`: finds the route, team and service of a request
+- :mod:`hornbeamglade.routed.bufferedexchange`: responses that are buffered and forwarded whole
+- :mod:`hornbeamglade.routed.streamrun`: responses that are streamed event by event
+- :mod:`hornbeamglade.routed.engineselector`: selects the engine that runs a streamed request
 """
--- a/hornbeamglade/routed/attemptlog.py
+++ b/hornbeamglade/routed/attemptlog.py
@@ -1,4 +1,4 @@
-"""What a request's attempts have come to so far."""
+"""Record of the attempts made for one request."""
 
 import dataclasses
 
@@ -10,12 +10,12 @@
 class AttemptLog:
     """The attempts of one request.
 
-    :param tried: replicas that it was sent to, or that could not be reached.
-    :param sent: attempts that a replica may have received.
-    :param may_have_run: whether one of them may have run.
-    :param in_flight_replica: the replica of the attempt that has not ended, or None.
-    :param has_answer: whether that replica has begun to answer.
-    :param limit_per_s: the limit that the replica of the newest attempt had named, or None.
+    :param tried: replicas the request was sent to, including unreachable ones.
+    :param sent: number of attempts that a replica may have received.
+    :param may_have_run: whether any attempt may have run.
+    :param in_flight_replica: replica of the attempt in flight, or None.
+    :param has_response: whether that replica has begun to respond.
+    :param limit_per_s: rate limit that the replica of the newest attempt had reported, or None.
     """
 
     tried: list[str] = dataclasses.field(default_factory=list)
@@ -26,16 +26,16 @@
     limit_per_s: float | None = None
 
     def start(self, replica_id: str, limit: ratelimits.RateLimit | None) -> None:
-        """Note that the request is being sent to a replica, and the limit that it had named."""
+        """Record that an attempt starts, and the rate limit that its replica had reported."""
         self.in_flight_replica = replica_id
         self.limit_per_s = None if limit is None else limit.requests_per_s
 
     def record_response_started(self) -> None:
-        """Note that the replica under way has begun to answer."""
+        """Record that the replica of the attempt in flight has begun to respond."""
         self.has_response = True
 
     def record_end(self, replica_id: str, run: outcomes.RunStatus, was_sent: bool) -> None:
-        """Note an attempt that ended without an answer for the caller."""
+        """Record the end of an attempt."""
         self.in_flight_replica = None
         self.has_response = False
         self.tried.append(replica_id)
@@ -44,7 +44,7 @@
 
     @property
     def run(self) -> outcomes.RunStatus:
-        """What is known over all attempts."""
+        """Run status over all attempts."""
         if self.may_have_run or self.in_flight_replica is not None:
             return outcomes.RunStatus.UNKNOWN
         return outcomes.RunStatus.NOT_RUN
--- a/hornbeamglade/routed/bufferedexchange.py
+++ b/hornbeamglade/routed/bufferedexchange.py
@@ -1,4 +1,4 @@
-"""A request whose answer is passed on when it is whole."""
+"""Buffered responses: a replica's response is forwarded once it is complete."""
 
 from hornbeamglade.core import clocks, outcomes
 from hornbeamglade.observability import logs
@@ -17,30 +17,31 @@
 )
 
 MAX_REPLICAS = 4
-"""Replicas that one request turns to, unreachable ones included."""
+"""Most replicas that are tried for one request, including unreachable ones."""
 
 NO_REPLICA_RETRY_S = 0.4
 FULL_RETRY_S = 0.15
 RATE_LIMIT_WAIT_SHARE = 0.5
-"""Of the time in which an answer is on time; the rest is for the answer."""
+"""Share of the route's goal that a request may wait for a send slot; the rest is left for the
+response."""
 
 
 class BufferedExchange:
-    """Gets a whole answer, at another replica where that is safe.
+    """Gets a complete response, retrying at another replica where that is safe.
 
     Explanation
     ===========
 
-    A request is sent again only when it did not run, or may run twice. Its caller gets
-    a replica's own failure as it is, once no further attempt is allowed.
+    A request is retried only if it did not run or may run more than once. When no further
+    attempt is allowed, an error response of a replica is forwarded unchanged.
 
-    :param available: the replicas that may get new work.
+    :param available: the replicas that accept new work.
     :param sender: sends attempts.
-    :param loads: chooses among replicas.
-    :param budgets: bounds what is sent again.
-    :param crashes: finds out which lost runs were ended by a crash.
+    :param loads: chooses replicas by load.
+    :param budgets: retry budgets by service.
+    :param crash_detector: decides which lost runs were ended by a crash.
     :param quarantine: refuses requests that crash their replicas.
-    :param turns: requests that wait for a turn at replicas with limits.
+    :param rate_limit_queue: requests that wait for replicas with rate limits.
     :param clock: monotonic time.
     """
 
@@ -67,9 +68,9 @@
     async def answer(
         self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
     ) -> responses.Response | outcomes.Refusal:
-        """Return what the caller gets.
+        """Return the response for the caller.
 
-        :param log: takes the attempts, for a caller whose time ends meanwhile.
+        :param log: records the attempts, also for a call that is cancelled by a timeout.
         """
         last_response: responses.Response | None = None
         while True:
@@ -111,7 +112,7 @@
     async def _wait_for_send_slot(
         self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
     ) -> bool:
-        """Wait for a turn where all replicas have named limits, while it can be on time."""
+        """Wait for a send slot if all replicas have rate limits; return whether there is one."""
         deadline = routed.call.arrived_at + RATE_LIMIT_WAIT_SHARE * routed.route.goal_s
         return len(log.tried) < MAX_REPLICAS and await self._rate_limit_queue.wait(
             routed.service.name, routed.allowed_regions, log.tried, routed.urgency, deadline
@@ -141,7 +142,7 @@
         return outcomes.Refusal("replicas_cold", 503, detail, retry_after_s=retry_s)
 
     def _wait_s(self, replica: replicamodels.Replica, now: float) -> float:
-        """Return the seconds until a replica takes a request that comes to any instance."""
+        """Return the seconds until a replica accepts a request from any instance."""
         cold_s = self._available.cold_wait_s(replica.id, now)
         return max(cold_s, self._available.limit_retry_s(replica.id))
 
@@ -194,7 +195,7 @@
         outcome: responses.Response | sending.FailedAttempt,
         sent_at: float,
     ) -> None:
-        """Write the line on an attempt that may lead to another one."""
+        """Log a failed attempt, which may be followed by a retry."""
         now = self._clock.now()
         is_answer = isinstance(outcome, responses.Response)
         logs.decided(
@@ -229,7 +230,7 @@
         answer: responses.Response,
         log: attemptlog.AttemptLog,
     ) -> bool:
-        """Tell whether a replica's own failure is worth another attempt."""
+        """Return whether a replica's response is an error that may be retried."""
         return answer.status >= 500 and self._may_retry(routed, log)
 
     def _may_retry(self, routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog) -> bool:
--- a/hornbeamglade/routed/callrouter.py
+++ b/hornbeamglade/routed/callrouter.py
@@ -1,4 +1,4 @@
-"""Route, team and service of a request, or the refusal that its caller gets."""
+"""Finds the route, team and service of a request."""
 
 import dataclasses
 
@@ -9,20 +9,20 @@
 
 NO_CONFIGURATION = "no_configuration"
 NO_CONFIGURATION_RETRY_S = 0.3
-"""A node learns the configuration within a few hundred milliseconds of reaching the
-store or a peer."""
+"""A node gets the configuration within a few hundred milliseconds of reaching the store or
+a peer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """A request and where it goes.
+    """A request with its route, team and service.
 
     :param call: the request.
-    :param route: its route.
-    :param service: the service that takes it.
-    :param team: its caller's team, or None when no key is needed.
-    :param revision: of the configuration that decided.
-    :param fingerprint: by which the same request is known when it comes again.
+    :param route: the matching route.
+    :param service: the service chosen by the route.
+    :param team: the caller's team, or None if no key is needed.
+    :param revision: revision of the configuration used for routing.
+    :param fingerprint: hash that identifies repetitions of the same request.
     """
 
     call: calls.Call
@@ -34,16 +34,16 @@
 
     @property
     def urgency(self) -> int:
-        """Its rank, 0 first; the team's goes before the route's."""
+        """Rank of the request, 0 is the most urgent; a team's rank overrides the route's."""
         if self.team is not None and self.team.urgency is not None:
             return self.team.urgency
         return self.route.urgency
 
     @property
     def allowed_regions(self) -> frozenset[str] | None:
-        """Where it may be served, or None for everywhere; empty for nowhere.
+        """Regions that may serve the request, or None for all; empty if none may.
 
-        Both the route's regions and the team's bind.
+        The intersection of the route's and the team's regions.
         """
         of_team = None if self.team is None else self.team.allowed_regions
         bounds = [each for each in (self.route.allowed_regions, of_team) if each is not None]
@@ -51,14 +51,14 @@
 
     @property
     def ends_at(self) -> float:
-        """Monotonic seconds at which it must have its final answer."""
+        """Monotonic time by which the response must be complete."""
         return min(self.call.deadline, self.call.arrived_at + self.route.timeout_s)
 
 
 def route(call: calls.Call, view: views.RouteView | None) -> RoutedRequest | outcomes.Refusal:
-    """Find out where a request goes.
+    """Route a request, or return the refusal to send to its caller.
 
-    :param view: the configuration in force, or None before the first one.
+    :param view: view of the current configuration, or None before the first one.
     """
     if view is None:
         detail = "this node does not know the configuration yet"
--- a/hornbeamglade/routed/calls.py
+++ b/hornbeamglade/routed/calls.py
@@ -1,4 +1,4 @@
-"""What is known of a routed request, as immutable values."""
+"""Immutable values that describe routed requests and their responses."""
 
 import dataclasses
 
@@ -8,10 +8,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt; requests that share leading parts share cached memory.
+    """A part of a prompt; requests that share leading parts share KV cache blocks.
 
-    :param id: names the part.
-    :param tokens: its length.
+    :param id: identifier of the part.
+    :param tokens: its length in tokens.
     """
 
     id: str
@@ -20,12 +20,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Generation:
-    """What a request asks of a model engine.
+    """The generation parameters of a request.
 
-    :param model: the model's name.
-    :param prompt_tokens: length of the prompt.
-    :param max_tokens: the caller's bound on the answer.
-    :param parts: the prompt's parts, in order; the last is the request's own.
+    :param model: name of the model.
+    :param prompt_tokens: length of the prompt in tokens.
+    :param max_tokens: the caller's bound on the length of the answer.
+    :param parts: parts of the prompt in order; the last is specific to this request.
     :param expected_tokens: the caller's estimate of the answer's length, or None.
     """
 
@@ -40,17 +40,17 @@
 class Call:
     """One routed request.
 
-    :param request_id: the caller's id of this attempt; goes to the backend server as it is.
-    :param host: as the caller named it.
-    :param method: as sent.
-    :param target: path and query, as sent.
-    :param fields: what is passed on as it is.
-    :param body: as sent.
-    :param arrived_at: monotonic seconds of its first byte.
-    :param deadline: monotonic seconds at which its caller gives up.
-    :param authorization: the caller's key, as sent, or None.
-    :param generation: set when it is meant for a model engine.
-    :param last_event_id: the last event that the caller has, when it resumes a stream.
+    :param request_id: the caller's id of this attempt; forwarded unchanged.
+    :param host: host that the caller named.
+    :param method: HTTP method as received.
+    :param target: path and query as received.
+    :param fields: header fields that are forwarded unchanged.
+    :param body: body as received.
+    :param arrived_at: monotonic time of the first byte.
+    :param deadline: monotonic time at which the caller gives up.
+    :param authorization: the caller's key as received, or None.
+    :param generation: generation parameters, or None if the request needs no model engine.
+    :param last_event_id: id of the last event that the caller received, if it resumes a stream.
     """
 
     request_id: str
@@ -68,10 +68,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KvCopy:
-    """A copy of a run's memory from which the run can go on.
+    """A copy of a run's KV cache from which the run can continue.
 
-    :param source_address: ``ip:port`` that the copy's name belongs to.
-    :param name: what the copy is called there.
+    :param source_address: ``ip:port`` of the engine at which ``name`` is valid.
+    :param name: identifier of the copy at that engine.
     """
 
     source_address: str
@@ -80,14 +80,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dispatch:
-    """How one attempt is sent to a replica.
-
-    :param replica_name: what the server is called that is meant; any other refuses.
-    :param team: the caller's team, or None when no key was needed.
-    :param remaining_s: what is left of the caller's time.
-    :param urgency: rank at the engine, 0 first, or None for a plain service.
-    :param last_event_id: the run goes on after this event, or None for a new run.
-    :param copy: the memory that a run goes on from, or None.
+    """Parameters of one attempt at a replica.
+
+    :param replica_name: name of the intended server; any other server refuses the request.
+    :param team: the caller's team, or None if no key was needed.
+    :param remaining_s: seconds left until the caller's deadline.
+    :param urgency: rank at the engine, 0 is the most urgent; None for a plain service.
+    :param last_event_id: event after which the run continues, or None for a new run.
+    :param copy: KV cache copy from which the run continues, or None.
     """
 
     replica_name: str
@@ -100,11 +100,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What a replica says of itself beside an answer.
+    """Load that a replica reports in a response header.
 
-    :param running: requests that it runs.
-    :param waiting: requests that wait there.
-    :param slots: requests that it can run at once.
+    :param running: requests that are running.
+    :param waiting: requests that are queued.
+    :param slots: requests that can run concurrently.
     """
 
     running: int
@@ -114,17 +114,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """The head of a replica's answer.
+    """The decoded head of a replica's response.
 
-    :param status: its status.
-    :param fields: what is passed on to the caller.
-    :param request_id: the request that it answers, or None when it does not say.
-    :param is_sealed: whether it bears the replica's proof that it is its own.
+    :param status: HTTP status.
+    :param fields: header fields to forward to the caller.
+    :param request_id: id of the answered request, or None if the head does not state it.
+    :param is_sealed: whether the head has a seal, which proves that the replica itself responded.
     :param is_not_run: whether the replica states that it did not run the request.
-    :param is_encoded: whether the body is not the replica's own bytes.
-    :param load: the replica's load, or None.
-    :param limit: what the replica takes at most, or None when it names no limit.
-    :param is_misdirected: whether another server answered than the one that was meant.
+    :param is_encoded: whether a content encoding was applied to the body.
+    :param load: load reported by the replica, or None.
+    :param limit: rate limit reported by the replica, or None.
+    :param is_misdirected: whether a server other than the intended one responded.
     """
 
     status: int
--- a/hornbeamglade/routed/dialect.py
+++ b/hornbeamglade/routed/dialect.py
@@ -1,4 +1,4 @@
-"""How routed requests and answers are written, behind abstract classes."""
+"""Abstract translation between HTTP headers and the values of routed requests."""
 
 import abc
 
@@ -8,16 +8,16 @@
 
 
 class Dialect(abc.ABC):
-    """Reads callers' requests and backend servers' answers, and writes for both."""
+    """Parses callers' requests and backend servers' responses, and writes request headers."""
 
     @abc.abstractmethod
     def parse_request(self, request: serverside.Request) -> calls.Call | outcomes.Refusal:
-        """Read a caller's request."""
+        """Parse a caller's request."""
 
     @abc.abstractmethod
     def dispatch_fields(self, call: calls.Call, dispatch: calls.Dispatch) -> fields.Fields:
-        """Return the fields with which a request goes to a replica."""
+        """Return the header fields to send with a request to a replica."""
 
     @abc.abstractmethod
     def parse_response_head(self, head: clientside.Head) -> calls.ResponseHead:
-        """Read the head of a replica's answer."""
+        """Parse the head of a replica's response."""
--- a/hornbeamglade/routed/drainadmission.py
+++ b/hornbeamglade/routed/drainadmission.py
@@ -1,22 +1,23 @@
-"""What an instance that stops as planned still takes on.
+"""Admission of requests by an instance during a planned stop.
 
 Explanation
 ===========
 
-The operator ends a process some seconds after the signal to stop, and callers who hold an
-old answer of the directory come for as long as they keep it. A draft of ten seconds that is
-begun three seconds before the end is cut in the middle, and its caller cannot have it run
-again. Refused before it is sent, it runs whole at another instance.
-
-While all instances stop at once, there is none to send it to. Then, soon after the signal, it
-is taken if it may well end in time, and else asked to come back when the first of them has
-started again. Later only what is nearly sure to end in time is taken, whoever else is there:
-where two rounds of stops overlap, every instance of a site leaves for seconds, and drafts that
-each takes on two chances in five are mostly cut in the middle.
-
-Weighed against taking whatever comes until the end: at a stop of 8 s, two to four drafts were
-cut at each instance. Against refusing all from the signal on: callers whose short requests
-would have been answered in time come back for nothing.
+The operator ends the process some seconds after the stop signal, and callers keep sending
+requests for as long as they cache an old response of the directory. A stream that takes ten
+seconds but starts three seconds before the end is truncated, and its caller cannot have it
+run again. If it is refused before it is sent, it completes at another instance.
+
+While all instances are stopping, no other instance can take the request. Shortly after the
+signal it is then admitted if it has a fair chance of completing in time; otherwise the caller
+is asked to retry when the first instance has restarted. Later only requests that are almost
+certain to complete are admitted, whether or not another instance is ready: when two rounds of
+stops overlap, every instance of a site is leaving for seconds, and most streams admitted with
+a chance of two in five are truncated.
+
+Two alternatives were rejected. Admitting every request until the end truncated two to four
+streams per instance at a stop of 8 s. Refusing every request from the signal on makes callers
+retry short requests that would have completed in time.
 """
 
 import collections.abc
@@ -27,41 +28,43 @@
 
 NODE_LEAVING = "node_leaving"
 OTHER_INSTANCE_RETRY_S = 0.05
-"""Other instances take the request at once."""
+"""Retry delay while another instance is ready: it can take the request at once."""
 
 ALL_LEAVING_RETRY_S = 3.0
-"""Instances that are stopped in turn overlap by less than this before the first is back."""
+"""Retry delay while all instances are leaving. In a rolling stop the first instance is back
+before this time has passed."""
 
 MAX_TRUNCATION_PROBABILITY = 0.1
-"""A request is taken when it ends in time with nine chances in ten: a refusal costs its
-caller some hundredths of a second, a cut the whole answer."""
+"""A request is admitted if it completes in time with a chance of nine in ten: a refusal costs
+the caller some hundredths of a second, truncation the whole answer."""
 
 ALL_LEAVING_MAX_TRUNCATION_PROBABILITY = 0.6
-"""With nowhere else to go, an answer on time with two chances in five is worth more to its
-caller than one that is late by seconds for certain."""
+"""Without another ready instance, an answer that is on time with a chance of two in five is
+worth more to the caller than one that is certainly late by seconds."""
 
 EARLY_PERIOD_S = 3.0
-"""Operators bear that the end of a stop cuts a request that came this soon after its signal,
-while callers still hold older answers of the directory; a later one was taken knowingly."""
+"""Operators accept that a stop truncates requests that arrive this soon after the signal,
+while callers still use older responses of the directory. A request admitted later was
+admitted knowingly, so it must not be truncated."""
 
 LATE_MAX_TRUNCATION_PROBABILITY = 0.01
 
 LengthExceedance = collections.abc.Callable[[str, str, float], float]
-"""Returns the chance that an answer of a route and team is longer than some tokens."""
+"""Returns the probability that an answer of a route and team exceeds a number of tokens."""
 
 OtherInstanceReady = collections.abc.Callable[[], bool]
-"""Tells whether another instance takes requests."""
+"""Returns whether another instance accepts requests."""
 
 
 @dataclasses.dataclass(slots=True)
 class DrainAdmission:
-    """Decides on requests that come while the instance stops.
+    """Decides which requests are admitted while the instance is stopping.
 
-    :param pace: seconds that a token takes.
-    :param outlasts: what was learned of lengths.
-    :param others_ready: tells whether another instance takes requests.
-    :param ends_at: monotonic seconds at which the process ends, or None while it serves.
-    :param begun_at: monotonic seconds of the signal to stop.
+    :param token_times: estimated seconds per token.
+    :param length_exceedance: probability that an answer exceeds a number of tokens.
+    :param is_other_ready: returns whether another instance accepts requests.
+    :param ends_at: monotonic time at which the process ends, or None while it is serving.
+    :param stop_requested_at: monotonic time of the stop signal.
     """
 
     token_times: tokentimes.TokenTimes
@@ -71,7 +74,7 @@
     stop_requested_at: float = 0.0
 
     def begin(self, now: float, limit_s: float) -> None:
-        """Note the signal to stop.
+        """Record the stop signal.
 
         :param limit_s: seconds until the process ends.
         """
@@ -79,11 +82,11 @@
         self.ends_at = now + limit_s
 
     def is_over(self, now: float) -> bool:
-        """Tell whether the process ends: what is still under way is cut off by it."""
+        """Return whether the process is ending, which truncates all requests in flight."""
         return self.ends_at is not None and now >= self.ends_at
 
     def refusal(self, routed: callrouter.RoutedRequest, now: float) -> outcomes.Refusal | None:
-        """Return the refusal of a request that would be cut off, or None to take it."""
+        """Return the refusal of a request that would be truncated, or None to admit it."""
         if self.ends_at is None:
             return None
         has_other_instance = self.is_other_ready()
@@ -103,7 +106,7 @@
     def _truncation_probability(
         self, routed: callrouter.RoutedRequest, remaining_s: float
     ) -> float:
-        """Return the chance that a request does not end within ``remaining_s``."""
+        """Return the probability that a request does not complete within ``remaining_s``."""
         remaining_s -= routed.route.goal_s
         if remaining_s <= 0.0:
             return 1.0
--- a/hornbeamglade/routed/enginecatalog.py
+++ b/hornbeamglade/routed/enginecatalog.py
@@ -1,4 +1,4 @@
-"""What this node knows of the engines of a service, as the routing choice wants it."""
+"""Routing candidates: the engines of a service with their last known state."""
 
 import collections.abc
 import itertools
@@ -12,18 +12,18 @@
 
 UNKNOWN_HEADROOM_TOKENS = 0
 MAX_CANDIDATES = 64
-"""Engines that one request compares. A few of many are nearly as good as the best of all, and
-comparing hundreds costs more than placing a request may."""
+"""Most engines that are compared for one request. The best of a sample is nearly as good as the
+best of all, and comparing hundreds exceeds the time allowed for placing a request."""
 
 
 class EngineCatalog:
-    """Joins the platform's list with what the engines' owners say.
+    """Joins the platform's replica list with the state reported by the engines' owners.
 
-    :param available: the list, and which of it may get new work.
-    :param schedulers: this node's own schedulers.
-    :param digests: what other owners said.
+    :param available: the replica list and which replicas accept new work.
+    :param schedulers: schedulers of the engines that this node owns.
+    :param digests: load digests received from other owners.
     :param owned: returns the engines that this node owns.
-    :param settings: rates of the routing choice.
+    :param settings: rates and costs of the routing choice.
     """
 
     def __init__(
@@ -42,35 +42,35 @@
         self._settings = settings
 
     def replica(self, replica_id: str) -> models.Replica | None:
-        """Return a replica of the list, or None when it is gone."""
+        """Return a replica of the list, or None if it is no longer listed."""
         return self._replicas.by_id.get(replica_id)
 
     def is_usable(self, replica_id: str) -> bool:
-        """Tell whether an engine is listed and does not leave; it may be evacuated."""
+        """Return whether an engine is listed and not leaving; it may be evacuated."""
         return self._replicas.is_usable(replica_id)
 
     def is_evacuated(self, replica: models.Replica) -> bool:
-        """Tell whether the operator keeps new work from an engine's failure domain."""
+        """Return whether the operator has evacuated an engine's failure domain."""
         return self._available.is_evacuated(replica)
 
     def is_cold(self, replica_id: str, now: float) -> bool:
-        """Tell whether an engine has just started and bears few requests."""
+        """Return whether an engine has just started and accepts few requests."""
         return self._available.is_cold(replica_id, now)
 
     def limit(self, replica_id: str) -> ratelimits.RateLimit | None:
-        """Return the limit that an engine named last, or None."""
+        """Return the rate limit that an engine last reported, or None."""
         return self._available.limit(replica_id)
 
     def record_limit(self, replica_id: str, limit: ratelimits.RateLimit | None) -> None:
-        """Take the limit that an engine's answer names, or that it names none."""
+        """Record the rate limit in an engine's response, or that it reports none."""
         self._available.limit_reported(replica_id, limit)
 
     def record_sent(self, replica_id: str) -> None:
-        """Note that a request goes to an engine."""
+        """Record that a request is sent to an engine."""
         self._available.request_sent(replica_id)
 
     def may_send(self, replica_id: str) -> bool:
-        """Tell whether this node may send to an engine now, by the limit that it named."""
+        """Return whether the rate limit that an engine reported lets this node send to it now."""
         return self._available.limit_wait_s(replica_id) <= 0.0
 
     def candidates(
@@ -80,14 +80,17 @@
         regions: frozenset[str] | None = None,
         sample_offset: int = 0,
     ) -> tuple[candidatelib.Candidate, ...]:
-        """Return engines of a service that may get work: all, or those of this node and some.
+        """Return candidate engines of a service.
 
-        :param excluded: engines that are out of the question for this request.
-        :param regions: where they may stand, or None for everywhere.
-        :param spread: which of too many are returned; equal for all looks of one request.
+        All usable engines, or at a large service those of this node and a sample of the others.
+
+        :param excluded: engines that this request must not use.
+        :param regions: allowed regions, or None for all.
+        :param sample_offset: position at which the sample begins; the same for all lookups of
+            one request.
         """
-        # A scheduler stays after its replica has gone over to another owner. What it says is
-        # that of a full engine, and the request would go anywhere but there.
+        # A scheduler remains after its replica has changed owners. It reports a full engine, so
+        # requests would avoid the replica.
         owned = self._owned()
         state_by_replica = self._schedulers.states_of(owned)
         usable = self._available.usable(service, regions)
@@ -113,7 +116,7 @@
         excluded: collections.abc.Container[str],
         regions: frozenset[str] | None = None,
     ) -> str | None:
-        """Return the engine that an owner chose, if it may get this request, or None.
+        """Return the engine that an owner chose, or None if it may not get this request.
 
         :param replica_hash: :func:`key_hash <hornbeamglade.exchange.messages.key_hash>` of its id.
         """
@@ -128,14 +131,14 @@
         return replica.id not in excluded and self.may_send(replica.id)
 
     def owned_alternatives(self, replica_id: str, work: outcomes.Work) -> tuple[str, ...]:
-        """Return this node's engines of the service of ``replica_id``, the best first.
+        """Return this node's engines of the service of ``replica_id``, best first.
 
-        :param work: the request that is to be placed.
+        :param work: the request to place.
         """
         replica = self._replicas.by_id.get(replica_id)
         if replica is None:
             return ()
-        # Asked for each grant: the engines of other owners are not looked at.
+        # Called for each grant, so the engines of other owners are not examined.
         owned = self._owned()
         states = self._schedulers.states_of(owned)
         candidates = [
--- a/hornbeamglade/routed/engineselector.py
+++ b/hornbeamglade/routed/engineselector.py
@@ -1,4 +1,4 @@
-"""Where a streamed request may run: leave to run at an engine that takes it."""
+"""Selects an engine for a streamed request and acquires a grant there."""
 
 import dataclasses
 
@@ -21,12 +21,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Assignment:
-    """Where the run is now.
+    """The engine that a run is assigned to.
 
     :param replica: the engine.
-    :param grant: leave to run there, or None.
-    :param begun: its answer there, or None before its head.
-    :param sent_at: monotonic seconds at which it was sent there.
+    :param grant: the grant to run there, or None.
+    :param response: the response from the engine, or None until its head is received.
+    :param sent_at: monotonic time at which the request was sent to the engine.
     """
 
     replica: replicamodels.Replica
@@ -36,11 +36,11 @@
 
 
 class EngineSelector:
-    """Finds engines for one request, and says when to give up.
+    """Selects engines for one request and decides when to stop retrying.
 
     :param routed: the request.
-    :param log: its attempts.
-    :param parts: what it works with.
+    :param log: the attempts made for it.
+    :param dependencies: shared dependencies of streamed runs.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._grant_attempts = 0
 
     async def find(self) -> Assignment | outcomes.Refusal:
-        """Get leave to run at an engine; return the refusal when there is none."""
+        """Acquire a grant at an engine, or return the refusal to send to the caller."""
         log, routed = self._log, self._routed
         now = self._dependencies.clock.now()
         if len(log.tried) >= MAX_REPLICAS:
@@ -74,7 +74,7 @@
         if isinstance(grant, outcomes.Refusal):
             return self.failure_refusal() if log.may_have_run else grant
         replica = self._dependencies.catalog.replica(grant.replica)
-        # It may have waited for the grant while it was found out.
+        # The request may have been quarantined while it waited for the grant.
         refusal = self.failure_refusal() if replica is None else self._quarantine_refusal()
         if refusal is not None:
             self._dependencies.acquirer.release(grant)
@@ -82,12 +82,13 @@
         if not grant.is_granted and self._dependencies.catalog.is_cold(
             replica.id, self._dependencies.clock.now()
         ):
-            # Nobody counts what goes there, and each instance would send its own crowd.
+            # Without a grant no owner counts requests to the cold engine, and the instances
+            # together would overload it.
             return self.failure_refusal()
         return Assignment(replica, grant)
 
     async def _acquire_grant(self) -> asyncgrantacquirer.Grant | outcomes.Refusal:
-        """Get a grant at an engine that may be sent to, by the limit that it named."""
+        """Acquire a grant at an engine whose rate limit allows a request now."""
         routed, dependencies = self._routed, self._dependencies
         deadline = enginework.queue_deadline(routed, dependencies.clock.now())
         while True:
@@ -96,7 +97,7 @@
             if isinstance(grant, asyncgrantacquirer.Grant):
                 if dependencies.catalog.may_send(grant.replica):
                     return grant
-                # Another request has taken the turn there meanwhile.
+                # Another request has used the send slot in the meantime.
                 dependencies.acquirer.release(grant)
             elif not await dependencies.rate_limit_queue.wait(
                 routed.service.name,
@@ -117,10 +118,10 @@
     def placement_request(
         self, deadline: float, excluded: frozenset[str]
     ) -> asyncgrantacquirer.PlacementRequest:
-        """Return what is asked for at engines.
+        """Return the placement request for this request.
 
-        :param deadline: monotonic seconds at which the wait for room ends.
-        :param excluded: engines that will not do.
+        :param deadline: monotonic time at which the wait for a grant ends.
+        :param excluded: engines that must not be used.
         """
         service = self._routed.service.name
         regions = self._routed.allowed_regions
@@ -140,14 +141,14 @@
         )
 
     def may_retry(self) -> bool:
-        """Tell whether the request may be sent once more, after what became of it."""
+        """Return whether the request may be sent again after its attempts so far."""
         if not self._log.may_have_run:
             return True
         route = self._routed.route
         return route.is_repeatable and self._log.sent < route.max_attempts
 
     def failure_refusal(self) -> outcomes.Refusal:
-        """Return the refusal that says whether the request may have run."""
+        """Return the refusal after failed attempts; it states whether the request may have run."""
         service = self._routed.service.name
         if self._log.may_have_run:
             detail = f"no replica of {service} gave a whole answer"
--- a/hornbeamglade/routed/eventrelay.py
+++ b/hornbeamglade/routed/eventrelay.py
@@ -1,4 +1,4 @@
-"""Events of one run on their way to its caller, each once and in order."""
+"""Relays the events of one run to its caller, each once and in order."""
 
 import dataclasses
 
@@ -10,10 +10,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseStart:
-    """The head with which a caller's answer begins.
+    """Head of the response to the caller.
 
-    :param status: its status.
-    :param fields: of the first replica, for the whole answer.
+    :param status: HTTP status.
+    :param fields: header fields of the first replica, used for the whole response.
     """
 
     status: int
@@ -21,23 +21,22 @@
 
 
 class EventRelay:
-    """Passes events on and knows which one the caller has last.
+    """Relays events and tracks the last one sent to the caller.
 
     Explanation
     ===========
 
-    A run that goes on at another replica begins there after the last event that was
-    passed on. An event that comes again is dropped, and one that comes too early means
-    that something between them is lost: the stream is then broken off, as joined pieces
-    would look whole.
+    A run that continues at another replica resumes after the last relayed event. Repeated
+    events are dropped. A gap in the event ids means that an event was lost; the stream is
+    then aborted, since the joined pieces would look like a complete response.
 
-    The caller's answer begins with the first event: until then a refusal can still have
-    its proper status.
+    The response head is sent with the first event. Until then a refusal can still be sent
+    with its own status.
 
-    :param exchange: the caller's.
+    :param exchange: the exchange with the caller.
     :param clock: monotonic time.
-    :param last_id: the event that the caller has already, when it resumes a stream.
-    :param times: records when events pass, or None.
+    :param last_id: id of the last event that the caller already has, if it resumes a stream.
+    :param stream_times: records the times of events, or None.
     """
 
     def __init__(
@@ -59,11 +58,11 @@
         self.longest_gap_s = 0.0
 
     def start_connection(self) -> None:
-        """Forget the torn event at the end of a connection that was lost."""
+        """Discard the incomplete event left by a lost connection."""
         self._splitter = eventsplit.EventSplitter()
 
     async def relay(self, data: bytes, start: ResponseStart) -> bool:
-        """Pass on what is whole; return False when an event is missing."""
+        """Relay the complete events of ``data``; return False if an event is missing."""
         for event in self._splitter.feed(data):
             if self._is_repeated(event):
                 continue
@@ -75,7 +74,7 @@
         return True
 
     async def finish(self, start: ResponseStart) -> bool:
-        """End the answer as complete; return False when an event is torn."""
+        """End the response as complete; return False if the last event is incomplete."""
         if self._splitter.remainder.strip():
             return False
         await self._start_response(start)
--- a/hornbeamglade/routed/eventsplit.py
+++ b/hornbeamglade/routed/eventsplit.py
@@ -1,4 +1,4 @@
-"""Whole events of a stream, out of bytes that come in any pieces."""
+"""Splits a byte stream into complete server-sent events."""
 
 import dataclasses
 import re
@@ -9,10 +9,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One event.
+    """One server-sent event.
 
-    :param data: its bytes, the empty line at its end included.
-    :param id: its id, or None when it has none.
+    :param data: its bytes, including the empty line that ends it.
+    :param id: its id, or None if it has none.
     """
 
     data: bytes
@@ -20,7 +20,7 @@
 
 
 class EventSplitter:
-    r"""Cuts a stream into events; an event that is not whole is never given out.
+    r"""Incremental splitter; an incomplete event is never returned.
 
     Examples
     ========
@@ -37,11 +37,11 @@
 
     @property
     def remainder(self) -> bytes:
-        """What has come of an event that is not whole."""
+        """Bytes received of an incomplete event."""
         return self._buffer
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes; return the events that are whole now."""
+        """Add received bytes; return the events completed by them."""
         self._buffer += data
         events = []
         start = 0
--- a/hornbeamglade/routed/migration.py
+++ b/hornbeamglade/routed/migration.py
@@ -1,25 +1,25 @@
-"""Moving one run to another engine while its stream goes on.
+"""Live migration of a run to another engine while its stream continues.
 
 Explanation
 ===========
 
-The run's memory is copied first while the run goes on, which takes some tenths of a
-second. Then the run is stopped, the little that is new is copied, and the run goes on at
-the other engine: the stream pauses for some 40 ms. Weighed against stopping first: the
-pause is then as long as the copy, and longer than a steady stream may pause.
-
-A run is stopped only when its copy is there, and only at its turn
-(:mod:`hornbeamglade.grants.migrationslots`): what is copied last would else wait behind the
-copies of other runs with its stream stopped. It looks for room before its turn, so that no
-turn is spent on looking. The engine that it goes to takes in one copy at a time, too: where
-several engines stop at once, runs of all of them meet there, and most streams that share a
-destination's link with another stand still for longer than a steady stream may. Whoever waits
-for the second turn holds the first one, never the other way round, so no two wait for each
-other.
-
-A run may end, or lose its caller, while it is copied. An engine goes on with a copy whose
-call is given up, and keeps it for some ten seconds under a name that nobody was told. So a
-copy that was begun is waited for, and freed.
+The KV cache is first copied while the run continues, which takes some tenths of a second.
+Then the run is stopped, the remaining part is copied, and the run continues at the other
+engine; the stream pauses for some 40 ms. If the run were stopped before the first copy, the
+pause would be as long as the whole copy, which exceeds the pause allowed in a steady stream.
+
+A run is stopped only after the first copy is complete, and only while it holds a migration
+slot (:mod:`hornbeamglade.grants.migrationslots`). Otherwise the final copy would wait
+behind copies of other runs while its own stream is stopped. The target is selected before the
+slot is acquired, so that no slot time is spent on the search. The target also receives one
+copy at a time: when several engines stop at once, their runs can choose the same target, and
+most streams that share a target's link with another copy pause for longer than a steady
+stream may. The arrival slot is only acquired while the departure slot is held, never in the
+opposite order, so no deadlock is possible.
+
+A run may end, or its caller may disconnect, while it is copied. An engine continues a copy
+whose request was cancelled and keeps it for some ten seconds under a name that no one
+received. A copy that was started is therefore awaited and then freed.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 from hornbeamglade.routed import calls, enginecatalog
 
 COPY_TIMEOUT_S = 2.5
-"""Longer than any notice of a stop: an engine that is gone resets the call."""
+"""Longer than any notice period before a stop; an engine that is gone resets the connection."""
 
 FINAL_COPY_TIMEOUT_S = 0.8
 TARGET_RETRY_INTERVAL_S = 0.1
@@ -41,11 +41,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Destination:
-    """Where a run can go on.
+    """The engine at which a run can continue.
 
     :param replica: the engine.
-    :param copy: the run's memory.
-    :param grant: leave to run there, or None at the engine that it was stopped at.
+    :param copy: the copy of the run's KV cache.
+    :param grant: the grant to run there, or None for the engine that the run was stopped at.
     """
 
     replica: replicamodels.Replica
@@ -54,16 +54,16 @@
 
 
 _Target = tuple[asyncgrantacquirer.Grant, replicamodels.Replica]
-"""An engine with room, and leave to run there."""
+"""An engine with free capacity, and the grant to run there."""
 
 
 class Migration:
-    """One run's move.
+    """The migration of one run.
 
-    :param source: the engine that it leaves.
-    :param request_id: the run.
-    :param placement: asks for room elsewhere.
-    :param parts: what it works with.
+    :param source: the engine that the run leaves.
+    :param request_id: the request id of the run.
+    :param placement: placement request for the target.
+    :param dependencies: shared dependencies of migrations.
 
     The attributes ``search_s``, ``slot_wait_s`` and ``copy_s`` are the seconds spent on finding
     a target, on waiting for the migration slot and on copying; None until that step begins.
@@ -92,9 +92,9 @@
         self._copy_started_at: float | None = None
 
     async def run(self, produced: int) -> None:
-        """Move the run; what came of it is in the attributes.
+        """Migrate the run; the outcome is stored in the attributes.
 
-        :param produced: tokens of the answer so far.
+        :param produced: tokens generated so far.
         """
         tokens = self._placement.work.prompt_tokens + produced
         placement = dataclasses.replace(self._placement, produced=max(1, produced))
@@ -116,18 +116,18 @@
 
     @property
     def copy_s(self) -> float | None:
-        """Seconds since its memory began to be copied, or None before."""
+        """Seconds since the first copy was started, or None before."""
         since = self._copy_started_at
         return None if since is None else self._dependencies.clock.now() - since
 
     def run_ended(self, task: asyncio.Task[None]) -> None:
-        """Give up the move, as the run has ended or its caller has left.
+        """Cancel the migration, as the run has ended or its caller has disconnected.
 
-        Guards engines' memory: a fifth of an engine's was held for ten seconds by two copies
-        of runs that had ended while they were copied. The copy under way is waited for in
-        the background and freed.
+        A copy in progress is awaited in the background and freed. Without this, two copies of
+        runs that had ended while they were copied held a fifth of an engine's memory for ten
+        seconds.
 
-        :param task: carries out :meth:`run`.
+        :param task: the task that executes :meth:`run`.
         """
         self._has_ended = True
         if self._is_copying:
@@ -137,7 +137,7 @@
         self.abandon()
 
     def abandon(self) -> None:
-        """Give back what a move that is not used has taken."""
+        """Release the grant and the copy of a destination that is not used."""
         destination, self.destination = self.destination, None
         if destination is None:
             return
@@ -146,7 +146,7 @@
         self._free_copy(destination.copy.name, destination.replica)
 
     def _free_copy(self, name: str, at: replicamodels.Replica) -> None:
-        """Free a copy at both engines, or at the other one where the source is gone."""
+        """Free a copy at the source, or at the target if the source is gone."""
         self._dependencies.free_copy(name, (self._source.address, at.address))
 
     async def _try_targets(
@@ -166,7 +166,10 @@
     async def _migrate_in_arrival_slot(
         self, grant: asyncgrantacquirer.Grant, replica: replicamodels.Replica
     ) -> bool:
-        """Move the run to one engine at its turn there; return whether the move has ended."""
+        """Migrate to one engine while holding its arrival slot.
+
+        :returns: whether the migration has ended.
+        """
         if not self._dependencies.arrivals_in_turn:
             return await self._migrate_to(grant, replica)
         migration_slots = self._dependencies.migration_slots
@@ -184,9 +187,9 @@
     async def _migrate_to(
         self, grant: asyncgrantacquirer.Grant, replica: replicamodels.Replica
     ) -> bool:
-        """Copy the run to one engine and stop it; return whether the move has ended."""
+        """Copy the run to one engine and stop it; return whether the migration has ended."""
         if self._dependencies.catalog.is_evacuated(replica):
-            # It may have waited for its turns for seconds since the engine let it in.
+            # The run may have waited for its slots for seconds since the grant was given.
             self._release()
             self.outcome = "evacuated"
             return self._has_ended
@@ -207,7 +210,7 @@
         return await self._stop_and_copy_rest(replica)
 
     async def _stop_and_copy_rest(self, replica: replicamodels.Replica) -> bool:
-        """Stop the run and copy what is new; return whether the move is at its end."""
+        """Stop the run and copy the rest; return whether the migration has ended."""
         result = await self._copy(replica, is_last=True)
         if self._has_ended:
             self.abandon()
@@ -219,12 +222,13 @@
             return True
         self.outcome = f"stop_{result.code}"
         if result.name is None:
-            # The run was not stopped: it goes on, and another engine may be tried.
+            # The run was not stopped; it continues, and another target may be tried.
             if result.code in ("busy", "no_room"):
                 self.abandon()
                 return False
             return True
-        # The run was stopped, and its memory is where it was: it can only go on there.
+        # The run was stopped, but its KV cache is still at the source, the only engine at
+        # which it can continue.
         self.abandon()
         self.has_stopped_run = True
         copy = calls.KvCopy(self._source.address, result.name)
@@ -234,7 +238,7 @@
     async def _wait_for_target(
         self, placement: asyncgrantacquirer.PlacementRequest
     ) -> "_Target | None":
-        """Look for room until there is some, or the engine must be gone."""
+        """Search for a target until one is found or the deadline has passed."""
         while self._dependencies.clock.now() < placement.deadline:
             target = await self._find_target(placement)
             if target is not None:
@@ -258,7 +262,7 @@
         return grant, replica
 
     def _release(self) -> None:
-        """Give back leave that did not come to be used."""
+        """Release an unused grant."""
         grant, self._grant = self._grant, None
         if grant is not None:
             self._dependencies.acquirer.release(grant)
@@ -282,14 +286,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MigrationDependencies:
-    """What moves work with.
+    """Dependencies shared by all migrations of a node.
 
-    :param engines: calls to engines.
-    :param acquirer: asks for room.
-    :param turns: turns to leave a replica and to come to one.
-    :param catalog: the engines that there are.
+    :param engines: control interface of the engines.
+    :param acquirer: acquires grants at engines.
+    :param migration_slots: departure and arrival slots of replicas.
+    :param catalog: the known engines.
     :param clock: monotonic time.
-    :param arrivals_in_turn: whether an engine takes in one copy at a time.
+    :param arrivals_in_turn: whether an engine receives one copy at a time.
+    :param tasks: background tasks that are not awaited by anyone else.
     """
 
     engines: control.EngineControl
@@ -301,11 +306,11 @@
     tasks: set[asyncio.Task[None]] = dataclasses.field(default_factory=set)
 
     def free_copy(self, name: str, addresses: tuple[str, ...]) -> None:
-        """Free a copy in the background, at the first of some engines that answers."""
+        """Free a copy in the background at the first of the engines that responds."""
         self.track(asyncio.ensure_future(self._free_copy(name, addresses)))
 
     def track(self, task: asyncio.Task[None]) -> None:
-        """Let a task go on for which nobody waits any more."""
+        """Keep a reference to a background task until it is done."""
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
--- a/hornbeamglade/routed/ratelimitqueue.py
+++ b/hornbeamglade/routed/ratelimitqueue.py
@@ -1,11 +1,12 @@
-"""Requests that wait for a turn where all replicas of a service have named limits.
+"""Queue of requests for services whose replicas have all reported rate limits.
 
 Explanation
 ===========
 
-Load: more requests than the replicas in need take, so most are refused. A request waits only
-while it can still be on time and this instance has turns enough for those that wait before it;
-any other is refused at once. The more urgent go first, then those that came first.
+Replicas report a rate limit when they are overloaded; more requests arrive than they accept,
+so most are refused. A request is queued only if it can still meet its goal and this instance
+has enough send slots before then for all requests ahead of it; any other request is refused
+at once. The queue is ordered by urgency, then by arrival.
 """
 
 import asyncio
@@ -17,13 +18,13 @@
 from hornbeamglade.replicas import availability
 
 POLL_INTERVAL_S = 0.02
-"""A turn that another request did not use after all is seen this soon."""
+"""Interval at which a send slot that another request left unused is noticed."""
 
 
 class RateLimitQueue:
-    """The requests of one instance that wait for turns; to be used on an event loop.
+    """Requests of one instance that wait for send slots; to be used on an event loop.
 
-    :param available: the replicas, and the turns at them.
+    :param available: the replicas and their rate limits.
     :param clock: monotonic time.
     """
 
@@ -41,12 +42,12 @@
         urgency: int,
         deadline: float,
     ) -> bool:
-        """Wait for a turn at any replica; return whether there is one.
+        """Wait for a send slot at any replica; return whether there is one.
 
-        :param regions: where replicas may stand, or None for everywhere.
-        :param tried: replicas that are out of the question.
-        :param urgency: the request's rank, 0 first.
-        :param until: monotonic seconds at which it must start to be on time.
+        :param regions: allowed regions of replicas, or None for all.
+        :param excluded: replicas that must not be used.
+        :param urgency: rank of the request, 0 is the most urgent.
+        :param deadline: latest monotonic time at which the request can start and meet its goal.
         """
         limited = self._rate_limited_replicas(service, regions, excluded)
         queue = self._queue_by_service.setdefault(service, [])
@@ -81,9 +82,10 @@
         regions: frozenset[str] | None,
         excluded: collections.abc.Container[str],
     ) -> list[str]:
-        """Return the replicas that only their limits keep from getting a request.
+        """Return the replicas that can take the request as soon as their rate limits allow.
 
-        None where another replica may get it: it is not for want of a turn that it did not.
+        Empty if any usable replica has no limit: then the request did not fail for lack of a
+        send slot, and waiting for one would not help.
         """
         usable = [
             each.id for each in self._available.usable(service, regions) if each.id not in excluded
--- a/hornbeamglade/routed/replicaload.py
+++ b/hornbeamglade/routed/replicaload.py
@@ -1,4 +1,4 @@
-"""What this node knows of how busy the replicas of plain services are."""
+"""Load estimates for the replicas of plain services."""
 
 import collections.abc
 import dataclasses
@@ -10,19 +10,19 @@
 from hornbeamglade.routed import calls
 
 LOAD_REPORT_TTL_S = 1.0
-"""A replica's word of its load counts for so long: by then most of the requests that it
-spoke of have ended, as a plain request runs for a tenth of a second."""
+"""How long a load report is used. By then most of the reported requests have ended, as a
+plain request runs for a tenth of a second."""
 
 FAILURE_HALF_LIFE_S = 3.0
 FAILURE_WEIGHT = 4.0
-"""A replica that fails every request counts as busy as one with four slots' worth more of
-requests each slot: it is chosen only when the others are that much fuller, and for the
-probe that finds it well again."""
+"""A replica that fails every request counts as if its utilization were higher by this much,
+that is, by four more requests per slot. It is chosen only when the others are that much
+fuller, or as a probe that detects its recovery."""
 
 SMOOTHING = 0.2
 DISTRUST_THRESHOLD = 0.5
 TRUST_THRESHOLD = 0.2
-"""A replica is told as doubted, and as trusted again, at these shares of failures."""
+"""Failure rates at which a replica is logged as doubted, and as trusted again."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,23 +36,23 @@
     is_distrusted: bool = False
 
     def other_requests(self, now: float) -> float:
-        """Return what callers of other nodes are thought to have there."""
+        """Return the estimated number of requests that other nodes have at the replica."""
         if self.reported is None or now - self.reported_at > LOAD_REPORT_TTL_S:
             return 0.0
         other_requests = self.reported.running + self.reported.waiting - self.own_when_reported
         return max(0.0, other_requests) * (1.0 - (now - self.reported_at) / LOAD_REPORT_TTL_S)
 
     def decayed_failure_rate(self, now: float) -> float:
-        """Return the share of late requests that failed, fading with time."""
+        """Return the smoothed failure rate of recent requests, decayed to ``now``."""
         return self.failure_rate * 0.5 ** ((now - self.failure_rate_at) / FAILURE_HALF_LIFE_S)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadEstimate:
-    """What a choice goes by, for the log.
+    """Load estimate of a replica at the time of a choice, for the log.
 
-    :param business: share of its slots that are thought to be used, failures added.
-    :param age_s: seconds since the replica's own word, or None when it gave none.
+    :param utilization: estimated share of used slots plus the penalty for failures.
+    :param age_s: seconds since the replica's last load report, or None without a report.
     """
 
     utilization: float
@@ -60,10 +60,10 @@
 
 
 class ReplicaLoads:
-    """Chooses replicas of plain services by what is outstanding at them.
+    """Chooses replicas of plain services by least outstanding requests.
 
     :param clock: monotonic time.
-    :param rng: breaks ties, so that nodes don't all choose the same replica.
+    :param rng: breaks ties, so that nodes do not all choose the same replica.
     """
 
     def __init__(self, clock: clocks.Clock, rng: random.Random) -> None:
@@ -72,14 +72,14 @@
         self._record_by_id: dict[str, _Record] = {}
 
     def choose(self, replicas: collections.abc.Sequence[models.Replica]) -> models.Replica | None:
-        """Return the least busy of some replicas, or None when there is none."""
+        """Return the least loaded replica, or None if there are no replicas."""
         if not replicas:
             return None
         now = self._clock.now()
         return min(replicas, key=lambda each: (self._utilization(each, now), self._rng.random()))
 
     def estimate(self, replica: models.Replica) -> LoadEstimate:
-        """Return what a choice of the replica goes by now."""
+        """Return the current load estimate of a replica."""
         now = self._clock.now()
         record = self._record_by_id.get(replica.id)
         has_report = record is not None and record.reported is not None
@@ -88,20 +88,20 @@
         )
 
     def started(self, replica_id: str) -> None:
-        """Count a request to a replica."""
+        """Count a request that is sent to a replica."""
         self._record(replica_id).outstanding += 1
 
     def ended(self, replica_id: str, failed: bool, load: calls.Load | None) -> None:
-        """Count a request out.
+        """Record the end of a request.
 
-        :param failed: whether the replica failed it.
-        :param load: what the replica said of itself, or None.
+        :param failed: whether the replica failed the request.
+        :param load: load reported by the replica, or None.
         """
         now = self._clock.now()
         record = self._record(replica_id)
         record.outstanding -= 1
         if load is not None:
-            # The request that carried this word is still counted in it.
+            # The reported load still includes the request that carried the report.
             record.reported = load
             record.reported_at = now
             record.own_when_reported = record.outstanding + 1
@@ -111,7 +111,7 @@
         _log_trust_change(replica_id, record)
 
     def forget_absent(self, present: collections.abc.Container[str]) -> None:
-        """Drop what is known of replicas that are gone."""
+        """Drop the records of idle replicas that are not in ``present``."""
         for replica_id in list(self._record_by_id):
             if replica_id not in present and not self._record_by_id[replica_id].outstanding:
                 del self._record_by_id[replica_id]
@@ -128,7 +128,7 @@
 
 
 def _log_trust_change(replica_id: str, record: _Record) -> None:
-    """Write a line when a replica comes to be avoided for its failures, or is no more."""
+    """Log when a replica starts or stops being avoided because of failures."""
     is_distrusted = record.failure_rate > (
         TRUST_THRESHOLD if record.is_distrusted else DISTRUST_THRESHOLD
     )
--- a/hornbeamglade/routed/responses.py
+++ b/hornbeamglade/routed/responses.py
@@ -1,4 +1,4 @@
-"""Whole answers to callers: a replica's, or the node's own refusal as problem details."""
+"""Complete responses to callers: a replica's response, or a refusal as problem details."""
 
 import dataclasses
 
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """A replica's whole answer, to be passed on.
+    """A replica's complete response, forwarded to the caller.
 
-    :param status: its status.
-    :param fields: what is passed on to the caller.
-    :param body: its whole body.
+    :param status: HTTP status.
+    :param fields: header fields to forward.
+    :param body: the whole body.
     """
 
     status: int
@@ -26,7 +26,7 @@
 async def refuse(
     exchange: serverside.Exchange, refusal: outcomes.Refusal, request_id: str
 ) -> None:
-    """Answer a request with a refusal."""
+    """Respond to a request with a refusal."""
     response = problems.render(refusal, request_id)
     await exchange.answer(response.status, _fields(response, refusal), response.body)
 
@@ -34,7 +34,7 @@
 def _fields(response: problems.Response, refusal: outcomes.Refusal) -> fields.Fields:
     kept = [(name, value) for name, value in response.headers if name != RETRY_AFTER]
     if refusal.retry_after_s is not None:
-        # Callers of the routed path take fractions of a second; rounded up to a whole one
-        # the time to come back would often lie beyond what they wait for at all.
+        # Callers of the routed path accept fractions of a second. Rounded up to a whole
+        # second, the delay would often exceed the time that they wait in total.
         kept.append((RETRY_AFTER, f"{refusal.retry_after_s:.2f}"))
     return tuple((name.encode(), value.encode()) for name, value in kept)
--- a/hornbeamglade/routed/retrybudget.py
+++ b/hornbeamglade/routed/retrybudget.py
@@ -1,13 +1,13 @@
-"""How many attempts beyond the first a service may get from this node.
+"""Retry budgets: how many retries per service this node may send.
 
 Explanation
 ===========
 
-The operator bounds the attempts beyond the first of each request, in any window, by a
-share of the window's requests and a slack, over all nodes together. Each node keeps to
-the share of its own requests and to an equal part of the slack, so that the sum holds
-without a word between them. Weighed against sharing the slack by demand: that takes a
-message before a retry, when the cause of the retry is often the network itself.
+The operator bounds the retries in any sliding window, over all nodes together, by a ratio
+of the window's requests plus a slack. Each node applies the ratio to its own requests and
+takes an equal part of the slack, so the total bound holds without coordination. The
+alternative, sharing the slack by demand, needs a message before each retry, although the
+cause of the retry is often the network itself.
 """
 
 import collections
@@ -17,17 +17,17 @@
 BUCKETS = 10
 
 AttemptObserver = collections.abc.Callable[[str, str], None]
-"""Called with a service and what became of one more attempt: ``made``, ``denied`` or, for a
-run that goes on elsewhere, ``resumed``."""
+"""Called with a service and the outcome of a retry: ``made``, ``denied`` or, for a run that
+continues at another engine, ``resumed``."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BudgetSettings:
-    """The operator's bound.
+    """The bound on retries that the operator sets.
 
-    :param ratio: attempts beyond the first, for each request.
-    :param slack: attempts beyond that in a window, over all nodes.
-    :param window_s: the window's length.
+    :param ratio: retries allowed per request.
+    :param slack: retries allowed beyond the ratio in a window, over all nodes.
+    :param window_s: length of the sliding window in seconds.
     """
 
     ratio: float
@@ -36,7 +36,7 @@
 
 
 class _Window:
-    """Counts over a sliding window, kept in buckets."""
+    """A count over a sliding window, kept in buckets."""
 
     def __init__(self, window_s: float) -> None:
         self._bucket_s = window_s / BUCKETS
@@ -49,7 +49,7 @@
         self._counts.append((bucket, amount))
 
     def total(self, now: float, buckets: int) -> float:
-        """Return the sum over the newest ``buckets``, the one under way included."""
+        """Return the sum over the newest ``buckets``, including the current one."""
         first = int(now / self._bucket_s) - buckets + 1
         while self._counts and self._counts[0][0] < first - 2 * BUCKETS:
             self._counts.popleft()
@@ -57,10 +57,10 @@
 
 
 class RetryBudgets:
-    """The budget of each service, at one node.
+    """The retry budget of each service at one node.
 
     :param settings: the operator's bound.
-    :param told: hears of each attempt beyond a first one.
+    :param on_attempt: called for each retry, made or denied.
 
     Examples
     ========
@@ -87,31 +87,31 @@
         self._retries_by_service: dict[str, _Window] = {}
 
     def configure(self, settings: BudgetSettings) -> None:
-        """Take another bound; what was counted stays."""
+        """Apply new settings; the counts are kept unless the window length changes."""
         if settings.window_s != self._settings.window_s:
             self._requests_by_service.clear()
             self._retries_by_service.clear()
         self._settings = settings
 
     def set_node_count(self, node_count: int) -> None:
-        """Note how many nodes there may be."""
+        """Set the number of nodes that share the slack."""
         self._node_count = max(1, node_count)
 
     def record_request(self, service: str, now: float) -> None:
-        """Count a request's first attempt."""
+        """Count the first attempt of a request."""
         self._window(self._requests_by_service, service).add(1, now)
 
     def remaining(self, service: str, now: float) -> float:
-        """Return how many more attempts the budget allows; below 0 when it is overdrawn."""
+        """Return the number of retries left; negative when the budget is overdrawn."""
         settings = self._settings
         retries = self._window(self._retries_by_service, service)
         requests = self._window(self._requests_by_service, service).total(now, BUCKETS)
         allowed = settings.ratio * requests + settings.slack / self._node_count
-        # One bucket more: the operator's window may begin anywhere in the oldest one.
+        # One more bucket, since the operator's window may begin anywhere in the oldest one.
         return allowed - retries.total(now, BUCKETS + 1)
 
     def spend(self, service: str, now: float) -> bool:
-        """Take one more attempt from the budget; return whether there was one."""
+        """Take one retry from the budget; return whether one was left."""
         if self.remaining(service, now) < 1.0:
             self._on_attempt(service, "denied")
             return False
@@ -120,10 +120,10 @@
         return True
 
     def record_resumed(self, service: str, now: float) -> None:
-        """Count an attempt that is made whether or not the budget allows it.
+        """Count an attempt that is made even if the budget is exhausted.
 
-        A run that goes on at another engine is lost otherwise; such attempts are few, and
-        what they take is missing for others.
+        Used when a run continues at another engine: without the attempt the run would be
+        lost. Such attempts are few, and they reduce the budget left for retries.
         """
         self._on_attempt(service, "resumed")
         self._window(self._retries_by_service, service).add(1, now)
--- a/hornbeamglade/routed/rundependencies.py
+++ b/hornbeamglade/routed/rundependencies.py
@@ -1,4 +1,4 @@
-"""What streamed answers work with."""
+"""Dependencies shared by all streamed runs of a node."""
 
 import collections.abc
 import dataclasses
@@ -20,20 +20,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunDependencies:
-    """What streamed answers work with.
+    """Dependencies shared by all streamed runs of a node.
 
     :param sender: sends attempts.
-    :param acquirer: asks for room at engines.
-    :param catalog: the engines that there are.
-    :param moves: what moves work with.
-    :param registry: which run is where.
-    :param budgets: bounds what is sent again.
-    :param crashes: finds out which lost runs were ended by a crash.
+    :param acquirer: acquires grants at engines.
+    :param catalog: the known engines.
+    :param migration_dependencies: dependencies of migrations.
+    :param registry: this node's runs by replica.
+    :param budgets: retry budgets by service.
+    :param crash_detector: decides which lost runs were ended by a crash.
     :param quarantine: refuses requests that crash their replicas.
-    :param learn: told the length of each answer: route, team, tokens, whether it was cut.
-    :param pace: learns how long a token takes.
-    :param metrics: the node's instruments.
-    :param turns: requests that wait for a turn at engines with limits.
+    :param record_length: called with the length of each answer: route, team, tokens and
+        whether the answer was truncated.
+    :param token_times: estimates the time per token.
+    :param metrics: the node's metrics.
+    :param rate_limit_queue: requests that wait for engines with rate limits.
     :param clock: monotonic time.
     """
 
--- a/hornbeamglade/routed/runregistry.py
+++ b/hornbeamglade/routed/runregistry.py
@@ -1,4 +1,4 @@
-"""Which streams of this node run at which replica."""
+"""Registry of this node's streamed runs by replica."""
 
 import abc
 import collections
@@ -6,29 +6,29 @@
 
 
 class Run(abc.ABC):
-    """A stream's run at a replica."""
+    """A streamed run at a replica."""
 
     @abc.abstractmethod
     def on_replica_leaving(self) -> None:
-        """Note that its replica is about to stop."""
+        """Handle the notice that the replica of the run will stop soon."""
 
     @abc.abstractmethod
     def on_replica_gone(self) -> None:
-        """Note that its replica is no more."""
+        """Handle the loss of the replica of the run."""
 
 
 class RunRegistry:
-    """The runs of this node by replica."""
+    """The node's runs by replica."""
 
     def __init__(self) -> None:
         self._runs_by_replica: dict[str, set[Run]] = collections.defaultdict(set)
 
     def add(self, replica_id: str, run: Run) -> None:
-        """Note that a run is at a replica."""
+        """Register a run at a replica."""
         self._runs_by_replica[replica_id].add(run)
 
     def remove(self, replica_id: str, run: Run) -> None:
-        """Note that a run is there no more; idempotent."""
+        """Unregister a run from a replica; idempotent."""
         runs = self._runs_by_replica.get(replica_id)
         if runs is None:
             return
@@ -37,15 +37,15 @@
             del self._runs_by_replica[replica_id]
 
     def count(self, replica_id: str) -> int:
-        """Return how many of this node's runs are at a replica."""
+        """Return the number of this node's runs at a replica."""
         return len(self._runs_by_replica.get(replica_id, ()))
 
     def on_replica_leaving(self, replica_id: str) -> None:
-        """Tell a replica's runs that it is about to stop."""
+        """Notify the runs at a replica that it will stop soon."""
         for run in tuple(self._runs_by_replica.get(replica_id, ())):
             run.on_replica_leaving()
 
     def on_replica_gone(self, replica_id: str) -> None:
-        """Tell a replica's runs that it is no more."""
+        """Notify the runs at a replica that it is gone."""
         for run in tuple(self._runs_by_replica.get(replica_id, ())):
             run.on_replica_gone()
--- a/hornbeamglade/routed/sending.py
+++ b/hornbeamglade/routed/sending.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent to one replica, until the head of its own answer is here."""
+"""Sends a request to one replica and waits for the head of its response."""
 
 import dataclasses
 
@@ -9,15 +9,15 @@
 
 MAX_BODY_BYTES = 16_777_216
 MAX_SKIPPED_RESPONSES = 2
-"""Answers to other requests that are passed over on one connection before it is given up."""
+"""Responses to other requests that are skipped on a connection before it is closed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """An attempt that gave no answer of the replica.
+    """An attempt that got no response from the replica.
 
-    :param code: a stable identifier for logs.
-    :param run: what is known of whether the replica ran the request.
+    :param code: stable identifier of the failure, for logs.
+    :param run: whether the replica ran the request, as far as known.
     """
 
     code: str
@@ -26,11 +26,11 @@
 
 @dataclasses.dataclass(slots=True)
 class StartedResponse:
-    """An answer whose head is here.
+    """A response whose head has been received.
 
-    :param connection: carries the rest.
-    :param raw: the head as it came.
-    :param head: the head, decoded.
+    :param connection: delivers the body.
+    :param raw_head: the head as received.
+    :param head: the decoded head.
     """
 
     connection: clientside.ServerConnection
@@ -41,8 +41,8 @@
 class Sender:
     """Sends requests to replicas.
 
-    :param pool: connections.
-    :param words: how requests and answers are written.
+    :param pool: connections to replicas.
+    :param request_dialect: writes request headers and parses response heads.
     :param clock: monotonic time.
     """
 
@@ -59,38 +59,38 @@
         replica: models.Replica,
         dispatch: calls.Dispatch,
     ) -> StartedResponse | FailedAttempt:
-        """Send a request and wait for the head of its answer; cancellation closes."""
+        """Send a request and wait for the response head; cancellation closes the connection."""
         connection = await self._pool.acquire(replica.address)
         if isinstance(connection, clientside.Lost):
             return FailedAttempt(connection.code, outcomes.RunStatus.NOT_RUN)
         try:
-            begun = await self._exchange(connection, routed.call, dispatch)
+            response = await self._exchange(connection, routed.call, dispatch)
         except BaseException:
             self._pool.release(connection, None)
             raise
-        if isinstance(begun, FailedAttempt):
+        if isinstance(response, FailedAttempt):
             self._pool.release(connection, None)
-        return begun
+        return response
 
-    async def read_body(self, begun: StartedResponse) -> bytes | FailedAttempt:
-        """Read an answer to its end, and give its connection back."""
+    async def read_body(self, response: StartedResponse) -> bytes | FailedAttempt:
+        """Read the whole body and return the connection to the pool."""
         body = None
         try:
-            body = await begun.connection.body(MAX_BODY_BYTES)
+            body = await response.connection.body(MAX_BODY_BYTES)
         finally:
-            is_whole = isinstance(body, bytes)
-            self._pool.release(begun.connection, begun.raw_head if is_whole else None)
+            is_complete = isinstance(body, bytes)
+            self._pool.release(response.connection, response.raw_head if is_complete else None)
         if isinstance(body, clientside.Lost):
             return FailedAttempt(body.code, outcomes.RunStatus.UNKNOWN)
         return body
 
-    def abandon(self, begun: StartedResponse) -> None:
-        """Give up an answer; its replica stops the run."""
-        self._pool.release(begun.connection, None)
+    def abandon(self, response: StartedResponse) -> None:
+        """Close the connection of an unfinished response, which makes the replica stop the run."""
+        self._pool.release(response.connection, None)
 
-    def finish(self, begun: StartedResponse) -> None:
-        """Take back the connection of an answer that was read to its end."""
-        self._pool.release(begun.connection, begun.raw_head)
+    def finish(self, response: StartedResponse) -> None:
+        """Return the connection of a fully read response to the pool."""
+        self._pool.release(response.connection, response.raw_head)
 
     async def _exchange(
         self,
@@ -109,8 +109,8 @@
                 return StartedResponse(connection, raw_head, head)
             if head.request_id is None:
                 break
-            # A late answer to an earlier request stands where this one's is due. Taken
-            # for it, it would give one caller the answer of another.
+            # A late response to an earlier request precedes the expected one. Accepting it
+            # would send one caller the response meant for another.
             skipped = await connection.body(MAX_BODY_BYTES)
             if isinstance(skipped, clientside.Lost) or not connection.skip_answer():
                 break
@@ -119,6 +119,6 @@
 
 def _matches_request(call: calls.Call, head: calls.ResponseHead) -> bool:
     if head.request_id is None:
-        # A refusal may bear no id; it gives the caller nothing of another request.
+        # A refusal may lack the request id; it carries no data of another request.
         return head.is_not_run
     return head.request_id == call.request_id
--- a/hornbeamglade/routed/streamrun.py
+++ b/hornbeamglade/routed/streamrun.py
@@ -1,4 +1,4 @@
-"""One streamed answer, over every replica that its run visits."""
+"""One streamed response, across all replicas that its run is placed at."""
 
 import asyncio
 import dataclasses
@@ -22,19 +22,20 @@
 )
 
 MIGRATION_WAIT_S = 2.0
-"""Once its stream is closed, a run waits for its move to come to an end; that takes a
-few hundredths of a second, or the engine is gone and the move ends with it."""
+"""Longest wait for a migration to end after the stream from the source has closed. It
+usually takes a few hundredths of a second; if the engine is gone, the migration fails with
+it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamResult:
-    """A stream was begun.
+    """Outcome of a stream that was started.
 
-    :param is_complete: whether it came to its end.
-    :param events: events that were passed on.
-    :param migrations: how often its run went on at another engine.
-    :param first_event_s: seconds to its first event, or None.
-    :param longest_gap_s: the longest pause between events.
+    :param is_complete: whether the whole stream was relayed.
+    :param events: number of relayed events.
+    :param migrations: number of times that the run continued at another engine.
+    :param first_event_s: seconds from the arrival of the request to the first event, or None.
+    :param longest_gap_s: longest pause between events in seconds.
     """
 
     is_complete: bool
@@ -50,16 +51,16 @@
     Explanation
     ===========
 
-    A request that may not run twice is sent once. When its engine is about to stop, the
-    run is moved (:mod:`hornbeamglade.routed.migration`) and its stream goes on from the
-    copy of its memory: that is the same run, so no event is made anew. Only a request
-    that may be repeated is run again after its stream was lost, from the last event that
-    its caller has.
+    A request that must not run twice is sent once. When its engine will stop soon, the run
+    is migrated (:mod:`hornbeamglade.routed.migration`) and the stream continues from the
+    copy of its KV cache. It remains the same run, so no event is generated again. Only a
+    repeatable request is run again after its stream was lost; it continues after the last
+    event that the caller received.
 
     :param routed: the request.
-    :param exchange: the caller's.
-    :param log: its attempts.
-    :param parts: what it works with.
+    :param exchange: the exchange with the caller.
+    :param log: the attempts made for the request.
+    :param dependencies: shared dependencies of streamed runs.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
     async def answer(self) -> outcomes.Refusal | responses.Response | StreamResult:
         """Answer the request.
 
-        :returns: what the caller gets in place of a stream, or what became of it.
+        :returns: the response to send instead of a stream, or the outcome of the stream.
         """
         is_complete = False
         try:
@@ -107,7 +108,7 @@
             self._finish(is_complete)
 
     def result(self, is_complete: bool) -> StreamResult:
-        """Return what became of the stream so far."""
+        """Return the outcome of the stream so far."""
         relay = self._relay
         first_s = None
         if relay.first_at is not None:
@@ -117,7 +118,7 @@
         )
 
     def on_replica_leaving(self) -> None:
-        """Begin to move to another engine, if the run is worth it."""
+        """Start a migration to another engine, if the engine supports it."""
         assignment = self._assignment
         engine = self._routed.service.engine
         if assignment is None or engine is None or not engine.can_migrate:
@@ -127,7 +128,7 @@
         self._migration_task = asyncio.ensure_future(self._migrate(assignment))
 
     def on_replica_gone(self) -> None:
-        """Give up the stream from an engine that has started anew; it may go on elsewhere."""
+        """Close the stream from an engine that has restarted; it may continue elsewhere."""
         assignment = self._assignment
         if assignment is not None and assignment.response is not None:
             assignment.response.connection.close()
@@ -135,7 +136,7 @@
     async def _start_stream(
         self,
     ) -> sending.StartedResponse | outcomes.Refusal | responses.Response:
-        """Send the request until a replica answers it with a stream."""
+        """Send the request until a replica responds with a stream."""
         while True:
             assignment = await self._selector.find()
             if isinstance(assignment, outcomes.Refusal):
@@ -151,7 +152,7 @@
     async def _send(
         self, copy: calls.KvCopy | None
     ) -> sending.StartedResponse | sending.FailedAttempt:
-        """Send the request to where it has leave to run."""
+        """Send the request to the assigned engine."""
         assignment, routed = self._assignment, self._routed
         dispatch = calls.Dispatch(
             replica_name=assignment.replica.name,
@@ -187,7 +188,7 @@
     async def _handle_unstreamed(
         self, response: sending.StartedResponse | sending.FailedAttempt
     ) -> outcomes.Refusal | responses.Response | None:
-        """Deal with an attempt that gave no stream; None when another may be made."""
+        """Handle an attempt without a stream; return None if the request may be retried."""
         assignment = self._assignment
         self._log_attempt(response)
         if isinstance(response, sending.FailedAttempt):
@@ -211,7 +212,7 @@
         return responses.Response(response.head.status, response.head.fields, body)
 
     def _log_attempt(self, response: sending.StartedResponse | sending.FailedAttempt) -> None:
-        """Write the line on an attempt that gave no stream."""
+        """Log an attempt that returned no stream."""
         is_failed = isinstance(response, sending.FailedAttempt)
         service = self._routed.service.name
         logs.decided(
@@ -231,7 +232,7 @@
         )
 
     async def _relay_stream(self) -> bool:
-        """Pass events on until the answer is whole; False when it cannot be."""
+        """Relay events until the response is complete; return False if it cannot be completed."""
         while True:
             lost = await self._relay_events()
             if lost is None:
@@ -251,7 +252,7 @@
                 return False
 
     async def _relay_events(self) -> clientside.Lost | None:
-        """Pass events on; None at the end of the whole answer."""
+        """Relay events from one replica; return None at the end of the complete response."""
         connection = self._assignment.response.connection
         self._relay.start_connection()
         while True:
@@ -278,7 +279,7 @@
         return self._relay.event_count * (1 if engine is None else engine.tokens_per_event)
 
     async def _continue_stream(self) -> bool:
-        """Continue the stream at another replica; return whether it does."""
+        """Continue the stream at another replica; return whether that succeeded."""
         destination = await self._await_destination()
         if destination is None:
             self._report_lost_run(self._assignment)
@@ -290,7 +291,7 @@
         return isinstance(await self._start_stream(), sending.StartedResponse)
 
     async def _await_destination(self) -> migration.Destination | None:
-        """Return where the run's memory is, once its move has come to an end."""
+        """Wait for the migration to end; return its destination, or None if it has none."""
         task = self._migration_task
         if task is None or self._migration is None:
             return None
@@ -330,8 +331,8 @@
         )
 
     async def _migrate(self, assignment: engineselector.Assignment) -> None:
-        """Move the run to another engine before its own stops."""
-        # Memory of a run that has not begun cannot be copied.
+        """Migrate the run to another engine before its current engine stops."""
+        # The KV cache of a run that has not started cannot be copied.
         await self._first_event.wait()
         placement = self._selector.placement_request(
             self._dependencies.clock.now() + migration.COPY_TIMEOUT_S,
@@ -357,13 +358,13 @@
         )
 
     def _report_lost_run(self, assignment: engineselector.Assignment) -> None:
-        """Have it found out whether a crash has ended the run."""
+        """Report a lost run to the crash detector."""
         self._dependencies.crash_detector.run_lost(
             self._routed.fingerprint, assignment.replica, assignment.sent_at
         )
 
     def _release_assignment(self) -> None:
-        """Give up where the run was: its connection and its grant."""
+        """Close the connection to the assigned engine and release the grant."""
         assignment, self._assignment = self._assignment, None
         if assignment is None:
             return
@@ -374,7 +375,7 @@
             self._dependencies.acquirer.release(assignment.grant)
 
     def _finish(self, is_complete: bool) -> None:
-        """Give back all that the run holds, however it ended."""
+        """Release all resources of the run, however it ended."""
         if self._migration is not None:
             self._migration.run_ended(self._migration_task)
         elif self._migration_task is not None:
--- a/hornbeamglade/routed/tokentimes.py
+++ b/hornbeamglade/routed/tokentimes.py
@@ -1,14 +1,15 @@
-"""How long an engine's token takes, as this node's streams have shown it."""
+"""Time per generated token, estimated from the streams of this node."""
 
 DEFAULT_TOKEN_S = 0.012
-"""A step takes 7 ms and 0.12 ms more for each request beside it; a full engine needs 11 ms."""
+"""Estimate before the first stream. A decoding step takes 7 ms plus 0.12 ms for each other
+request of the batch; a full engine needs 11 ms."""
 
 SMOOTHING = 0.1
-"""Of a new stream: some ten streams, a few seconds, decide what is believed."""
+"""Weight of a new stream: the estimate follows about the last ten streams, a few seconds."""
 
 
 class TokenTimes:
-    """Seconds per token by service, smoothed over streams.
+    """Seconds per token by service, exponentially smoothed over streams.
 
     Examples
     ========
@@ -25,10 +26,10 @@
         self._seconds_by_service: dict[str, float] = {}
 
     def observe(self, service: str, tokens: int, seconds: float) -> None:
-        """Learn from a stream.
+        """Update the estimate from a finished stream.
 
-        :param tokens: made after its first event.
-        :param seconds: from its first event to its last.
+        :param tokens: tokens generated after the first event.
+        :param seconds: time from the first event to the last.
         """
         if tokens <= 0:
             return
@@ -36,5 +37,5 @@
         self._seconds_by_service[service] = before + SMOOTHING * (seconds / tokens - before)
 
     def seconds_per_token(self, service: str) -> float:
-        """Return what is believed of a service."""
+        """Return the current estimate for a service."""
         return self._seconds_by_service.get(service, DEFAULT_TOKEN_S)
--- a/hornbeamglade/routed/views.py
+++ b/hornbeamglade/routed/views.py
@@ -1,4 +1,4 @@
-"""What a routed request is decided by: the configuration and the list, as they are now."""
+"""Views of the current configuration and replica list, used to route requests."""
 
 import dataclasses
 
@@ -7,9 +7,9 @@
 
 
 class RouteView:
-    """One revision of the configuration, indexed for requests.
+    """One revision of the configuration, indexed for request lookups.
 
-    :param configuration: the revision.
+    :param configuration: the configuration at that revision.
     """
 
     def __init__(self, configuration: models.Configuration) -> None:
@@ -28,10 +28,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListStaleness:
-    """How far this node's list of replicas can be trusted.
+    """Version and age of this node's replica list.
 
-    :param list_version: its version.
-    :param age_s: seconds since something confirmed it, or None when nothing has.
+    :param list_version: version of the list.
+    :param age_s: seconds since the list was last confirmed, or None if it never was.
     """
 
     list_version: int
@@ -40,9 +40,11 @@
 
 @dataclasses.dataclass(slots=True)
 class CurrentView:
-    """What is in force; replaced as a whole, so that a request sees one revision.
+    """Holds the current route view.
 
-    :param routes: None until a revision is known.
+    The view is replaced as a whole, so that each request sees a single revision.
+
+    :param routes: the view, or None until a revision is known.
     """
 
     routes: RouteView | None = None
