--- a/tests/grants/test_asyncgrantacquirer.py
+++ b/tests/grants/test_asyncgrantacquirer.py
@@ -1,4 +1,4 @@
-"""Asking for a grant from an event loop: here, there, and of owners that are silent."""
+"""Acquiring grants in an event loop: locally, remotely, and from owners that do not respond."""
 
 import asyncio
 import dataclasses
@@ -39,7 +39,7 @@
         self.name = name
         self.clock = clocks.SystemClock()
         self.owner_by_replica = {}
-        self.silent = []
+        self.unresponsive = []
         self.schedulers = schedulerset.SchedulerSet(self.clock, lengthmodel.LengthModel())
         self.schedulers.configure(dict.fromkeys(("e0", "e1"), SPEC))
         self.schedulers.set_owned(frozenset(owned))
@@ -52,9 +52,9 @@
         names.replicas.replace(("e0", "e1"))
         names.services.replace(("draft",))
         names.teams.replace(("clinic",))
-        self.remote = remotescheduler.RemoteScheduler(self.schedulers, self.clock, names)
-        self.server = grantserver.GrantServer(self.remote, self.transport, self.clock)
-        self.remote.set_push(self.server.push)
+        self.remote_scheduler = remotescheduler.RemoteScheduler(self.schedulers, self.clock, names)
+        self.server = grantserver.GrantServer(self.remote_scheduler, self.transport, self.clock)
+        self.remote_scheduler.set_push(self.server.push)
         self.acquirer = asyncgrantacquirer.AsyncGrantAcquirer(
             self.clock,
             self.schedulers,
@@ -74,7 +74,7 @@
         return self.owner_by_replica.get(replica)
 
     def record_no_response(self, owner):
-        self.silent.append(owner)
+        self.unresponsive.append(owner)
 
     def _handle(self, message, sender, source):
         take_by_type = {
@@ -102,16 +102,16 @@
 
 def play(test):
     async def main():
-        here, there = Node("n0", ["e0"]), Node("n1", ["e1"])
+        local, remote = Node("n0", ["e0"]), Node("n1", ["e1"])
         endpoint = transport.Endpoint("127.0.0.1", 0)
-        await here.transport.listen(endpoint)
-        at = await there.transport.listen(endpoint)
-        here.owner_by_replica["e1"] = transport.Peer("n1", at)
+        await local.transport.listen(endpoint)
+        at = await remote.transport.listen(endpoint)
+        local.owner_by_replica["e1"] = transport.Peer("n1", at)
         try:
-            return await test(here, there)
+            return await test(local, remote)
         finally:
-            here.transport.close()
-            there.transport.close()
+            local.transport.close()
+            remote.transport.close()
 
     return eventloop.run(main())
 
@@ -120,168 +120,169 @@
     return node.schedulers.states()[replica].running
 
 
-def test_grant_is_given_here_and_given_back():
-    async def test(here, _there):
-        grant = await here.acquirer.acquire(placement("r1", here, candidate("e0")))
-        held = running(here, "e0")
-        here.acquirer.release(grant)
-        here.acquirer.release(grant)
-        return grant.replica, held, running(here, "e0"), here.acquirer.active_count
+def test_local_grant_is_given_and_released():
+    async def test(local, _remote):
+        grant = await local.acquirer.acquire(placement("r1", local, candidate("e0")))
+        held = running(local, "e0")
+        local.acquirer.release(grant)
+        local.acquirer.release(grant)
+        return grant.replica, held, running(local, "e0"), local.acquirer.active_count
 
     assert play(test) == ("e0", 1, 0, 0)
 
 
-def test_grant_is_given_by_another_owner_and_given_back():
-    async def test(here, there):
-        grant = await here.acquirer.acquire(placement("r1", here, candidate("e1")))
-        held = running(there, "e1")
-        here.acquirer.release(grant)
-        await eventloop.until(lambda: running(there, "e1") == 0)
+def test_remote_grant_is_given_and_released():
+    async def test(local, remote):
+        grant = await local.acquirer.acquire(placement("r1", local, candidate("e1")))
+        held = running(remote, "e1")
+        local.acquirer.release(grant)
+        await eventloop.until(lambda: running(remote, "e1") == 0)
         return grant.replica, held
 
     assert play(test) == ("e1", 1)
 
 
-def test_request_waits_for_room_and_gets_it():
-    async def test(here, _there):
+def test_request_waits_for_headroom_and_gets_a_grant():
+    async def test(local, _remote):
         first = [
-            await here.acquirer.acquire(placement(f"r{n}", here, candidate("e0"))) for n in (1, 2)
+            await local.acquirer.acquire(placement(f"r{n}", local, candidate("e0")))
+            for n in (1, 2)
         ]
         waiting = asyncio.ensure_future(
-            here.acquirer.acquire(placement("r3", here, candidate("e0")))
+            local.acquirer.acquire(placement("r3", local, candidate("e0")))
         )
-        await eventloop.until(lambda: here.schedulers.states()["e0"].waiting)
-        here.acquirer.release(first[0])
+        await eventloop.until(lambda: local.schedulers.states()["e0"].waiting)
+        local.acquirer.release(first[0])
         return (await waiting).replica
 
     assert play(test) == "e0"
 
 
-def test_waiting_request_goes_where_room_comes_first():
-    """A request waits for one engine while another one becomes free."""
+def test_waiting_request_goes_where_headroom_appears_first():
+    """A request waits for one engine while another engine gets headroom."""
 
-    async def test(here, there):
+    async def test(local, remote):
         for number in (1, 2):
-            await here.acquirer.acquire(placement(f"r{number}", here, candidate("e0")))
+            await local.acquirer.acquire(placement(f"r{number}", local, candidate("e0")))
         full = [
-            await there.acquirer.acquire(placement(f"s{n}", there, candidate("e1")))
+            await remote.acquirer.acquire(placement(f"s{n}", remote, candidate("e1")))
             for n in (1, 2)
         ]
         both = (candidate("e0"), candidate("e1"))
-        waiting = asyncio.ensure_future(here.acquirer.acquire(placement("r3", here, *both)))
+        waiting = asyncio.ensure_future(local.acquirer.acquire(placement("r3", local, *both)))
         await asyncio.sleep(0.3)
-        there.acquirer.release(full[0])
+        remote.acquirer.release(full[0])
         grant = await waiting
-        await eventloop.until(lambda: not here.schedulers.states()["e0"].waiting)
+        await eventloop.until(lambda: not local.schedulers.states()["e0"].waiting)
         return grant.replica
 
     assert play(test) == "e1"
 
 
-def test_refusal_after_the_wait_says_when_to_come_back():
-    async def test(here, _there):
+def test_refusal_after_the_wait_has_a_retry_time():
+    async def test(local, _remote):
         for number in (1, 2):
-            await here.acquirer.acquire(placement(f"r{number}", here, candidate("e0")))
-        return await here.acquirer.acquire(placement("r3", here, candidate("e0"), wait_s=0.2))
+            await local.acquirer.acquire(placement(f"r{number}", local, candidate("e0")))
+        return await local.acquirer.acquire(placement("r3", local, candidate("e0"), wait_s=0.2))
 
     refusal = play(test)
     assert isinstance(refusal, outcomes.Refusal)
     assert refusal.retry_after_s > 0
 
 
-def test_silent_owner_is_passed_over():
-    async def test(here, there):
-        there.transport.close()
+def test_owner_without_response_is_skipped():
+    async def test(local, remote):
+        remote.transport.close()
         both = (candidate("e1", room=9_500), candidate("e0", room=5_000))
-        grant = await here.acquirer.acquire(placement("r1", here, *both))
-        return grant.replica, here.silent
+        grant = await local.acquirer.acquire(placement("r1", local, *both))
+        return grant.replica, local.unresponsive
 
     assert play(test) == ("e0", ["n1"])
 
 
-def test_engine_whose_owner_is_silent_is_used_without_a_grant():
-    """The node that admits to the only engine dies.
+def test_engine_whose_owner_does_not_respond_is_used_without_a_grant():
+    """The owner of the only engine crashes.
 
-    The engine serves: a refusal would be false while it has room.
+    The engine still serves, so a refusal would be wrong while it has free capacity.
     """
 
-    async def test(here, there):
-        there.transport.close()
-        grant = await here.acquirer.acquire(placement("r1", here, candidate("e1")))
-        here.acquirer.release(grant)
+    async def test(local, remote):
+        remote.transport.close()
+        grant = await local.acquirer.acquire(placement("r1", local, candidate("e1")))
+        local.acquirer.release(grant)
         return grant.replica, grant.is_granted
 
     assert play(test) == ("e1", False)
 
 
 def test_engine_whose_owner_has_no_configuration_yet_is_used_without_a_grant():
-    """After a loss of all instances one serves while the engine's owner still starts.
+    """After a full outage, one instance serves while the engine's owner is still starting.
 
-    Its callers were refused while all engines stood idle.
+    Its callers were refused while all engines were idle.
     """
 
-    async def test(here, there):
-        for names in (there.names.replicas, there.names.services, there.names.teams):
+    async def test(local, remote):
+        for names in (remote.names.replicas, remote.names.services, remote.names.teams):
             names.replace(())
-        grant = await here.acquirer.acquire(placement("r1", here, candidate("e1")))
+        grant = await local.acquirer.acquire(placement("r1", local, candidate("e1")))
         return grant.replica, grant.is_granted
 
     assert play(test) == ("e1", False)
 
 
-def test_engine_whose_owner_knows_nothing_of_its_duty_is_used_without_a_grant():
-    """The node that admits to the only engine dies, and another one is to follow it.
+def test_engine_whose_new_owner_is_unaware_of_it_is_used_without_a_grant():
+    """The owner of the only engine crashes, and another node becomes the owner.
 
-    That one has not noticed yet, and sends asks away: callers were refused while the
-    engine had room.
+    That node has not noticed yet and refuses grant requests. Callers were refused while the
+    engine had free capacity.
     """
 
-    async def test(here, there):
-        there.schedulers.set_owned(frozenset())
-        there.schedulers.configure({})
-        there.schedulers.configure({"e1": SPEC})
-        grant = await here.acquirer.acquire(placement("r1", here, candidate("e1")))
+    async def test(local, remote):
+        remote.schedulers.set_owned(frozenset())
+        remote.schedulers.configure({})
+        remote.schedulers.configure({"e1": SPEC})
+        grant = await local.acquirer.acquire(placement("r1", local, candidate("e1")))
         return grant.replica, grant.is_granted
 
     assert play(test) == ("e1", False)
 
 
 def test_no_engine_at_all_is_refused():
-    async def test(here, _there):
-        return await here.acquirer.acquire(placement("r1", here))
+    async def test(local, _remote):
+        return await local.acquirer.acquire(placement("r1", local))
 
     assert play(test).code == "no_replica"
 
 
-def test_cancelled_wait_leaves_nothing_behind():
-    async def test(here, there):
+def test_cancelled_wait_leaves_no_request_queued():
+    async def test(local, remote):
         for number in (1, 2):
-            await there.acquirer.acquire(placement(f"s{number}", there, candidate("e1")))
+            await remote.acquirer.acquire(placement(f"s{number}", remote, candidate("e1")))
         waiting = asyncio.ensure_future(
-            here.acquirer.acquire(placement("r1", here, candidate("e1")))
+            local.acquirer.acquire(placement("r1", local, candidate("e1")))
         )
-        await eventloop.until(lambda: there.schedulers.states()["e1"].waiting)
+        await eventloop.until(lambda: remote.schedulers.states()["e1"].waiting)
         waiting.cancel()
-        await eventloop.until(lambda: not there.schedulers.states()["e1"].waiting)
-        return here.acquirer.active_count
+        await eventloop.until(lambda: not remote.schedulers.states()["e1"].waiting)
+        return local.acquirer.active_count
 
     assert play(test) == 0
 
 
-def test_run_that_goes_on_is_taken_in_by_the_memory_that_is_held():
-    async def test(here, there):
-        near = await here.acquirer.acquire_for_migration(
-            placement("r1", here, candidate("e0"), candidate("e1"), produced=300), "a"
+def test_migrated_run_is_admitted_by_the_memory_that_is_held():
+    async def test(local, remote):
+        near = await local.acquirer.acquire_for_migration(
+            placement("r1", local, candidate("e0"), candidate("e1"), produced=300), "a"
         )
-        too_large = await here.acquirer.acquire_for_migration(
-            placement("r2", here, candidate("e0"), candidate("e1"), produced=9_400), "a"
+        too_large = await local.acquirer.acquire_for_migration(
+            placement("r2", local, candidate("e0"), candidate("e1"), produced=9_400), "a"
         )
         return near is not None, too_large
 
     assert play(test) == (True, None)
 
 
-def test_scheduler_takes_a_run_in_once_and_never_when_it_leaves():
+def test_scheduler_admits_a_migrated_run_once_and_none_while_leaving():
     clock = clocks.ManualClock()
     schedulers = schedulerset.SchedulerSet(clock, lengthmodel.LengthModel())
     schedulers.configure({"e0": SPEC})
@@ -294,102 +295,105 @@
     assert schedulers.admit_migration("e0", other, 1).code == "replica_leaving"
 
 
-def old(replica, **changes):
+def stale(replica, **changes):
     return dataclasses.replace(candidate(replica, **changes), report_age_s=20.0)
 
 
-def test_owner_is_asked_in_spite_of_an_old_word_that_its_engine_is_full():
-    """At 82 nodes a node hears of most engines once in 20 s."""
+def test_owner_is_asked_despite_an_old_report_of_a_full_engine():
+    """At 82 nodes, a node receives a report of most engines once in 20 s."""
 
-    async def test(here, there):
-        grant = await here.acquirer.acquire_now(placement("r1", here, old("e1", room=0)))
-        fresh = await here.acquirer.acquire_now(placement("r2", here, candidate("e1", room=0)))
-        return grant.replica, fresh, running(there, "e1")
+    async def test(local, remote):
+        grant = await local.acquirer.acquire_now(placement("r1", local, stale("e1", room=0)))
+        fresh = await local.acquirer.acquire_now(placement("r2", local, candidate("e1", room=0)))
+        return grant.replica, fresh, running(remote, "e1")
 
     assert play(test) == ("e1", None, 1)
 
 
-def test_owner_that_grants_another_engine_is_taken_at_its_word():
-    async def test(here, there):
-        there.report("e0")
-        there.schedulers.set_owned(frozenset(("e0", "e1")))
-        there.remote.set_alternatives(lambda replica, work: ("e0", "e1"))
-        grant = await here.acquirer.acquire(
-            placement("r1", here, old("e1"), candidate("e0", room=0))
+def test_grant_of_another_engine_that_the_owner_chose_is_used():
+    async def test(local, remote):
+        remote.report("e0")
+        remote.schedulers.set_owned(frozenset(("e0", "e1")))
+        remote.remote_scheduler.set_alternatives(lambda replica, work: ("e0", "e1"))
+        grant = await local.acquirer.acquire(
+            placement("r1", local, stale("e1"), candidate("e0", room=0))
         )
-        held = running(there, "e0")
-        here.acquirer.release(grant)
-        await eventloop.until(lambda: running(there, "e0") == 0)
+        held = running(remote, "e0")
+        local.acquirer.release(grant)
+        await eventloop.until(lambda: running(remote, "e0") == 0)
         return grant.replica, held
 
     assert play(test) == ("e0", 1)
 
 
-def test_grant_of_an_engine_that_will_not_do_is_given_back():
-    """The engine that the owner chooses has refused the request a moment ago."""
+def test_grant_of_an_unusable_engine_is_released():
+    """The engine that the owner chooses has just refused the request."""
 
-    async def test(here, there):
-        there.report("e0")
-        there.schedulers.set_owned(frozenset(("e0", "e1")))
-        there.remote.set_alternatives(lambda replica, work: ("e0",))
-        grant = await here.acquirer.acquire_now(placement("r1", here, old("e1")))
-        await eventloop.until(lambda: running(there, "e0") == 0)
+    async def test(local, remote):
+        remote.report("e0")
+        remote.schedulers.set_owned(frozenset(("e0", "e1")))
+        remote.remote_scheduler.set_alternatives(lambda replica, work: ("e0",))
+        grant = await local.acquirer.acquire_now(placement("r1", local, stale("e1")))
+        await eventloop.until(lambda: running(remote, "e0") == 0)
         return grant
 
     assert play(test) is None
 
 
 def test_each_owner_is_asked_once_in_a_round():
-    """Seven full engines of one owner would cost seven questions with one answer."""
-
-    async def test(here, there):
-        asked = []
-        there.remote.set_alternatives(lambda replica, work: asked.append(replica) or ())
-        here.owner_by_replica["e2"] = here.owner_by_replica["e1"]
-        await here.acquirer.acquire_now(
-            placement("r1", here, old("e1", room=0), old("e2", room=0))
+    """Seven full engines of one owner would cost seven requests with the same response."""
+
+    async def test(local, remote):
+        requested = []
+        remote.remote_scheduler.set_alternatives(
+            lambda replica, work: requested.append(replica) or ()
+        )
+        local.owner_by_replica["e2"] = local.owner_by_replica["e1"]
+        await local.acquirer.acquire_now(
+            placement("r1", local, stale("e1", room=0), stale("e2", room=0))
         )
-        return len(asked)
+        return len(requested)
 
     assert play(test) == 1
 
 
-def test_in_a_crowd_a_full_owner_is_asked_now_and_then_and_its_room_is_still_found():
-    """Forty requests wait at one node while another one's engine is full.
+def test_under_overload_a_full_owner_is_asked_rarely_and_its_headroom_is_still_found():
+    """Forty requests wait at one node while another node's engine is full.
 
-    Each asked that engine's owner ten times a second, which took most of the owner's time.
+    Each sent ten grant requests a second to that engine's owner, which used up most of the
+    owner's CPU time.
     """
 
-    async def test(here, there):
-        asked = []
-        ask = there.remote.decide
+    async def test(local, remote):
+        requested = []
+        decide = remote.remote_scheduler.decide
 
         def count(key, message):
-            asked.append(message.at_once)
-            return ask(key, message)
+            requested.append(message.at_once)
+            return decide(key, message)
 
-        there.remote.decide = count
+        remote.remote_scheduler.decide = count
         for number in range(2):
-            await here.acquirer.acquire(placement(f"a{number}", here, candidate("e0")))
+            await local.acquirer.acquire(placement(f"a{number}", local, candidate("e0")))
         held = [
-            await here.acquirer.acquire(placement(f"b{n}", here, candidate("e1")))
+            await local.acquirer.acquire(placement(f"b{n}", local, candidate("e1")))
             for n in range(2)
         ]
-        asked.clear()
+        requested.clear()
         known = (candidate("e0", queued=5), candidate("e1"))
         waiting = [
-            asyncio.ensure_future(here.acquirer.acquire(placement(f"r{n}", here, *known)))
+            asyncio.ensure_future(local.acquirer.acquire(placement(f"r{n}", local, *known)))
             for n in range(40)
         ]
         await asyncio.sleep(1.0)
-        count_of_asks = sum(asked)
-        here.acquirer.release(held[0])
+        immediate_count = sum(requested)
+        local.acquirer.release(held[0])
         done, _ = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED, timeout=2.0)
         for each in waiting:
             each.cancel()
-        return count_of_asks, [each.result().replica for each in done]
+        return immediate_count, [each.result().replica for each in done]
 
-    asks_made, granted = play(test)
-    # Each asks once before the first answer is here; then one a tenth of a second.
-    assert asks_made <= 40 + 10
+    immediate_count, granted = play(test)
+    # Each sends one request before the first response arrives; then one is sent each 0.1 s.
+    assert immediate_count <= 40 + 10
     assert granted == ["e1"]
--- a/tests/grants/test_grantacquirer.py
+++ b/tests/grants/test_grantacquirer.py
@@ -14,7 +14,7 @@
 REMOTE = transport.Peer("n2", transport.Endpoint("127.0.0.1", 7000))
 
 
-class Owners(grantacquirer.ReplicaOwners):
+class FakeOwners(grantacquirer.ReplicaOwners):
     def __init__(self, remote):
         self.remote = remote
         self.silent = []
@@ -26,18 +26,18 @@
         self.silent.append(owner)
 
 
-class Client:
-    """Answers asks as told, by replica."""
+class FakeClient:
+    """Returns the configured response for each replica."""
 
-    def __init__(self, **answer_by_replica):
-        self.answer_by_replica = answer_by_replica
-        self.asked = []
+    def __init__(self, **response_by_replica):
+        self.response_by_replica = response_by_replica
+        self.requested = []
         self.calls = []
 
-    def request_grant(self, owner, ask, wanted):
+    def request_grant(self, owner, request, wanted):
         names = {messages.key_hash(name): name for name in test_schedulerset.REPLICAS}
-        self.asked.append(names[ask.replica])
-        return self.answer_by_replica[self.asked[-1]]
+        self.requested.append(names[request.replica])
+        return self.response_by_replica[self.requested[-1]]
 
     def note(self, number, produced):
         self.calls.append(("note", number, produced))
@@ -47,20 +47,20 @@
 
 
 class Site:
-    """Two replicas, of which ``e1`` is preferred; a caller that may leave."""
+    """Two replicas, of which ``e1`` is preferred, and a caller that may disconnect."""
 
-    def __init__(self, remote=(), **answer_by_replica):
-        self.asking = test_schedulerset.Asking()
-        self.schedulers = self.asking.schedulers
+    def __init__(self, remote=(), **response_by_replica):
+        self.requester = test_schedulerset.Requester()
+        self.schedulers = self.requester.schedulers
         for replica in test_schedulerset.REPLICAS:
-            self.asking.report(replica)
-        self.owners = Owners(remote)
-        self.client = Client(**answer_by_replica)
-        self.gone = threading.Event()
+            self.requester.report(replica)
+        self.owners = FakeOwners(remote)
+        self.client = FakeClient(**response_by_replica)
+        self.caller_gone = threading.Event()
         self.room_by_replica = {"e1": 90_000, "e2": 900}
         settings = candidates.RoutingSettings(failure_domain="d1")
         self.acquirer = grantacquirer.GrantAcquirer(
-            self.asking.clock,
+            self.requester.clock,
             self.schedulers,
             self.client,
             self.owners,
@@ -70,10 +70,12 @@
 
     def placement(self, name="r1", prompt=20, is_gone=None):
         work = outcomes.Work(name, "chat", "clerks", 0, prompt)
-        deadline = self.asking.clock.now() + 3.0
-        return grantacquirer.PlacementRequest(work, 1.0, deadline, is_gone or self.gone.is_set)
+        deadline = self.requester.clock.now() + 3.0
+        return grantacquirer.PlacementRequest(
+            work, 1.0, deadline, is_gone or self.caller_gone.is_set
+        )
 
-    def find(self, *args, **kwargs):
+    def acquire(self, *args, **kwargs):
         return self.acquirer.acquire(self.placement(*args, **kwargs), self.known)
 
     def known(self):
@@ -91,7 +93,7 @@
     def fill(self, *replicas):
         for replica in replicas:
             for number in range(FILLED):
-                self.asking.ask(replica, f"{replica}-{number}", prompt=900)
+                self.requester.request(replica, f"{replica}-{number}", prompt=900)
 
 
 def granted(number):
@@ -102,21 +104,21 @@
     return messages.GrantResponse(1, messages.GrantKind.REFUSED, code, 700)
 
 
-def test_a_grant_here_is_given_back_once():
+def test_a_local_grant_is_released_once():
     site = Site()
-    grant = site.find()
+    grant = site.acquire()
     assert (grant.replica, grant.grant_id, site.held()) == ("e1", None, 1)
     assert site.acquirer.active_count == 1
     grant.release()
     assert (site.held(), site.acquirer.active_count) == (0, 0)
-    site.asking.ask("e1", grant.request_id)
+    site.requester.request("e1", grant.request_id)
     grant.release()
     assert site.held() == 1
 
 
-def test_a_grant_there_is_given_back_once_with_its_tokens():
+def test_a_remote_grant_is_released_once_with_its_tokens():
     site = Site(remote={"e1"}, e1=granted(7))
-    grant = site.find()
+    grant = site.acquire()
     grant.produced = 5
     site.acquirer.report_progress()
     grant.release()
@@ -126,99 +128,99 @@
 
 
 @pytest.mark.parametrize("answer", [refused(), grantrequests.NoResponse("n2"), None])
-def test_the_next_replica_is_asked_when_the_first_gives_nothing(answer):
+def test_the_next_replica_is_tried_when_the_first_gives_no_grant(answer):
     site = Site(remote={"e1"}, e1=answer)
-    grant = site.find()
-    assert (grant.replica, site.client.asked) == ("e2", ["e1"])
+    grant = site.acquire()
+    assert (grant.replica, site.client.requested) == ("e2", ["e1"])
     assert site.owners.silent == (["n2"] if isinstance(answer, grantrequests.NoResponse) else [])
 
 
-def test_a_refusal_by_all_is_the_one_with_the_earliest_return():
+def test_of_several_refusals_the_one_with_the_earliest_retry_is_returned():
     site = Site(remote={"e1", "e2"}, e1=refused("team_queue_full"), e2=refused())
-    answer = site.find()
+    answer = site.acquire()
     assert answer.retry_after_s == 0.7
     assert answer.run is outcomes.RunStatus.NOT_RUN
-    assert set(site.client.asked) == {"e1", "e2"}
+    assert set(site.client.requested) == {"e1", "e2"}
 
 
-def find_in_thread(site):
-    """Start to look for a replica, and return once the request waits at ``e1``."""
-    found = []
+def acquire_in_thread(site):
+    """Start to acquire a grant, and return once the request waits at ``e1``."""
+    results = []
     before = site.schedulers.states()["e1"].waiting
-    thread = threading.Thread(target=lambda: found.append(site.find(prompt=900)), daemon=True)
+    thread = threading.Thread(target=lambda: results.append(site.acquire(prompt=900)), daemon=True)
     thread.start()
     callerside.wait_for(lambda: site.schedulers.states()["e1"].waiting > before)
-    return thread, found
+    return thread, results
 
 
-def test_a_wait_ends_with_the_grant_of_another():
+def test_a_waiting_request_is_granted_when_others_finish():
     site = Site()
     site.fill("e1")
-    thread, found = find_in_thread(site)
+    thread, results = acquire_in_thread(site)
     for number in range(FILLED):
         site.schedulers.finish("e1", f"e1-{number}")
     thread.join(callerside.PATIENCE_S)
-    assert found[0].replica == "e1"
+    assert results[0].replica == "e1"
 
 
-def test_room_elsewhere_ends_a_wait_and_its_place_is_given_back():
+def test_headroom_elsewhere_ends_a_wait_and_frees_the_queue_position():
     site = Site()
     site.fill("e1")
     before = site.held()
-    thread, found = find_in_thread(site)
+    thread, results = acquire_in_thread(site)
     site.room_by_replica["e2"] = 90_000
     thread.join(callerside.PATIENCE_S)
-    assert found[0].replica == "e2"
+    assert results[0].replica == "e2"
     assert site.held() == before + 1
-    found[0].release()
+    results[0].release()
     assert (site.held(), site.acquirer.active_count) == (before, 0)
 
 
-def test_a_caller_that_leaves_gives_its_place_back():
-    """A caller hangs up while it waits.
+def test_a_caller_that_disconnects_frees_its_queue_position():
+    """A caller disconnects while its request waits.
 
-    A place that it kept would be granted later, and the engine's memory held for nobody.
+    If the request stayed queued, it would be granted later and hold unused engine memory.
     """
     site = Site()
     site.fill("e1", "e2")
     before = site.held()
-    site.gone.set()
-    assert site.find(prompt=900).code == "queue_timeout"
+    site.caller_gone.set()
+    assert site.acquire(prompt=900).code == "queue_timeout"
     assert site.held() == before
 
 
-def test_a_former_refusal_does_not_end_the_next_wait():
-    """A replica's settings change, and one that waited there is refused by the new scheduler.
+def test_a_late_refusal_of_one_replica_does_not_end_the_wait_at_another():
+    """A replica's settings change, and the new scheduler refuses a request that waited there.
 
-    Before it is told, its wait there ends and it waits at another replica. The late
-    refusal carries its id: taken for the answer of the second, it would end a wait
-    whose place is still queued, and the grant of that place would be nobody's.
+    Before the refusal is delivered, the request moves to another replica's queue. The late
+    refusal has the same request id. If it ended the second wait, the request would stay in
+    that queue, and its grant would never be used.
     """
-    asking = test_schedulerset.Asking()
-    asking.ask("e1", "r0")
-    asking.ask("e1", "r1")
+    requester = test_schedulerset.Requester()
+    requester.request("e1", "r0")
+    requester.request("e1", "r1")
     specs = {"e1": test_schedulerset.spec(max_waiting=1), "e2": test_schedulerset.spec()}
-    asking.schedulers.configure(specs)
-    asking.schedulers.finish("e1", "r1")
-    asking.ask("e2", "r1")
-    asking.schedulers.process_queues()
-    assert asking.told["r1"] == []
-    assert asking.schedulers.states()["e2"].waiting == 1
+    requester.schedulers.configure(specs)
+    requester.schedulers.finish("e1", "r1")
+    requester.request("e2", "r1")
+    requester.schedulers.process_queues()
+    assert requester.outcomes_by_id["r1"] == []
+    assert requester.schedulers.states()["e2"].waiting == 1
 
 
 @pytest.mark.parametrize("answer", [grantrequests.NoResponse("n2"), refused("owner_moved")])
-def test_an_engine_that_nobody_admits_to_is_used_without_a_grant(answer):
-    """The node that admits to both engines is killed, and a caller asks another node.
+def test_an_engine_without_an_owner_is_used_without_a_grant(answer):
+    """The owner of both engines is killed, and a caller sends a request to another node.
 
-    Until the nodes agree on a new owner, some three seconds, asks go unanswered or to a
-    node that does not know of its duty yet. The caller was told to come back though both
-    engines stood idle.
+    The nodes agree on a new owner after about three seconds. Until then, grant requests get
+    no response or go to a node that does not know yet that it is the owner. The caller was
+    refused although both engines were idle.
     """
     site = Site(remote={"e1", "e2"}, e1=answer, e2=answer)
-    begun = site.asking.clock.now()
-    grant = site.find()
+    started_at = site.requester.clock.now()
+    grant = site.acquire()
     assert (grant.replica, grant.grant_id) == ("e1", None)
-    waited_s = site.asking.clock.now() - begun
+    waited_s = site.requester.clock.now() - started_at
     assert grantacquirer.UNOWNED_TIMEOUT_S <= waited_s <= grantacquirer.UNOWNED_TIMEOUT_S + 0.2
     grant.release()
     assert (site.held(), site.client.calls) == (0, [])
--- a/tests/grants/test_replicascheduler.py
+++ b/tests/grants/test_replicascheduler.py
@@ -32,69 +32,71 @@
     return outcomes.Work(request_id, "chat", team, 0, prompt)
 
 
-def ask(scheduler, request_id, now=0.0, prompt=SMALL, team="clerks", weight=1.0, deadline=60.0):
+def request(
+    scheduler, request_id, now=0.0, prompt=SMALL, team="clerks", weight=1.0, deadline=60.0
+):
     return scheduler.request_grant(work(request_id, prompt, team), weight, now, deadline)
 
 
-def answers(settled):
-    return {each.request_id: each.answer for each in settled}
+def answers(decided):
+    return {each.request_id: each.answer for each in decided}
 
 
-def test_an_ask_is_answered_alike_when_it_comes_again():
+def test_a_repeated_request_gets_the_same_answer():
     scheduler = make_scheduler()
     for _ in range(2):
-        assert ask(scheduler, "r1", prompt=HUGE) == replicascheduler.Granted("r1", "e1")
-        assert ask(scheduler, "r2", prompt=HUGE) == replicascheduler.Queued("r2", "e1")
+        assert request(scheduler, "r1", prompt=HUGE) == replicascheduler.Granted("r1", "e1")
+        assert request(scheduler, "r2", prompt=HUGE) == replicascheduler.Queued("r2", "e1")
     assert (scheduler.running_count, scheduler.queued_count) == (1, 1)
 
 
 def test_the_end_of_a_request_lets_the_next_one_start():
     scheduler = make_scheduler()
-    ask(scheduler, "r1", prompt=HUGE)
-    ask(scheduler, "r2", prompt=HUGE)
+    request(scheduler, "r1", prompt=HUGE)
+    request(scheduler, "r2", prompt=HUGE)
     assert scheduler.process_queue(0.1) == ()
     scheduler.finish("r1", 0.2)
     scheduler.finish("r1", 0.2)
     assert answers(scheduler.process_queue(0.2)) == {"r2": replicascheduler.Granted("r2", "e1")}
 
 
-def test_nobody_overtakes_those_that_wait():
+def test_no_new_request_overtakes_the_queued_ones():
     scheduler = make_scheduler()
-    ask(scheduler, "r1", prompt=HUGE)
-    ask(scheduler, "r2", prompt=HUGE)
+    request(scheduler, "r1", prompt=HUGE)
+    request(scheduler, "r2", prompt=HUGE)
     scheduler.finish("r1", 0.1)
-    assert isinstance(ask(scheduler, "r3", now=0.1), replicascheduler.Queued)
+    assert isinstance(request(scheduler, "r3", now=0.1), replicascheduler.Queued)
     assert next(iter(answers(scheduler.process_queue(0.1)))) == "r2"
 
 
-def test_a_caller_that_gives_up_leaves_no_place_behind():
+def test_a_request_that_gives_up_frees_its_queue_position():
     scheduler = make_scheduler()
-    ask(scheduler, "r1", prompt=HUGE)
-    ask(scheduler, "r2", prompt=HUGE)
+    request(scheduler, "r1", prompt=HUGE)
+    request(scheduler, "r2", prompt=HUGE)
     scheduler.finish("r2", 0.1)
     scheduler.finish("r1", 0.1)
     assert scheduler.process_queue(0.1) == ()
     assert (scheduler.running_count, scheduler.queued_count) == (0, 0)
 
 
-def test_one_that_gives_way_is_told():
-    """A flood of one team fills the queue; a newcomer of another displaces its last.
+def test_a_displaced_request_is_refused():
+    """One team fills the queue, and a request of another team displaces its newest one.
 
-    Were that one not told, its caller would wait until its deadline for a place that
-    it no longer has.
+    If the displaced request were not refused, its caller would wait until the deadline although
+    the request is no longer queued.
     """
     scheduler = make_scheduler(max_waiting=2)
     for name in ("r1", "r2", "r3"):
-        ask(scheduler, name, prompt=HUGE, team="flood")
-    assert isinstance(ask(scheduler, "r4", prompt=HUGE, team="quiet"), replicascheduler.Queued)
-    told = answers(scheduler.process_queue(0.0))
-    assert told["r3"].code == "displaced"
-    assert told["r3"].run is outcomes.RunStatus.NOT_RUN
+        request(scheduler, name, prompt=HUGE, team="flood")
+    assert isinstance(request(scheduler, "r4", prompt=HUGE, team="quiet"), replicascheduler.Queued)
+    decided = answers(scheduler.process_queue(0.0))
+    assert decided["r3"].code == "displaced"
+    assert decided["r3"].run is outcomes.RunStatus.NOT_RUN
 
 
-def test_a_replica_that_never_reported_is_waited_for():
+def test_requests_wait_for_a_replica_that_never_reported():
     scheduler = make_scheduler(is_reported=False)
-    assert isinstance(ask(scheduler, "r1"), replicascheduler.Queued)
+    assert isinstance(request(scheduler, "r1"), replicascheduler.Queued)
     assert scheduler.process_queue(1.0) == ()
     report(scheduler, 2.0)
     assert isinstance(answers(scheduler.process_queue(2.0))["r1"], replicascheduler.Granted)
@@ -102,21 +104,21 @@
 
 @pytest.mark.parametrize("age_s", [0.0, 3.0])
 def test_a_silent_replica_gives_no_grants(age_s):
-    """A replica is told to leave while the link from its owner is cut.
+    """A replica is decided to leave while the connection from its owner is cut.
 
-    The owner never hears of it: without a bound on the silence, it would send new
-    work for as long as the cut lasts.
+    The owner does not learn of it. Without a limit on the age of the last report, it would
+    send new work for as long as the connection is cut.
     """
     scheduler = make_scheduler()
     report(scheduler, 10.0, age_s=age_s)
     silent_at = 10.0 + replicascheduler.REPORT_LIFE_S - age_s + 0.1
     assert isinstance(
-        ask(scheduler, "r1", now=silent_at - 0.2, prompt=HUGE), replicascheduler.Granted
+        request(scheduler, "r1", now=silent_at - 0.2, prompt=HUGE), replicascheduler.Granted
     )
     assert isinstance(
-        ask(scheduler, "r2", now=silent_at - 0.2, prompt=HUGE), replicascheduler.Queued
+        request(scheduler, "r2", now=silent_at - 0.2, prompt=HUGE), replicascheduler.Queued
     )
-    assert ask(scheduler, "r3", now=silent_at).code == "replica_silent"
+    assert request(scheduler, "r3", now=silent_at).code == "replica_silent"
     scheduler.finish("r1", silent_at)
     assert scheduler.process_queue(silent_at) == ()
     report(scheduler, silent_at + 1)
@@ -125,35 +127,35 @@
     )
 
 
-def test_a_leaving_replica_refuses_whoever_waits_and_comes():
+def test_a_leaving_replica_refuses_queued_and_new_requests():
     scheduler = make_scheduler()
-    ask(scheduler, "r1", prompt=HUGE)
-    ask(scheduler, "r2", prompt=HUGE)
+    request(scheduler, "r1", prompt=HUGE)
+    request(scheduler, "r2", prompt=HUGE)
     report(scheduler, 1.0, leaving=True)
     scheduler.finish("r1", 1.0)
     assert scheduler.process_queue(1.0) == ()
     successor = make_scheduler(is_reported=False)
     successor.take_over(scheduler, 1.0)
-    assert ask(successor, "r3", now=1.0).code == "replica_leaving"
+    assert request(successor, "r3", now=1.0).code == "replica_leaving"
     assert answers(scheduler.drain())["r2"].code == "replica_leaving"
-    assert ask(scheduler, "r3", now=1.0).code == "replica_leaving"
+    assert request(scheduler, "r3", now=1.0).code == "replica_leaving"
     assert scheduler.drain() == ()
     report(scheduler, 2.0)
-    ask(scheduler, "r4", now=2.0, prompt=HUGE)
-    assert isinstance(ask(scheduler, "r2", now=2.0, prompt=HUGE), replicascheduler.Queued)
+    request(scheduler, "r4", now=2.0, prompt=HUGE)
+    assert isinstance(request(scheduler, "r2", now=2.0, prompt=HUGE), replicascheduler.Queued)
 
 
-def test_other_settings_keep_what_runs_and_waits():
+def test_changed_settings_keep_running_and_queued_requests():
     """An operator changes a pool's margin while its replicas are busy.
 
-    A scheduler made anew would take the engine for empty and overfill it, and callers
-    that wait would never be answered.
+    A new scheduler without the former state would treat the engine as empty and overfill it,
+    and the queued requests would never be answered.
     """
     former = make_scheduler()
-    ask(former, "r1", prompt=HUGE)
+    request(former, "r1", prompt=HUGE)
     former.progress("r1", 100, 0.5)
     for name in ("r2", "r3"):
-        ask(former, name, prompt=HUGE)
+        request(former, name, prompt=HUGE)
     scheduler = make_scheduler(max_waiting=1, is_reported=False)
     scheduler.take_over(former, 1.0)
     assert (scheduler.running_count, scheduler.queued_count) == (1, 1)
@@ -163,65 +165,65 @@
 
 
 def test_teams_are_charged_for_the_tokens_of_their_answers():
-    """Two teams of equal weight take turns; one of them gets answers ten times as long.
+    """Two teams have equal weights, and the answers of one are ten times as long.
 
-    Charged for prompts alone, both would start as often, and the team of long answers
-    would get ten times the tokens.
+    If teams were charged for prompts alone, both would start equally often, and the team with
+    long answers would get ten times as many tokens.
     """
     scheduler = make_scheduler()
-    ask(scheduler, "long", team="long", prompt=HUGE)
-    ask(scheduler, "long-2", team="long", prompt=HUGE)
-    ask(scheduler, "short-2", team="short", prompt=HUGE)
+    request(scheduler, "long", team="long", prompt=HUGE)
+    request(scheduler, "long-2", team="long", prompt=HUGE)
+    request(scheduler, "short-2", team="short", prompt=HUGE)
     scheduler.progress("long", 250, 1.0)
     scheduler.finish("long", 1.0)
     assert list(answers(scheduler.process_queue(1.0))) == ["short-2"]
 
 
-def test_an_engine_that_cannot_be_reached_gets_nothing_until_it_reports():
-    """An engine crashes and its memory looks empty: nothing of it is in use any more.
+def test_an_unreachable_engine_gets_no_requests_until_it_reports():
+    """An engine crashes, and its memory appears empty as nothing runs there any more.
 
-    Every request went there first, met a closed port, and had one try less for the
-    engines that live. For three and a half seconds the platform lists it as before.
+    Every request was sent there first, found a closed port and had one attempt less for the
+    live engines. The platform still lists a crashed engine for 3.5 s.
     """
     scheduler = make_scheduler()
-    ask(scheduler, "r1", prompt=HUGE)
-    ask(scheduler, "r2", prompt=HUGE)
+    request(scheduler, "r1", prompt=HUGE)
+    request(scheduler, "r2", prompt=HUGE)
     assert answers(scheduler.mark_unreachable(1.0))["r2"].code == "replica_unreached"
     scheduler.finish("r1", 1.0)
-    assert ask(scheduler, "r3", now=1.0).code == "replica_unreached"
+    assert request(scheduler, "r3", now=1.0).code == "replica_unreached"
     assert scheduler.try_grant(work("r4"), 1.0) is None
     assert scheduler.admit_migration(work("r5"), 10, 1.0).code == "replica_unreached"
     assert scheduler.is_unreachable
     report(scheduler, 2.0)
-    assert isinstance(ask(scheduler, "r3", now=2.0), replicascheduler.Granted)
+    assert isinstance(request(scheduler, "r3", now=2.0), replicascheduler.Granted)
     assert not scheduler.is_unreachable
 
 
-def test_an_engine_that_leaves_and_ends_stays_one_that_leaves():
+def test_a_leaving_engine_that_becomes_unreachable_is_still_leaving():
     scheduler = make_scheduler()
     report(scheduler, 1.0, leaving=True)
     scheduler.mark_unreachable(2.0)
-    assert ask(scheduler, "r1", now=2.0).code == "replica_leaving"
+    assert request(scheduler, "r1", now=2.0).code == "replica_leaving"
 
 
-def test_prompts_that_wait_to_be_read_hold_the_next_one_back():
-    """Half of the engines crash, and their callers come back to the others at once.
+def test_a_backlog_of_prompts_holds_back_the_next_request():
+    """Half of the engines crash, and their requests are retried at the others at once.
 
-    Memory took all their prompts in, and each stood for seconds behind those that had
-    come before, whether they could still be on time or not.
+    There was memory for all their prompts, but each waited for seconds behind the earlier ones,
+    whether these could still be on time or not.
     """
     scheduler = make_scheduler()
     scheduler.admission.ledger.capacity = 100_000
-    many = [ask(scheduler, f"r{number}", prompt=3000) for number in range(4)]
+    many = [request(scheduler, f"r{number}", prompt=3000) for number in range(4)]
     kinds = [type(answer) for answer in many]
-    granted, waits = replicascheduler.Granted, replicascheduler.Queued
-    assert kinds == [granted, granted, waits, waits]
+    granted, queued = replicascheduler.Granted, replicascheduler.Queued
+    assert kinds == [granted, granted, queued, queued]
     assert [each.request_id for each in scheduler.process_queue(0.1)] == ["r2"]
     assert [each.request_id for each in scheduler.process_queue(0.5)] == ["r3"]
 
 
 class PacedGate(startgate.StartGate):
-    """Lets so many requests start, and refuses the rest."""
+    """Lets a number of requests start, and refuses the rest."""
 
     def __init__(self, left):
         self.left = left
@@ -233,20 +235,20 @@
         self.left -= 1
 
 
-def test_what_the_gate_keeps_out_is_refused_and_not_queued():
-    """Guards requests against waiting for a cold replica while others have room."""
+def test_a_request_that_the_gate_holds_back_is_refused_and_not_queued():
+    """Requests must not wait for a cold replica while others have headroom."""
     scheduler = make_scheduler()
     scheduler.gate = PacedGate(1)
-    assert ask(scheduler, "r1") == replicascheduler.Granted("r1", "e1")
-    assert ask(scheduler, "r2").code == "replica_cold"
+    assert request(scheduler, "r1") == replicascheduler.Granted("r1", "e1")
+    assert request(scheduler, "r2").code == "replica_cold"
     assert scheduler.admit_migration(work("r3"), 5, 0.0).code == "replica_cold"
     assert (scheduler.running_count, scheduler.queued_count) == (1, 0)
 
 
-def test_those_that_wait_when_the_gate_closes_are_refused():
+def test_queued_requests_are_refused_when_the_gate_closes():
     scheduler = make_scheduler()
-    ask(scheduler, "r1", prompt=HUGE)
-    ask(scheduler, "r2", prompt=HUGE)
+    request(scheduler, "r1", prompt=HUGE)
+    request(scheduler, "r2", prompt=HUGE)
     scheduler.gate = PacedGate(0)
     assert answers(scheduler.process_queue(0.1))["r2"].code == "replica_cold"
     scheduler.finish("r1", 0.2)
--- a/tests/grants/test_schedulerset.py
+++ b/tests/grants/test_schedulerset.py
@@ -22,15 +22,15 @@
     )
 
 
-class Asking:
-    """Asks at a scheduler set and keeps every later answer."""
+class Requester:
+    """Requests grants at a scheduler set and keeps every later outcome."""
 
     def __init__(self):
         self.clock = clocks.ManualClock()
         self.schedulers = schedulerset.SchedulerSet(self.clock, lengthmodel.LengthModel())
         self.schedulers.configure(dict.fromkeys(REPLICAS, spec()))
         self.schedulers.set_owned(frozenset(REPLICAS))
-        self.told = collections.defaultdict(list)
+        self.outcomes_by_id = collections.defaultdict(list)
         self.sequence = 0
 
     def report(self, replica, leaving=False):
@@ -42,26 +42,26 @@
         if leaving:
             self.schedulers.drain(replica)
 
-    def ask(self, replica, request_id, team="clerks", prompt=20, patience_s=60.0):
+    def request(self, replica, request_id, team="clerks", prompt=20, patience_s=60.0):
         work = outcomes.Work(request_id, "chat", team, 0, prompt)
         deadline = self.clock.now() + patience_s
         return self.schedulers.request_grant(
-            replica, work, 1.0, deadline, self.told[request_id].append
+            replica, work, 1.0, deadline, self.outcomes_by_id[request_id].append
         )
 
 
 class SchedulerSetMachine(stateful.RuleBasedStateMachine):
-    """Every ask ends exactly once as refused or finished; no grant is lost."""
+    """Every request ends exactly once as refused or finished; no grant is lost."""
 
     def __init__(self):
         super().__init__()
-        self.asking = Asking()
+        self.requester = Requester()
         self.count = 0
         self.replica_by_waiting = {}
         self.replica_by_running = {}
         self.configured = set(REPLICAS)
         for replica in REPLICAS:
-            self.asking.report(replica)
+            self.requester.report(replica)
 
     @stateful.rule(
         replica=st.sampled_from(REPLICAS),
@@ -69,10 +69,10 @@
         prompt=st.sampled_from([20, 900]),
         patience_s=st.sampled_from([0.5, 3.0, 60.0]),
     )
-    def ask(self, replica, team, prompt, patience_s):
+    def request(self, replica, team, prompt, patience_s):
         self.count += 1
         name = f"r{self.count}"
-        answer = self.asking.ask(replica, name, team, prompt, patience_s)
+        answer = self.requester.request(replica, name, team, prompt, patience_s)
         if isinstance(answer, replicascheduler.Granted):
             self.replica_by_running[name] = replica
         elif isinstance(answer, replicascheduler.Queued):
@@ -82,12 +82,12 @@
 
     @stateful.precondition(lambda self: self.replica_by_waiting or self.replica_by_running)
     @stateful.rule(data=st.data())
-    def ask_again(self, data):
+    def request_again(self, data):
         known = self.replica_by_waiting | self.replica_by_running
         name = data.draw(st.sampled_from(sorted(known)))
         if known[name] not in self.configured:
             return
-        answer = self.asking.ask(known[name], name)
+        answer = self.requester.request(known[name], name)
         is_running = name in self.replica_by_running
         assert isinstance(
             answer, replicascheduler.Granted if is_running else replicascheduler.Queued
@@ -101,46 +101,46 @@
         self.replica_by_waiting.pop(name, None)
         self.replica_by_running.pop(name, None)
         for _ in range(times):
-            self.asking.schedulers.finish(known[name], name)
-        self.asking.told[name].clear()
+            self.requester.schedulers.finish(known[name], name)
+        self.requester.outcomes_by_id[name].clear()
 
     @stateful.rule(produced=st.integers(0, 600))
     def progress(self, produced):
         for name, replica in self.replica_by_running.items():
-            self.asking.schedulers.progress(replica, name, produced)
+            self.requester.schedulers.progress(replica, name, produced)
 
     @stateful.rule(
         replica=st.sampled_from(REPLICAS), leaving=st.sampled_from([False, False, True])
     )
     def report(self, replica, leaving):
-        self.asking.report(replica, leaving)
+        self.requester.report(replica, leaving)
 
     @stateful.rule(seconds=st.sampled_from([0.1, 1.0, 6.0]))
     def advance(self, seconds):
-        self.asking.clock.advance(seconds)
+        self.requester.clock.advance(seconds)
 
     @stateful.rule(
         names=st.sampled_from([REPLICAS, REPLICAS, ("e1",)]), max_waiting=st.integers(1, 4)
     )
     def configure(self, names, max_waiting):
-        self.asking.schedulers.configure(dict.fromkeys(names, spec(max_waiting)))
+        self.requester.schedulers.configure(dict.fromkeys(names, spec(max_waiting)))
         self.configured = set(names)
         gone = [n for n, r in self.replica_by_running.items() if r not in self.configured]
         for name in gone:
             del self.replica_by_running[name]
 
     @stateful.invariant()
-    def nothing_is_lost_or_told_twice(self):
-        self.asking.schedulers.process_queues()
-        for name, told in self.asking.told.items():
-            assert len(told) <= 1, name
-            if told and name in self.replica_by_waiting:
+    def no_request_is_lost_or_answered_twice(self):
+        self.requester.schedulers.process_queues()
+        for name, received in self.requester.outcomes_by_id.items():
+            assert len(received) <= 1, name
+            if received and name in self.replica_by_waiting:
                 replica = self.replica_by_waiting.pop(name)
-                if isinstance(told[0].answer, replicascheduler.Granted):
+                if isinstance(received[0].answer, replicascheduler.Granted):
                     self.replica_by_running[name] = replica
                 else:
-                    assert told[0].answer.run is outcomes.RunStatus.NOT_RUN
-        states = self.asking.schedulers.states()
+                    assert received[0].answer.run is outcomes.RunStatus.NOT_RUN
+        states = self.requester.schedulers.states()
         running = collections.Counter(self.replica_by_running.values())
         queued = collections.Counter(self.replica_by_waiting.values())
         for replica in REPLICAS:
@@ -150,8 +150,8 @@
 
     def teardown(self):
         for name, replica in (self.replica_by_waiting | self.replica_by_running).items():
-            self.asking.schedulers.finish(replica, name)
-        states = self.asking.schedulers.states().values()
+            self.requester.schedulers.finish(replica, name)
+        states = self.requester.schedulers.states().values()
         assert all(state.running == state.waiting == 0 for state in states)
 
 
@@ -162,49 +162,51 @@
 
 
 def test_an_unknown_replica_is_refused_as_not_run():
-    answer = Asking().ask("e9", "r1")
+    answer = Requester().request("e9", "r1")
     assert (answer.code, answer.run) == ("replica_unknown", outcomes.RunStatus.NOT_RUN)
 
 
-def test_whoever_waits_for_a_removed_replica_is_told():
-    """An operator takes a replica out while callers wait for it."""
-    asking = Asking()
-    asking.ask("e2", "r1")
-    asking.schedulers.configure({"e1": spec()})
-    assert [each.answer.code for each in asking.told["r1"]] == ["replica_leaving"]
+def test_requests_queued_at_a_removed_replica_are_refused():
+    """An operator removes a replica from the configuration while requests wait for it."""
+    requester = Requester()
+    requester.request("e2", "r1")
+    requester.schedulers.configure({"e1": spec()})
+    assert [each.answer.code for each in requester.outcomes_by_id["r1"]] == ["replica_leaving"]
 
 
-def test_whoever_waits_is_sent_on_when_the_replica_gets_another_owner():
-    """A request waits at a node that has just started, for a replica of another owner.
+def test_queued_requests_are_refused_when_the_replica_gets_another_owner():
+    """A request waits at a node that has just started, for a replica with another owner.
 
-    The node reads no reports of that replica, so the queue would never move and the
-    caller would be refused at its deadline beside an idle engine.
+    The node receives no load reports of that replica, so its queue would never be served. The
+    caller would be refused at its deadline while the engine is idle.
     """
-    node = Asking()
-    node.ask("e1", "r1")
+    node = Requester()
+    node.request("e1", "r1")
     node.schedulers.set_owned(frozenset())
-    assert [settled.answer.code for settled in node.told["r1"]] == ["owner_moved"]
-    assert node.ask("e1", "r2").code == "owner_moved"
+    assert [outcome.answer.code for outcome in node.outcomes_by_id["r1"]] == ["owner_moved"]
+    assert node.request("e1", "r2").code == "owner_moved"
 
 
-def test_a_replica_that_was_never_heard_of_shows_no_room():
+def test_a_replica_that_never_reported_has_no_headroom():
     """A failure domain is lost, and a node owns replicas that it cannot reach.
 
-    Shown as empty, they would draw requests that wait there beside engines with room.
+    If these appeared empty, requests would wait there while other engines have headroom.
     """
-    node = Asking()
+    node = Requester()
     node.report("e2")
-    rooms = {name: state.headroom_tokens for name, state in node.schedulers.states().items()}
-    assert rooms["e1"] == 0
-    assert rooms["e2"] > 0
+    headroom_by_replica = {
+        name: state.headroom_tokens for name, state in node.schedulers.states().items()
+    }
+    assert headroom_by_replica["e1"] == 0
+    assert headroom_by_replica["e2"] > 0
 
 
-def test_a_replica_whose_reports_have_stopped_shows_no_room():
-    """The link to an engine stalls; its last report said that it was empty.
+def test_a_replica_whose_reports_have_stopped_has_no_headroom():
+    """The connection to an engine stalls after a report of an empty engine.
 
-    Until that report is too old to count, new requests would be drawn to it.
+    New requests would be sent there until that report is too old to be valid.
     """
-    node = Asking()
+    node = Requester()
     node.report("e1")
     node.clock.advance(replicascheduler.REPORT_OVERDUE_S + 0.1)
     assert node.schedulers.states()["e1"].headroom_tokens == 0
