--- a/tests/routed/fakes.py
+++ b/tests/routed/fakes.py
@@ -1,4 +1,4 @@
-"""Parts of the routed path that tests put in place of others."""
+"""Fakes and sample values for tests of routed requests."""
 
 from hornbeamglade.core import clocks
 from hornbeamglade.http1 import serverside
@@ -10,7 +10,7 @@
 
 
 class FakeExchange:
-    """A caller's side that keeps what is sent to it."""
+    """An exchange with a caller that records the response."""
 
     def __init__(self):
         self.status = None
@@ -39,7 +39,7 @@
 
 
 def route(kind=models.RouteKind.IDEMPOTENT, **changes):
-    told = {
+    defaults = {
         "name": "r",
         "host": HOST,
         "prefix": "/r/",
@@ -50,7 +50,7 @@
         "urgency": 1,
         "max_attempts": 2,
     }
-    return models.Route(**(told | changes))
+    return models.Route(**(defaults | changes))
 
 
 def request(request_id="r1", target=b"/r/1", *more):
@@ -58,7 +58,9 @@
     return serverside.Request(b"POST", target, fields, b"body", 0.0)
 
 
-def routed(clock, found, service=None, request_id="r1", generation=None, last_event_id=None):
+def routed(
+    clock, matched_route, service=None, request_id="r1", generation=None, last_event_id=None
+):
     service = service or models.Service("s", "/healthz", 100, None)
     call = calls.Call(
         request_id,
@@ -68,22 +70,22 @@
         ((b"Host", HOST.encode()), (b"Attempt-Id", request_id.encode())),
         b"body",
         clock.now(),
-        clock.now() + found.timeout_s,
+        clock.now() + matched_route.timeout_s,
         None,
         generation,
         last_event_id,
     )
-    return callrouter.RoutedRequest(call, found, service, None, 1)
+    return callrouter.RoutedRequest(call, matched_route, service, None, 1)
 
 
 def routed_call(**changes):
-    """Return a plain request that needs no room anywhere."""
+    """Return a request to a plain service, which needs no grant."""
     return routed(clocks.ManualClock(), route(**changes))
 
 
 def routed_draft(max_tokens=4000):
-    """Return a request for an engine's stream of the route ``draft``."""
+    """Return a streaming request of the route ``draft``."""
     service = models.Service("s", "/healthz", 100, ENGINE)
-    found = route(models.RouteKind.STREAM, name="draft", goal_s=1.0)
+    matched_route = route(models.RouteKind.STREAM, name="draft", goal_s=1.0)
     generation = calls.Generation("m", 3000, max_tokens)
-    return routed(clocks.ManualClock(), found, service, generation=generation)
+    return routed(clocks.ManualClock(), matched_route, service, generation=generation)
--- a/tests/routed/test_bufferedexchange.py
+++ b/tests/routed/test_bufferedexchange.py
@@ -1,4 +1,4 @@
-"""Whole answers, from replicas that answer well, badly or not at all."""
+"""Buffered responses from replicas that respond correctly, incorrectly or not at all."""
 
 import dataclasses
 import random
@@ -29,7 +29,7 @@
 
 
 class Site:
-    """Stand-in replicas and an exchange that knows them."""
+    """Stand-in replicas and a buffered exchange that uses them."""
 
     def __init__(self, count, budget=BUDGET):
         self.servers = [routed.RoutedStandin(f"i{n}") for n in range(count)]
@@ -69,7 +69,7 @@
         )
 
     def make_cold(self, replica_id):
-        """Have a replica bear one request in a minute."""
+        """Make a replica cold, with a slow start of one minute."""
         start = models.SlowStart(requests_per_s=0.25, duration_s=60.0)
         self.available.configure({"s": models.Service("s", "/h", 50, None, start)})
         replica = dataclasses.replace(self.list.by_id[replica_id], warm_in_s=60.0)
@@ -95,8 +95,8 @@
             await server.stop()
 
 
-def ask(faults, kind=models.RouteKind.IDEMPOTENT, count=2, budget=BUDGET, **changes):
-    """Ask once where the first replica that is asked has faults; return answer and site."""
+def send_request(faults, kind=models.RouteKind.IDEMPOTENT, count=2, budget=BUDGET, **changes):
+    """Send a request whose first replica has faults; return the answer and the site."""
 
     async def main():
         site = Site(count, budget)
@@ -105,7 +105,7 @@
         for server in site.servers:
             if server.replica_id == first.id:
                 server.faults = routedfaults.RoutedFaults(**faults)
-        # The same choice is made again: nothing is outstanding anywhere.
+        # The exchange makes the same choice again, as no requests are outstanding.
         site.exchange._loads._rng = random.Random(1)
         call = fakes.routed(site.clock, fakes.route(kind, **changes))
         answer = await site.exchange.answer(call, site.log)
@@ -115,8 +115,8 @@
     return eventloop.run(main())
 
 
-def test_answer_comes_whole_and_as_it_is():
-    answer, site = ask({})
+def test_response_is_forwarded_whole_and_unchanged():
+    answer, site = send_request({})
     assert answer.status == 200
     assert answer.body.endswith(b":r1")
     assert site.ran() == 1
@@ -125,40 +125,41 @@
 @pytest.mark.parametrize(
     "fault", ["torn", "reset", "unproved", "fail"], ids=lambda fault: f"{fault}"
 )
-def test_repeatable_request_gets_its_answer_elsewhere(fault):
-    answer, site = ask({fault: True})
+def test_repeatable_request_is_retried_at_another_replica(fault):
+    answer, site = send_request({fault: True})
     assert (answer.status, site.ran(), site.log.sent) == (200, 2, 2)
 
 
 @pytest.mark.parametrize("fault", ["torn", "reset", "unproved"])
 def test_single_request_is_never_run_again(fault):
-    """A reservation is made, and its answer is lost on the way.
+    """A reservation is made, and the response is lost on the way.
 
-    Sent to a second replica it would be made twice; told "not run" it would be sent again.
+    A retry at a second replica would make it twice; so would the caller's retry after a
+    refusal that states "not run".
     """
-    refusal, site = ask({fault: True}, SINGLE)
+    refusal, site = send_request({fault: True}, SINGLE)
     assert isinstance(refusal, outcomes.Refusal)
     assert (refusal.http_status, refusal.run) == (502, outcomes.RunStatus.UNKNOWN)
     assert site.ran() == 1
 
 
-def test_replicas_own_failure_of_a_single_request_is_passed_on():
-    answer, site = ask({"fail": True}, SINGLE)
+def test_error_response_to_a_single_request_is_forwarded():
+    answer, site = send_request({"fail": True}, SINGLE)
     assert (answer.status, site.ran()) == (500, 1)
     assert dict(answer.fields)[b"Response-Seal"]
 
 
-def test_replicas_own_failure_is_passed_on_when_no_attempt_is_left():
-    answer, site = ask({"fail": True}, max_attempts=1)
+def test_error_response_is_forwarded_when_no_attempt_is_left():
+    answer, site = send_request({"fail": True}, max_attempts=1)
     assert (answer.status, site.ran()) == (500, 1)
 
 
-def test_refusal_as_not_run_lets_a_single_request_go_on():
-    answer, site = ask({"refuse": True}, SINGLE)
+def test_single_request_is_retried_after_a_refusal_as_not_run():
+    answer, site = send_request({"refuse": True}, SINGLE)
     assert (answer.status, site.ran(), site.log.sent) == (200, 1, 2)
 
 
-def test_all_replicas_full_is_told_as_not_run():
+def test_refusal_by_all_replicas_is_reported_as_not_run():
     async def main():
         site = Site(2)
         await site.start()
@@ -176,14 +177,14 @@
     assert ran == 0
 
 
-def test_stray_answer_of_another_request_is_passed_over():
-    """A late answer to another request comes first on the connection."""
-    answer, site = ask({"stray": True}, SINGLE)
+def test_response_to_another_request_is_skipped():
+    """A late response to another request comes first on the connection."""
+    answer, site = send_request({"stray": True}, SINGLE)
     assert answer.body.endswith(b":r1")
     assert site.ran() == 1
 
 
-def test_second_answer_spoils_no_later_request():
+def test_duplicate_response_does_not_affect_later_requests():
     async def main():
         site = Site(1)
         await site.start()
@@ -199,10 +200,10 @@
     assert eventloop.run(main()) == [b"i0:r1", b"i0:r2", b"i0:r3"]
 
 
-def test_replica_at_a_reused_address_refuses_and_another_answers():
-    """A replica's address belongs to another service by now.
+def test_refusal_at_a_reused_address_is_retried_at_another_replica():
+    """The address of a replica now belongs to another service.
 
-    It says that it is not the one that is meant, and runs nothing.
+    That server reports that it is not the intended one and runs nothing.
     """
 
     async def main():
@@ -220,17 +221,17 @@
     assert (bodies, ran) == ([f"i1:r{n}".encode() for n in (1, 2, 3, 4)], 0)
 
 
-def test_no_more_is_sent_than_the_budget_allows():
+def test_retries_stay_within_the_budget():
     """Every replica of a service fails at once.
 
-    Sent on by every node, the requests of its callers would come twice as often.
+    With a retry at every node, the number of requests would double.
     """
     none_left = retrybudget.BudgetSettings(ratio=0.0, slack=0.0, window_s=10.0)
-    answer, site = ask({"fail": True}, budget=none_left)
+    answer, site = send_request({"fail": True}, budget=none_left)
     assert (answer.status, site.ran()) == (500, 1)
 
 
-def test_leaving_and_unlisted_replicas_get_nothing():
+def test_leaving_and_unlisted_replicas_get_no_requests():
     async def main():
         site = Site(2)
         await site.start()
@@ -245,7 +246,7 @@
     assert (refusal.code, refusal.http_status, ran) == ("no_replica", 503, 0)
 
 
-def test_unreachable_replica_costs_no_attempt():
+def test_unreachable_replica_does_not_count_as_an_attempt():
     async def main():
         site = Site(2)
         await site.start()
@@ -263,7 +264,7 @@
     assert eventloop.run(main()) == [200] * 4
 
 
-def test_cold_replica_gets_few_requests_and_the_others_the_rest():
+def test_cold_replica_gets_few_requests():
     async def main():
         site = Site(2)
         await site.start()
@@ -279,7 +280,7 @@
     assert warm >= 29
 
 
-def test_caller_is_told_when_a_cold_replica_takes_a_request_again():
+def test_refusal_states_when_a_cold_replica_accepts_requests():
     async def main():
         site = Site(1)
         await site.start()
--- a/tests/routed/test_callrouter.py
+++ b/tests/routed/test_callrouter.py
@@ -1,4 +1,4 @@
-"""Route, team and service of a request."""
+"""Routing of requests to a route, team and service."""
 
 import pytest
 
@@ -17,29 +17,29 @@
     return views.RouteView(configuration)
 
 
-def ask(current, *fields, target=b"/r/1"):
+def route_request(route_view, *fields, target=b"/r/1"):
     call = requestdialect.PlatformDialect().parse_request(fakes.request("r1", target, *fields))
-    return callrouter.route(call, current)
+    return callrouter.route(call, route_view)
 
 
 def test_request_is_routed():
-    found = ask(view(fakes.route()))
+    found = route_request(view(fakes.route()))
     assert (found.route.name, found.service, found.team, found.revision) == ("r", SERVICE, None, 3)
 
 
-def test_before_the_first_configuration_nothing_is_denied():
-    """A node has just started and knows no route.
+def test_before_the_first_configuration_requests_are_refused_temporarily():
+    """A node that has just started knows no route.
 
-    A 404 would tell the caller that its route does not exist, and it would not come back.
+    A 404 would tell the caller that the route does not exist, and it would not retry.
     """
-    refusal = ask(None)
+    refusal = route_request(None)
     assert (refusal.http_status, refusal.code) == (503, "no_configuration")
     assert refusal.retry_after_s
 
 
 @pytest.mark.parametrize("target", [b"/", b"/r", b"/x/1"])
-def test_path_that_no_route_begins_is_not_found(target):
-    assert ask(view(fakes.route()), target=target).http_status == 404
+def test_path_without_a_matching_route_is_not_found(target):
+    assert route_request(view(fakes.route()), target=target).http_status == 404
 
 
 @pytest.mark.parametrize(
@@ -54,18 +54,21 @@
 )
 def test_key_is_needed_unless_the_route_is_public(is_public, fields, status):
     teams = (models.Team("clinic", frozenset(("k1",))),)
-    found = ask(view(fakes.route(is_public=is_public), teams=teams), *fields)
+    found = route_request(view(fakes.route(is_public=is_public), teams=teams), *fields)
     assert (found.http_status if isinstance(found, outcomes.Refusal) else None) == status
 
 
-def test_team_urgency_goes_before_the_routes():
+def test_team_urgency_overrides_the_routes():
     teams = (models.Team("clinic", frozenset(("k1",)), 4), models.Team("city", frozenset(("k2",))))
-    current = view(fakes.route(urgency=2), teams=teams)
-    ranks = [ask(current, (b"Authorization", f"Bearer {key}".encode())) for key in ("k1", "k2")]
+    route_view = view(fakes.route(urgency=2), teams=teams)
+    ranks = [
+        route_request(route_view, (b"Authorization", f"Bearer {key}".encode()))
+        for key in ("k1", "k2")
+    ]
     assert [found.urgency for found in ranks] == [4, 2]
 
 
-def test_shorter_of_the_callers_and_the_routes_time_counts():
-    current = view(fakes.route(timeout_s=2.0))
-    assert ask(current, (b"Deadline-Ms", b"1500")).ends_at == 1.5
-    assert ask(current, (b"Deadline-Ms", b"2500")).ends_at == 2.0
+def test_shorter_of_the_callers_and_the_routes_timeout_applies():
+    route_view = view(fakes.route(timeout_s=2.0))
+    assert route_request(route_view, (b"Deadline-Ms", b"1500")).ends_at == 1.5
+    assert route_request(route_view, (b"Deadline-Ms", b"2500")).ends_at == 2.0
--- a/tests/routed/test_drainadmission.py
+++ b/tests/routed/test_drainadmission.py
@@ -1,4 +1,4 @@
-"""What a stopping instance takes: only what ends before its process does."""
+"""A stopping instance admits only requests that complete before its process ends."""
 
 import pytest
 
@@ -6,12 +6,12 @@
 from hornbeamglade.routed import drainadmission, tokentimes
 from tests.routed import fakes
 
-BEGUN_AT = 100.0
+STOP_REQUESTED_AT = 100.0
 ENDS_AT = 108.0
 
 
-def work(*lengths, ends_at=ENDS_AT, others_ready=True):
-    """Return the decision of an instance that has seen answers of some lengths."""
+def admission(*lengths, ends_at=ENDS_AT, others_ready=True):
+    """Return the admission of an instance that has observed answers of some lengths."""
     model = lengthmodel.LengthModel()
     for tokens in lengths:
         model.observe("draft", "clinic", tokens)
@@ -21,73 +21,73 @@
         lambda route, team, tokens: model.table(route, team).survival(tokens),
         lambda: others_ready,
         ends_at,
-        BEGUN_AT,
+        STOP_REQUESTED_AT,
     )
 
 
-def test_an_instance_that_serves_takes_everything():
-    assert work(ends_at=None).refusal(fakes.routed_draft(), 100.0) is None
+def test_serving_instance_admits_every_request():
+    assert admission(ends_at=None).refusal(fakes.routed_draft(), 100.0) is None
 
 
-def test_a_draft_that_would_be_cut_is_refused_at_once():
-    """A caller with an old address asks for a draft six seconds after the signal.
+def test_stream_that_would_be_truncated_is_refused():
+    """A caller with a cached address sends a streaming request six seconds after the signal.
 
-    Drafts take ten seconds and the process ends in two: its caller got a third of the
-    draft, and a connection that closed.
+    Its stream takes ten seconds and the process ends in two; the caller got a third of the
+    answer before the connection closed.
     """
-    refusal = work(*[900] * 200).refusal(fakes.routed_draft(), 106.0)
+    refusal = admission(*[900] * 200).refusal(fakes.routed_draft(), 106.0)
     assert (refusal.code, refusal.http_status) == ("node_leaving", 503)
     assert refusal.retry_after_s == drainadmission.OTHER_INSTANCE_RETRY_S
 
 
 @pytest.mark.parametrize(("now", "is_taken"), [(100.0, True), (107.5, False)])
-def test_a_short_answer_is_taken_while_there_is_time(now, is_taken):
-    refusal = work(*[30] * 200).refusal(fakes.routed_draft(), now)
+def test_short_answer_is_admitted_while_there_is_time(now, is_taken):
+    refusal = admission(*[30] * 200).refusal(fakes.routed_draft(), now)
     assert (refusal is None) is is_taken
 
 
-def test_the_callers_bound_on_an_answer_counts():
-    assert work(*[900] * 200).refusal(fakes.routed_draft(max_tokens=40), 104.0) is None
+def test_callers_token_limit_is_taken_into_account():
+    assert admission(*[900] * 200).refusal(fakes.routed_draft(max_tokens=40), 104.0) is None
 
 
 @pytest.mark.parametrize(("now", "is_taken"), [(107.0, True), (107.9, False)])
-def test_a_plain_request_is_taken_until_its_answer_would_be_late(now, is_taken):
-    refusal = work().refusal(fakes.routed_call(goal_s=0.3), now)
+def test_plain_request_is_admitted_until_its_response_would_be_late(now, is_taken):
+    refusal = admission().refusal(fakes.routed_call(goal_s=0.3), now)
     assert (refusal is None) is is_taken
 
 
 @pytest.mark.parametrize(("now", "is_taken"), [(101.0, True), (105.0, False)])
-def test_with_nowhere_else_to_go_a_draft_is_taken_that_may_well_end(now, is_taken):
-    """Six instances are stopped one second after the other; for four seconds all leave.
+def test_without_another_instance_a_likely_truncation_is_accepted_at_first(now, is_taken):
+    """Six instances are stopped one second apart; for four seconds all of them are leaving.
 
-    Refused by all of them, every draft of those seconds was lost: its caller comes back
-    once, to another instance that leaves.
+    When all of them refused, every streaming request of those seconds was lost: its caller
+    retries once, at another leaving instance.
     """
     lengths = [200, 400, 900, 900] * 50
-    refusal = work(*lengths, others_ready=False).refusal(fakes.routed_draft(), now)
+    refusal = admission(*lengths, others_ready=False).refusal(fakes.routed_draft(), now)
     assert (refusal is None) is is_taken
     assert is_taken or refusal.retry_after_s == drainadmission.ALL_LEAVING_RETRY_S
-    assert work(*lengths).refusal(fakes.routed_draft(), now) is not None
+    assert admission(*lengths).refusal(fakes.routed_draft(), now) is not None
 
 
-def test_long_after_the_signal_nothing_is_taken_that_may_well_be_cut():
-    """Two rounds of planned stops overlap, and for seconds every instance of a site leaves.
+def test_long_after_the_signal_only_near_certain_requests_are_admitted():
+    """Two rounds of planned stops overlap, and for seconds every instance of a site is leaving.
 
-    Each took drafts that would end in time with two chances in five, four seconds after its
-    signal: three of five were cut in the middle, though each could have been refused.
+    Four seconds after the signal each admitted streams that had a chance of two in five of
+    completing; three of five were truncated, although they could have been refused.
     """
     lengths = [200] * 95 + [900] * 5
     for others_ready in (False, True):
         early, late = (
-            work(*lengths, others_ready=others_ready).refusal(fakes.routed_draft(), now)
-            for now in (BEGUN_AT + 2.0, BEGUN_AT + 3.5)
+            admission(*lengths, others_ready=others_ready).refusal(fakes.routed_draft(), now)
+            for now in (STOP_REQUESTED_AT + 2.0, STOP_REQUESTED_AT + 3.5)
         )
         assert early is None
         assert late.http_status == 503
-    sure = work(*[30] * 200, others_ready=False)
-    assert sure.refusal(fakes.routed_draft(max_tokens=40), BEGUN_AT + 3.5) is None
+    sure = admission(*[30] * 200, others_ready=False)
+    assert sure.refusal(fakes.routed_draft(max_tokens=40), STOP_REQUESTED_AT + 3.5) is None
 
 
-def test_what_is_under_way_is_cut_by_the_stop_only_at_its_limit():
-    assert not work(ends_at=None).is_over(200.0)
-    assert (work().is_over(ENDS_AT - 0.1), work().is_over(ENDS_AT)) == (False, True)
+def test_requests_in_flight_are_truncated_only_at_the_stop_limit():
+    assert not admission(ends_at=None).is_over(200.0)
+    assert (admission().is_over(ENDS_AT - 0.1), admission().is_over(ENDS_AT)) == (False, True)
--- a/tests/routed/test_enginecatalog.py
+++ b/tests/routed/test_enginecatalog.py
@@ -1,4 +1,4 @@
-"""What a node knows of the engines that it owns and of the others."""
+"""Routing candidates among a node's own engines and those of other owners."""
 
 import random
 
@@ -52,7 +52,7 @@
     schedulers.apply(replica, lambda scheduler, now: scheduler.apply_report(view, False, now))
 
 
-def test_own_engines_of_the_service_are_named_the_emptiest_first():
+def test_own_engines_of_the_service_are_listed_by_free_memory():
     schedulers, _, catalog = make(owned=("e0", "e1", "x0"))
     report(schedulers, "e0", 8_000)
     report(schedulers, "e1", 1_000)
@@ -60,7 +60,7 @@
     assert catalog.owned_alternatives("e2", WORK) == ("e1", "e0")
 
 
-def test_engine_that_leaves_is_not_named():
+def test_leaving_engine_is_not_listed():
     schedulers, _, catalog = make()
     report(schedulers, "e0", 0)
     report(schedulers, "e1", 0)
@@ -68,7 +68,7 @@
     assert catalog.owned_alternatives("e0", WORK) == ("e0",)
 
 
-def test_replica_that_this_node_has_not_heard_of_has_no_likes():
+def test_unknown_replica_has_no_alternatives():
     _, _, catalog = make()
     assert catalog.owned_alternatives("unheard", WORK) == ()
 
@@ -76,26 +76,26 @@
 MANY = tuple(f"e{number:03}" for number in range(200))
 
 
-def replicas_of(found):
-    return tuple(each.replica for each in found)
+def replica_ids(candidates_found):
+    return tuple(each.replica for each in candidates_found)
 
 
-def test_request_compares_some_of_many_engines_and_all_of_its_own_node():
+def test_request_compares_all_own_engines_and_a_sample_of_the_others():
     _, _, catalog = make(owned=("e150",), names=MANY)
-    compared = replicas_of(catalog.candidates("llm", frozenset(), sample_offset=190))
+    compared = replica_ids(catalog.candidates("llm", frozenset(), sample_offset=190))
     assert compared == ("e150", *MANY[190:], *MANY[:54])
 
 
-def test_engines_out_of_the_question_take_no_place_among_those_compared():
+def test_excluded_engines_do_not_count_towards_the_sample():
     _, _, catalog = make(owned=(), names=MANY)
-    compared = replicas_of(catalog.candidates("llm", frozenset(MANY[:100]), sample_offset=10))
+    compared = replica_ids(catalog.candidates("llm", frozenset(MANY[:100]), sample_offset=10))
     assert compared == MANY[100:164]
 
 
-def test_engine_chosen_by_its_owner_is_found_though_it_was_not_compared():
+def test_engine_chosen_by_its_owner_is_found_outside_the_sample():
     _, _, catalog = make(owned=(), names=MANY)
     chosen = messages.key_hash("e120")
-    assert "e120" not in replicas_of(catalog.candidates("llm", frozenset()))
+    assert "e120" not in replica_ids(catalog.candidates("llm", frozenset()))
     assert catalog.find(chosen, "llm", frozenset()) == "e120"
     assert catalog.find(chosen, "llm", frozenset(("e120",))) is None
     assert catalog.find(chosen, "other", frozenset()) is None
--- a/tests/routed/test_eventsplit.py
+++ b/tests/routed/test_eventsplit.py
@@ -1,4 +1,4 @@
-"""Events out of bytes that come in any pieces."""
+"""Events are split correctly from bytes received in any pieces."""
 
 import hypothesis
 from hypothesis import strategies
@@ -12,7 +12,7 @@
 
 
 @hypothesis.given(strategies.lists(_LINES, max_size=5), _ENDS, strategies.data())
-def test_pieces_do_not_matter(events, end, data):
+def test_result_does_not_depend_on_the_pieces(events, end, data):
     whole = b"".join(end.join(lines) + end + end for lines in events)
     cuts = sorted(data.draw(strategies.sets(strategies.integers(0, len(whole)), max_size=6)))
     bounds = [0, *cuts, len(whole)]
@@ -25,7 +25,7 @@
     assert splitter.remainder == b""
 
 
-def test_id_is_read_wherever_it_stands():
+def test_id_is_read_at_any_position_in_an_event():
     splitter = eventsplit.EventSplitter()
     events = splitter.feed(b"weight-versions: 2\nid:12\ndata: id: 5\n\ndata: x\n\n")
     assert [event.id for event in events] == ["12", None]
--- a/tests/routed/test_migration.py
+++ b/tests/routed/test_migration.py
@@ -1,4 +1,4 @@
-"""A run's move: room first, then its turn, then the copy; nothing stays held."""
+"""Migration of a run: target, slot, copy; every resource is released at the end."""
 
 import asyncio
 
@@ -15,14 +15,14 @@
 TARGET = replicamodels.Replica("e1", "llm", "10.0.0.2:1", "a", 8)
 
 
-class Engines(control.EngineControl):
-    """Copies at once, or as ``answers`` say."""
+class FakeEngines(control.EngineControl):
+    """Completes each copy at once, or returns the next of ``copy_results``."""
 
-    def __init__(self, done):
-        self._done = done
-        self.answers = []
+    def __init__(self, steps):
+        self._steps = steps
+        self.copy_results = []
         self.dropped = []
-        self.is_source_gone = False
+        self.is_source_down = False
         self.copied = asyncio.Event()
         self.copied.set()
 
@@ -30,45 +30,45 @@
         return None
 
     async def copy_kv_cache(self, address, request_id, to, *, is_last, timeout_s):
-        self._done.append("stop" if is_last else "copy")
+        self._steps.append("stop" if is_last else "copy")
         await self.copied.wait()
-        if self.answers:
-            return self.answers.pop(0)
+        if self.copy_results:
+            return self.copy_results.pop(0)
         return models.CopySucceeded("copy-1", 7)
 
     async def drop_copy(self, address, name):
-        if self.is_source_gone and address == SOURCE.address:
+        if self.is_source_down and address == SOURCE.address:
             return False
         self.dropped.append((address, name))
         return True
 
 
-class Seeker:
-    """Has room when ``has_room``; counts what is held."""
+class FakeAcquirer:
+    """Grants requests while ``has_capacity`` is set; counts the held grants."""
 
-    def __init__(self, done):
-        self._done = done
-        self.has_room = True
-        self.held = 0
+    def __init__(self, steps):
+        self._steps = steps
+        self.has_capacity = True
+        self.held_grants = 0
 
     async def acquire_for_migration(self, placement, failure_domain):
-        self._done.append("room" if self.has_room else "full")
-        if not self.has_room:
+        self._steps.append("granted" if self.has_capacity else "refused")
+        if not self.has_capacity:
             return None
-        self.held += 1
+        self.held_grants += 1
         return asyncgrantacquirer.Grant(TARGET.id, f"{placement.admission_id}@{TARGET.id}")
 
     def release(self, grant):
-        self.held -= 1
+        self.held_grants -= 1
 
 
-class Turns:
-    """Gives the turn when ``go`` is set."""
+class FakeSlots:
+    """Gives departure slots while ``may_leave`` is set, arrival slots while ``may_arrive`` is."""
 
-    def __init__(self, done):
-        self._done = done
-        self.go = asyncio.Event()
-        self.go.set()
+    def __init__(self, steps):
+        self._steps = steps
+        self.may_leave = asyncio.Event()
+        self.may_leave.set()
 
         self.arrivals = []
         self.may_arrive = asyncio.Event()
@@ -78,22 +78,22 @@
         self, replica, request_id, tokens, direction=migrationcoordinator.SlotDirection.LEAVE
     ):
         if direction is migrationcoordinator.SlotDirection.ARRIVE:
-            self.arrivals.append(("asks", replica))
+            self.arrivals.append(("slot requested", replica))
             await self.may_arrive.wait()
-            self.arrivals.append(("turn", replica))
+            self.arrivals.append(("slot acquired", replica))
             return
-        self._done.append("asks")
-        await self.go.wait()
-        self._done.append("turn")
+        self._steps.append("slot requested")
+        await self.may_leave.wait()
+        self._steps.append("slot acquired")
 
     def release(self, replica, request_id, direction=migrationcoordinator.SlotDirection.LEAVE):
         if direction is migrationcoordinator.SlotDirection.ARRIVE:
-            self.arrivals.append(("done", replica))
+            self.arrivals.append(("slot released", replica))
             return
-        self._done.append("done")
+        self._steps.append("slot released")
 
 
-class Book:
+class FakeCatalog:
     def __init__(self):
         self.evacuated = set()
 
@@ -104,28 +104,32 @@
         return {each.id: each for each in (SOURCE, TARGET)}.get(replica_id)
 
 
-class Move:
-    """One move and all that it works with."""
+class MigrationSetup:
+    """One migration with fake dependencies."""
 
     def __init__(self, limit_s=30.0):
-        self.done = []
-        self.engines, self.acquirer = Engines(self.done), Seeker(self.done)
-        self.turns, self.catalog, clock = Turns(self.done), Book(), clocks.SystemClock()
-        parts = migration.MigrationDependencies(
-            self.engines, self.acquirer, self.turns, self.catalog, clock
+        self.steps = []
+        self.engines, self.acquirer = FakeEngines(self.steps), FakeAcquirer(self.steps)
+        self.slots, self.catalog, clock = (
+            FakeSlots(self.steps),
+            FakeCatalog(),
+            clocks.SystemClock(),
+        )
+        dependencies = migration.MigrationDependencies(
+            self.engines, self.acquirer, self.slots, self.catalog, clock
         )
         work = outcomes.Work("r1", "draft", "clinic", 1, 500, 100)
         placement = asyncgrantacquirer.PlacementRequest(work, 1.0, clock.now() + limit_s, tuple)
-        self.migration = migration.Migration(SOURCE, "r1", placement, parts)
+        self.migration = migration.Migration(SOURCE, "r1", placement, dependencies)
 
     async def run(self):
         await self.migration.run(40)
 
-    async def end_while_copied(self):
-        """Let the run end in the middle of its first copy, and the copy come to its end."""
+    async def end_run_during_copy(self):
+        """End the run during its first copy, then let the copy complete."""
         self.engines.copied.clear()
         task = asyncio.ensure_future(self.run())
-        await eventloop.until(lambda: "copy" in self.done)
+        await eventloop.until(lambda: "copy" in self.steps)
         self.migration.run_ended(task)
         await asyncio.sleep(0)
         self.engines.copied.set()
@@ -133,177 +137,185 @@
         await asyncio.sleep(0)
 
 
-def test_room_is_found_before_the_turn_and_the_turn_is_for_the_copy():
-    """Many runs leave one engine; each turn that is spent on looking costs another run."""
+def test_target_is_selected_before_the_slot_and_the_slot_covers_only_the_copy():
+    """A slot held during the search for a target would delay the other runs that leave."""
 
     async def test():
-        move = Move()
-        await move.run()
-        return move.done, move.migration.outcome, move.acquirer.held
+        setup = MigrationSetup()
+        await setup.run()
+        return setup.steps, setup.migration.outcome, setup.acquirer.held_grants
 
-    assert eventloop.run(test()) == (["room", "asks", "turn", "copy", "stop", "done"], "moved", 1)
+    assert eventloop.run(test()) == (
+        ["granted", "slot requested", "slot acquired", "copy", "stop", "slot released"],
+        "moved",
+        1,
+    )
 
 
-def test_stream_that_ends_while_it_waits_for_its_turn_gives_its_room_back():
-    """Room for a run that has ended would be held until the instance stops."""
+def test_run_that_ends_while_it_waits_for_its_slot_releases_the_grant():
+    """Otherwise the grant of an ended run is held until the instance stops."""
 
     async def test():
-        move = Move()
-        move.turns.go.clear()
-        task = asyncio.ensure_future(move.run())
-        await eventloop.until(lambda: "asks" in move.done)
+        setup = MigrationSetup()
+        setup.slots.may_leave.clear()
+        task = asyncio.ensure_future(setup.run())
+        await eventloop.until(lambda: "slot requested" in setup.steps)
         task.cancel()
         await asyncio.wait((task,))
-        return move.acquirer.held, move.done[-1]
+        return setup.acquirer.held_grants, setup.steps[-1]
 
-    assert eventloop.run(test()) == (0, "done")
+    assert eventloop.run(test()) == (0, "slot released")
 
 
-def test_nothing_is_copied_to_an_engine_that_is_evacuated_meanwhile():
-    """Guards against a copy to an engine that let the run in before its evacuation."""
+def test_nothing_is_copied_to_an_engine_evacuated_during_the_wait():
+    """The engine granted the request before its failure domain was evacuated."""
 
     async def test():
-        move = Move(limit_s=0.3)
-        move.turns.may_arrive.clear()
-        task = asyncio.ensure_future(move.run())
-        await eventloop.until(lambda: move.turns.arrivals)
-        move.catalog.evacuated.add(TARGET.id)
-        move.turns.may_arrive.set()
+        setup = MigrationSetup(limit_s=0.3)
+        setup.slots.may_arrive.clear()
+        task = asyncio.ensure_future(setup.run())
+        await eventloop.until(lambda: setup.slots.arrivals)
+        setup.catalog.evacuated.add(TARGET.id)
+        setup.slots.may_arrive.set()
         await task
-        return move.done.count("copy"), move.acquirer.held
+        return setup.steps.count("copy"), setup.acquirer.held_grants
 
     assert eventloop.run(test()) == (0, 0)
 
 
-def test_nothing_is_copied_to_an_engine_that_takes_in_another_run():
-    """Five engines stop in the same second, and runs of three go to the same fourth.
+def test_nothing_is_copied_to_an_engine_that_receives_another_run():
+    """Five engines stop in the same second, and runs of three of them migrate to one engine.
 
-    Copied beside each other, the last part of one run, sent while its stream stands still,
-    waits behind the whole memory of the others: streams paused for up to 0.8 s.
+    With concurrent copies, the final copy of a stopped run waits behind the whole KV caches
+    of the others; streams paused for up to 0.8 s.
     """
 
     async def test():
-        move = Move()
-        move.turns.may_arrive.clear()
-        task = asyncio.ensure_future(move.run())
-        await eventloop.until(lambda: move.turns.arrivals)
-        before = list(move.done)
-        move.turns.may_arrive.set()
+        setup = MigrationSetup()
+        setup.slots.may_arrive.clear()
+        task = asyncio.ensure_future(setup.run())
+        await eventloop.until(lambda: setup.slots.arrivals)
+        before = list(setup.steps)
+        setup.slots.may_arrive.set()
         await task
-        return before, move.done, move.turns.arrivals
+        return before, setup.steps, setup.slots.arrivals
 
-    before, done, arrivals = eventloop.run(test())
-    assert before == ["room", "asks", "turn"]
-    assert done == ["room", "asks", "turn", "copy", "stop", "done"]
-    assert arrivals == [("asks", "e1"), ("turn", "e1"), ("done", "e1")]
+    before, steps, arrivals = eventloop.run(test())
+    assert before == ["granted", "slot requested", "slot acquired"]
+    assert steps == ["granted", "slot requested", "slot acquired", "copy", "stop", "slot released"]
+    assert arrivals == [("slot requested", "e1"), ("slot acquired", "e1"), ("slot released", "e1")]
 
 
-def test_a_run_that_ends_while_it_waits_to_arrive_lets_the_next_one_in():
+def test_run_that_ends_while_it_waits_to_arrive_releases_its_slots():
     async def test():
-        move = Move()
-        move.turns.may_arrive.clear()
-        task = asyncio.ensure_future(move.run())
-        await eventloop.until(lambda: move.turns.arrivals)
+        setup = MigrationSetup()
+        setup.slots.may_arrive.clear()
+        task = asyncio.ensure_future(setup.run())
+        await eventloop.until(lambda: setup.slots.arrivals)
         task.cancel()
         await asyncio.wait((task,))
-        return move.turns.arrivals[-1], move.done[-1], move.acquirer.held
+        return setup.slots.arrivals[-1], setup.steps[-1], setup.acquirer.held_grants
 
-    assert eventloop.run(test()) == (("done", "e1"), "done", 0)
+    assert eventloop.run(test()) == (("slot released", "e1"), "slot released", 0)
 
 
-def test_copy_that_finds_no_room_after_all_is_tried_elsewhere():
+def test_copy_refused_for_lack_of_memory_is_retried_at_another_target():
     async def test():
-        move = Move()
-        move.engines.answers.append(models.CopyFailed("no_room"))
-        await move.run()
-        return move.migration.outcome, move.acquirer.held, move.done.count("room")
+        setup = MigrationSetup()
+        setup.engines.copy_results.append(models.CopyFailed("no_room"))
+        await setup.run()
+        return setup.migration.outcome, setup.acquirer.held_grants, setup.steps.count("granted")
 
     assert eventloop.run(test()) == ("moved", 1, 2)
 
 
 @pytest.mark.parametrize("code", ["no_run", "no_answer"])
-def test_copy_that_cannot_succeed_holds_nothing(code):
+def test_failed_copy_releases_the_grant(code):
     async def test():
-        move = Move()
-        move.engines.answers.append(models.CopyFailed(code))
-        await move.run()
-        return move.migration.outcome, move.acquirer.held
+        setup = MigrationSetup()
+        setup.engines.copy_results.append(models.CopyFailed(code))
+        await setup.run()
+        return setup.migration.outcome, setup.acquirer.held_grants
 
     assert eventloop.run(test()) == (code, 0)
 
 
-def test_run_for_which_there_is_no_room_takes_no_turn():
+def test_run_without_a_target_requests_no_slot():
     async def test():
-        move = Move(limit_s=0.05)
-        move.acquirer.has_room = False
-        await move.run()
-        return move.migration.outcome, "asks" in move.done
+        setup = MigrationSetup(limit_s=0.05)
+        setup.acquirer.has_capacity = False
+        await setup.run()
+        return setup.migration.outcome, "slot requested" in setup.steps
 
     assert eventloop.run(test()) == ("no_room", False)
 
 
-def test_stopped_run_whose_rest_was_not_copied_goes_on_where_it_was():
+def test_stopped_run_with_a_failed_final_copy_continues_at_its_source():
     async def test():
-        move = Move()
-        move.engines.answers += [
+        setup = MigrationSetup()
+        setup.engines.copy_results += [
             models.CopySucceeded("copy-1", 7),
             models.CopyFailed("no_room", "c2"),
         ]
-        await move.run()
-        destination = move.migration.destination
-        return destination.replica.id, destination.copy.name, move.acquirer.held
+        await setup.run()
+        destination = setup.migration.destination
+        return destination.replica.id, destination.copy.name, setup.acquirer.held_grants
 
     assert eventloop.run(test()) == ("e0", "c2", 0)
 
 
-def test_copy_of_a_run_that_ended_meanwhile_is_freed():
-    """A run ends while its memory is copied to another engine.
+def test_copy_of_a_run_that_ended_during_the_copy_is_freed():
+    """A run ends while its KV cache is copied to another engine, which completes the copy.
 
-    The engine goes on with the copy. Given up, it stayed there for ten seconds under a name
-    that nobody knew: two of them held a fifth of an engine's memory, and drafts that would
-    have fitted waited.
+    A cancelled copy stayed there for ten seconds under a name that no one had received. Two
+    such copies held a fifth of an engine's memory, and requests that would have fitted waited.
     """
 
     async def test():
-        move = Move()
-        await move.end_while_copied()
-        return move.engines.dropped, move.acquirer.held, move.done[-1], move.migration.outcome
+        setup = MigrationSetup()
+        await setup.end_run_during_copy()
+        return (
+            setup.engines.dropped,
+            setup.acquirer.held_grants,
+            setup.steps[-1],
+            setup.migration.outcome,
+        )
 
     freed = [(SOURCE.address, "copy-1")]
-    assert eventloop.run(test()) == (freed, 0, "done", "run_ended")
+    assert eventloop.run(test()) == (freed, 0, "slot released", "run_ended")
 
 
-def test_copy_is_freed_where_it_is_when_its_source_is_gone():
+def test_copy_is_freed_at_the_target_when_the_source_is_down():
     async def test():
-        move = Move()
-        move.engines.is_source_gone = True
-        await move.end_while_copied()
-        return move.engines.dropped
+        setup = MigrationSetup()
+        setup.engines.is_source_down = True
+        await setup.end_run_during_copy()
+        return setup.engines.dropped
 
     assert eventloop.run(test()) == [(TARGET.address, "copy-1")]
 
 
-def test_run_that_ended_while_it_was_stopped_leaves_no_copy():
+def test_run_that_ended_during_the_final_copy_leaves_no_copy():
     async def test():
-        move = Move()
-        task = asyncio.ensure_future(move.run())
-        await eventloop.until(lambda: "copy" in move.done)
-        move.engines.copied.clear()
-        await eventloop.until(lambda: "stop" in move.done)
-        move.migration.run_ended(task)
-        move.engines.copied.set()
+        setup = MigrationSetup()
+        task = asyncio.ensure_future(setup.run())
+        await eventloop.until(lambda: "copy" in setup.steps)
+        setup.engines.copied.clear()
+        await eventloop.until(lambda: "stop" in setup.steps)
+        setup.migration.run_ended(task)
+        setup.engines.copied.set()
         await asyncio.wait((task,))
         await asyncio.sleep(0)
-        return move.engines.dropped, move.acquirer.held
+        return setup.engines.dropped, setup.acquirer.held_grants
 
     assert eventloop.run(test()) == ([(SOURCE.address, "copy-1")], 0)
 
 
-def test_failed_copy_of_a_run_that_ended_is_not_tried_elsewhere():
+def test_failed_copy_of_an_ended_run_is_not_retried():
     async def test():
-        move = Move()
-        move.engines.answers.append(models.CopyFailed("no_room"))
-        await move.end_while_copied()
-        return move.done.count("copy"), move.acquirer.held
+        setup = MigrationSetup()
+        setup.engines.copy_results.append(models.CopyFailed("no_room"))
+        await setup.end_run_during_copy()
+        return setup.steps.count("copy"), setup.acquirer.held_grants
 
     assert eventloop.run(test()) == (1, 0)
--- a/tests/routed/test_replicaload.py
+++ b/tests/routed/test_replicaload.py
@@ -1,4 +1,4 @@
-"""Choosing replicas of plain services."""
+"""Choice of replicas of plain services."""
 
 import random
 
@@ -16,53 +16,53 @@
 
 
 def test_least_busy_replica_is_chosen():
-    choosing = loads()
-    choosing.started("i0")
-    choosing.started("i1")
-    assert choosing.choose(replicas(3)).id == "i2"
-    assert choosing.choose([]) is None
+    replica_loads = loads()
+    replica_loads.started("i0")
+    replica_loads.started("i1")
+    assert replica_loads.choose(replicas(3)).id == "i2"
+    assert replica_loads.choose([]) is None
 
 
-def test_work_of_other_callers_counts_while_it_is_fresh():
+def test_reported_load_of_other_nodes_counts_while_it_is_fresh():
     clock = clocks.ManualClock()
-    choosing = loads(clock)
-    choosing.started("i0")
-    choosing.ended("i0", False, calls.Load(5, 2, 6))
-    assert choosing.choose(replicas(2)).id == "i1"
+    replica_loads = loads(clock)
+    replica_loads.started("i0")
+    replica_loads.ended("i0", False, calls.Load(5, 2, 6))
+    assert replica_loads.choose(replicas(2)).id == "i1"
     clock.advance(2.0)
-    choosing.started("i1")
-    assert choosing.choose(replicas(2)).id == "i0"
+    replica_loads.started("i1")
+    assert replica_loads.choose(replicas(2)).id == "i0"
 
 
 def test_own_request_is_not_counted_twice():
-    choosing = loads()
-    choosing.started("i0")
-    choosing.ended("i0", False, calls.Load(1, 0, 6))
-    choosing.started("i1")
-    assert choosing.choose(replicas(2)).id == "i0"
+    replica_loads = loads()
+    replica_loads.started("i0")
+    replica_loads.ended("i0", False, calls.Load(1, 0, 6))
+    replica_loads.started("i1")
+    assert replica_loads.choose(replicas(2)).id == "i0"
 
 
-def test_failing_replica_is_avoided_and_tried_again():
-    """A replica fails half of its requests while its health check is good.
+def test_failing_replica_is_avoided_and_probed_later():
+    """A replica fails half of its requests while its health check succeeds.
 
-    Least outstanding alone prefers it, as failures are quick.
+    Least outstanding requests alone would prefer it, as failures are quick.
     """
     clock = clocks.ManualClock()
-    choosing = loads(clock)
+    replica_loads = loads(clock)
     for _ in range(5):
-        choosing.started("i0")
-        choosing.ended("i0", True, None)
-    choosing.started("i1")
-    choosing.started("i1")
-    assert choosing.choose(replicas(2)).id == "i1"
+        replica_loads.started("i0")
+        replica_loads.ended("i0", True, None)
+    replica_loads.started("i1")
+    replica_loads.started("i1")
+    assert replica_loads.choose(replicas(2)).id == "i1"
     clock.advance(30.0)
-    assert choosing.choose(replicas(2)).id == "i0"
+    assert replica_loads.choose(replicas(2)).id == "i0"
 
 
-def test_gone_replicas_are_forgotten_once_nothing_is_outstanding():
-    choosing = loads()
-    choosing.started("i0")
-    choosing.forget_absent({})
-    choosing.ended("i0", False, None)
-    choosing.forget_absent({})
-    assert choosing.choose(replicas(1)).id == "i0"
+def test_absent_replica_is_forgotten_once_no_request_is_outstanding():
+    replica_loads = loads()
+    replica_loads.started("i0")
+    replica_loads.forget_absent({})
+    replica_loads.ended("i0", False, None)
+    replica_loads.forget_absent({})
+    assert replica_loads.choose(replicas(1)).id == "i0"
--- a/tests/routed/test_retrybudget.py
+++ b/tests/routed/test_retrybudget.py
@@ -1,4 +1,4 @@
-"""The bound on attempts beyond the first holds in every window, over all nodes."""
+"""The bound on retries holds in every sliding window, over all nodes."""
 
 import hypothesis
 from hypothesis import strategies
@@ -19,15 +19,15 @@
 
 @hypothesis.given(_STEPS)
 @hypothesis.settings(max_examples=60)
-def test_every_window_keeps_the_bound(steps):
+def test_bound_holds_in_every_window(steps):
     budgets = [retrybudget.RetryBudgets(SETTINGS) for _ in range(NODES)]
     for budget in budgets:
         budget.set_node_count(NODES)
     now = 0.0
     requests, retries = [], []
-    for what, node, pause_s in steps:
+    for kind, node, pause_s in steps:
         now += pause_s
-        if what == "request":
+        if kind == "request":
             budgets[node].record_request("s", now)
             requests.append(now)
         elif budgets[node].spend("s", now):
@@ -35,7 +35,7 @@
     for end in retries:
         start = end - SETTINGS.window_s
         spent = sum(start < at <= end for at in retries)
-        # A window's own requests, or those of the one before it, whichever are more.
+        # The most requests in the window itself or in one up to a window length earlier.
         counts = [
             sum(start - back < at <= end - back for at in requests)
             for back in (0.0, SETTINGS.window_s / 2, SETTINGS.window_s)
@@ -43,14 +43,14 @@
         assert spent <= SETTINGS.ratio * max(counts) + SETTINGS.slack + 1e-6
 
 
-def test_moved_runs_are_counted_though_they_are_not_refused():
+def test_resumed_runs_are_counted_but_never_refused():
     budget = retrybudget.RetryBudgets(SETTINGS)
     budget.set_node_count(12)
     budget.record_resumed("s", 1.0)
     assert not budget.spend("s", 1.0)
 
 
-def test_another_bound_is_taken_at_once():
+def test_new_settings_apply_at_once():
     budget = retrybudget.RetryBudgets(SETTINGS)
     assert budget.spend("s", 1.0)
     budget.configure(retrybudget.BudgetSettings(0.0, 0.0, 10.0))
