--- a/hornbeamglade/replicas/__init__.py
+++ b/hornbeamglade/replicas/__init__.py
@@ -1,10 +1,10 @@
-"""Which replicas there are, and what their answers show of them.
+"""The list of replicas, and the conditions under which they receive requests.
 
 - :mod:`hornbeamglade.replicas.models`: one replica's entry in the platform's list
-- :mod:`hornbeamglade.replicas.replicalist`: the list as this node knows it
-- :mod:`hornbeamglade.replicas.evacuations`: failure domains that get no new work
-- :mod:`hornbeamglade.replicas.slowstart`: how many requests a cold replica gets
-- :mod:`hornbeamglade.replicas.ratelimits`: limits that replicas name in their answers
-- :mod:`hornbeamglade.replicas.availability`: which replicas may get new work
-- :mod:`hornbeamglade.replicas.startgate`: what keeps a request from starting at a replica
+- :mod:`hornbeamglade.replicas.replicalist`: the list as known to this node
+- :mod:`hornbeamglade.replicas.evacuations`: failure domains that receive no new requests
+- :mod:`hornbeamglade.replicas.slowstart`: rate limiting of requests to cold replicas
+- :mod:`hornbeamglade.replicas.ratelimits`: rate limits that replicas report in responses
+- :mod:`hornbeamglade.replicas.availability`: which replicas may receive new requests
+- :mod:`hornbeamglade.replicas.startgate`: interface for refusing the start of a request
 """
--- a/hornbeamglade/replicas/availability.py
+++ b/hornbeamglade/replicas/availability.py
@@ -1,15 +1,16 @@
-"""Which replicas may get new work.
+"""Availability of replicas for new requests.
 
 Explanation
 ===========
 
-A replica gets new work while it is listed, does not leave, and stands in a failure domain that
-is not evacuated. What runs at an evacuated replica goes on to its end: moving it would cost a
-copy of its memory and room at the replicas that are left, while the evacuated one serves on.
+A replica receives new requests while it is listed, is not leaving, and runs in a failure domain
+that is not evacuated. Requests that already run at an evacuated replica are completed there:
+migrating them would require a KV cache copy and capacity at the remaining replicas, while the
+evacuated one continues to serve.
 
-A cold replica gets work at the pace that :mod:`hornbeamglade.replicas.slowstart` allows. It is
-cold for as long as its entry in the list says, and for a start's time after its failure domain
-is taken back.
+A cold replica receives requests at the rate that :mod:`hornbeamglade.replicas.slowstart` allows.
+It is cold for the time in its list entry, and for the slow start period of its service after the
+evacuation of its failure domain ends.
 """
 
 import collections.abc
@@ -21,7 +22,7 @@
 from hornbeamglade.routes import models as routemodels
 
 EVACUATED_RETRY_S = 0.3
-LEAST_COLD_RETRY_S = 0.05
+MIN_COLD_RETRY_S = 0.05
 ADDED = "added"
 CHANGED = "changed"
 
@@ -29,12 +30,12 @@
 
 
 class Availability(startgate.StartGate):
-    """Joins the list of replicas with what the operator asks of failure domains.
+    """Combines the list of replicas with evacuations, slow starts and rate limits.
 
     :param replicas: the list.
-    :param slow_starts: paces requests to cold replicas.
-    :param limits: the limits that replicas name.
-    :param bound: the operator's bound on them.
+    :param slow_starts: spaces the requests to cold replicas.
+    :param limits: the rate limits that replicas report.
+    :param bound: the operator's bound on requests to cold replicas.
     :param region_by_failure_domain: the region of each failure domain.
     """
 
@@ -56,50 +57,50 @@
         self._instances = 1
 
     def configure(self, service_by_name: ServiceByName) -> None:
-        """Take the services of a configuration."""
+        """Set the services of a configuration."""
         self._service_by_name = service_by_name
 
     def set_bound(self, bound: slowstart.Bound) -> None:
-        """Take another bound, for replicas that become cold from now on."""
+        """Set another bound, which applies to replicas that become cold from now on."""
         self._bound = bound
 
     def set_position(self, position: int, instances: int) -> None:
-        """Note how many instances there may be, and this one's place among their names."""
+        """Set the number of instances, and this instance's position among their sorted names."""
         self._instances = instances
         self._limits.set_position(position, instances)
 
     def apply_evacuations(self, state: evacuationlib.Evacuations, now: float) -> frozenset[str]:
-        """Take a state of the evacuations; an older one changes nothing.
+        """Apply a state of the evacuations; a state older than the current one is ignored.
 
         :param now: monotonic seconds.
-        :returns: the failure domains whose evacuation has begun or ended by it.
+        :returns: the failure domains whose evacuation began or ended with this state.
         """
         before = self.evacuations
         self.evacuations = before.newer(state)
         ended = before.domains - self.evacuations.domains
         for replica in self.replicas.by_id.values():
             if replica.failure_domain in ended:
-                self._begin_slowly(replica, None, "evacuation", now)
+                self._begin_slow_start(replica, None, "evacuation", now)
         return before.domains ^ self.evacuations.domains
 
     def list_changed(
         self, changes: collections.abc.Iterable[replicalist.ListChange], now: float
     ) -> None:
-        """Take what the list says of replicas that are new or have changed."""
+        """Start the slow start of replicas that the list adds or changes as cold."""
         for change in changes:
             if change.kind in (ADDED, CHANGED) and change.replica.warm_in_s > 0.0:
-                self._begin_slowly(change.replica, change.replica.warm_in_s, change.kind, now)
+                self._begin_slow_start(change.replica, change.replica.warm_in_s, change.kind, now)
 
     def limit_reported(self, replica_id: str, limit: ratelimits.RateLimit | None) -> None:
-        """Take the limit that a replica's answer names, or that it names none."""
+        """Record the rate limit in a response of a replica, or that there is none."""
         self._limits.update(replica_id, limit)
 
     def request_sent(self, replica_id: str) -> None:
-        """Note that a request goes to a replica, whether or not it may by its limit."""
+        """Record that a request is sent to a replica, whether or not its limit allows it."""
         self._limits.request_sent(replica_id)
 
     def limit_wait_s(self, replica_id: str) -> float:
-        """Return the seconds until this instance may send to a replica, by its limit."""
+        """Return the seconds until a replica's limit allows this instance to send a request."""
         return self._limits.wait_s(replica_id)
 
     def send_slots_within(self, replica_id: str, seconds: float) -> int:
@@ -107,33 +108,33 @@
         return self._limits.send_slots_within(replica_id, seconds)
 
     def limit_retry_s(self, replica_id: str) -> float:
-        """Return the seconds until some instance may send to a replica, by its limit."""
+        """Return the seconds until a replica's limit allows some instance to send a request."""
         return self._limits.slot_interval_s(replica_id)
 
     def limit(self, replica_id: str) -> ratelimits.RateLimit | None:
-        """Return the limit that a replica named last, or None."""
+        """Return the limit that a replica reported last, or None."""
         return self._limits.limit(replica_id)
 
     def forget_ended(self, now: float) -> None:
-        """Forget the slow starts that are over, and the limits of replicas that are gone."""
-        self._slow_starts.forget_warm(now)
+        """Forget slow starts that have ended, and the limits of replicas that are gone."""
+        self._slow_starts.forget_ended(now)
         self._limits.forget(self.replicas.by_id.keys() | self.replicas.departed_by_id.keys())
 
     def is_evacuated(self, replica: models.Replica) -> bool:
-        """Tell whether the operator keeps new work from a replica's failure domain."""
+        """Return whether the operator has evacuated a replica's failure domain."""
         return replica.failure_domain in self.evacuations.domains
 
     def accepts(self, replica: models.Replica) -> bool:
-        """Tell whether a replica may get new work."""
+        """Return whether a replica may receive new requests."""
         return not replica.is_leaving and not self.is_evacuated(replica)
 
     def usable(
         self, service: str, regions: frozenset[str] | None = None
     ) -> tuple[models.Replica, ...]:
-        """Return the replicas of a service that may get new work.
+        """Return the replicas of a service that may receive new requests.
 
-        :param regions: where they may stand, or None for everywhere. A failure domain
-            whose region is not known is in none of them.
+        :param regions: the regions of the replicas, or None for all. A failure domain
+            whose region is unknown is in none of them.
         """
         accepting = (each for each in self.replicas.of_service(service) if self.accepts(each))
         if regions is None:
@@ -142,15 +143,15 @@
         return tuple(each for each in accepting if region_of(each.failure_domain) in regions)
 
     def is_cold(self, replica_id: str, now: float) -> bool:
-        """Tell whether a replica is cold."""
+        """Return whether a replica is cold."""
         return self._slow_starts.is_cold(replica_id, now)
 
     def cold_wait_s(self, replica_id: str, now: float) -> float:
-        """Return the seconds until a request may go to a replica, by its slow start."""
+        """Return the seconds until a replica's slow start allows a request."""
         return self._slow_starts.wait_s(replica_id, now)
 
     def refusal(self, replica_id: str, now: float) -> outcomes.Refusal | None:
-        """Return the refusal of work for a replica that is evacuated or cold, or None."""
+        """Return the refusal of a request if the replica is evacuated or cold, or None."""
         replica = self.replicas.by_id.get(replica_id)
         if replica is not None and self.is_evacuated(replica):
             detail = f"the failure domain {replica.failure_domain} is evacuated"
@@ -160,21 +161,21 @@
         wait_s = self.cold_wait_s(replica_id, now)
         if wait_s <= 0.0:
             return None
-        detail = f"replica {replica_id} has just started and takes few requests yet"
-        retry_s = max(wait_s, LEAST_COLD_RETRY_S)
+        detail = f"replica {replica_id} has just started and accepts few requests"
+        retry_s = max(wait_s, MIN_COLD_RETRY_S)
         return outcomes.Refusal("replica_cold", 503, detail, retry_after_s=retry_s)
 
     def started(self, replica_id: str, now: float) -> None:
-        """Note that a request goes to a replica."""
+        """Record that a request is sent to a replica."""
         self._slow_starts.started(replica_id, now)
 
-    def _begin_slowly(
+    def _begin_slow_start(
         self, replica: models.Replica, lasts_s: float | None, reason: str, now: float
     ) -> None:
-        """Take a replica for cold.
+        """Start the slow start of a replica.
 
-        :param lasts_s: for so long, or None for as long as its service's replicas are.
-        :param reason: how that is known.
+        :param lasts_s: its duration, or None for the slow start period of the service.
+        :param reason: the reason for the slow start, for the log.
         """
         service = self._service_by_name.get(replica.service)
         if service is None or service.slow_start is None:
@@ -187,7 +188,7 @@
         else:
             interval_s = slowstart.shared_interval_s(bound_per_s, self._instances)
         is_new = self._slow_starts.begin(replica.id, now + lasts_s, interval_s, now)
-        # The line on a replica that was added says how long it is cold.
+        # For an added replica the log line of the addition contains the time it is cold.
         if is_new and reason != ADDED:
             logs.state_changed(
                 "replica_start",
--- a/hornbeamglade/replicas/evacuations.py
+++ b/hornbeamglade/replicas/evacuations.py
@@ -1,12 +1,12 @@
-"""Which failure domains are evacuated, as of a version of the operator's table.
+"""The evacuated failure domains as of a version of the operator's table.
 
 Explanation
 ===========
 
-The operator asks that nothing new goes to the backend servers of a failure domain, and later
-takes that back. Instances hear of it from the store and from one another, in any order. A
-state holds all evacuated domains as of one version of the store, so of two states the one with
-the higher version is right, whichever way it came.
+The operator can evacuate a failure domain, whose backend servers then receive no new requests,
+and can end the evacuation later. Instances learn of this from the store and from one another,
+in any order. A state contains all evacuated domains as of one version of the store, so of two
+states the one with the higher version is current, whichever way it was received.
 """
 
 import collections.abc
@@ -17,8 +17,9 @@
 class Evacuations:
     """The evacuated failure domains.
 
-    :param version: of the store, up to which this is complete; 0 when nothing is known.
-    :param domains: names of failure domains.
+    :param version: the version of the store up to which the state is complete; 0 if nothing
+        is known.
+    :param domains: the names of the failure domains.
 
     Examples
     ========
@@ -35,7 +36,7 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether anything was learned yet."""
+        """Whether a state has been received."""
         return self.version > 0
 
     def updated(
@@ -44,7 +45,7 @@
         ended: collections.abc.Iterable[str],
         version: int,
     ) -> "Evacuations":
-        """Return the state after changes up to ``version``; older ones change nothing."""
+        """Return the state after changes up to ``version``; older changes are ignored."""
         if version <= self.version:
             return self
         return Evacuations(version, (self.domains | frozenset(begun)) - frozenset(ended))
--- a/hornbeamglade/replicas/models.py
+++ b/hornbeamglade/replicas/models.py
@@ -5,18 +5,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replica:
-    """One start of a backend server.
+    """One incarnation of a backend server.
 
-    :param id: unique for each start: the name, with the time of the start where it is told.
+    :param id: unique for each incarnation: the name, followed by the start time if known.
     :param service: the service that it belongs to.
-    :param address: ``ip:port``; used again by another replica after this one is gone.
-    :param failure_domain: where it stands.
-    :param slots: requests that it runs at once.
+    :param address: ``ip:port``; may be reused by another replica after this one is gone.
+    :param failure_domain: the failure domain in which it runs.
+    :param slots: the number of requests that it can run concurrently.
     :param is_leaving: whether it has announced its stop.
-    :param version: of its software.
-    :param warm_in_s: seconds for which it stays slow after its start, as of its entry.
-    :param started_ms: Unix milliseconds of its start, or 0 where nobody tells.
-    :param name: what the server is called; one that starts anew may keep it. Empty: its id.
+    :param version: the version of its software.
+    :param warm_in_s: seconds for which it remains cold after its start, as of its entry.
+    :param started_ms: the start time in Unix milliseconds, or 0 if unknown.
+    :param name: the name of the server, which may be the same after a restart. Empty for the
+        id.
     """
 
     id: str
@@ -31,13 +32,13 @@
     name: str = ""
 
     def __post_init__(self) -> None:
-        """Give a replica that is only known by its id that name."""
+        """Use the id as the name if no name is given."""
         if not self.name:
             object.__setattr__(self, "name", self.id)
 
 
 def replica_id(name: str, started_ms: int) -> str:
-    """Return the id of one start of a server.
+    """Return the id of one incarnation of a server.
 
     Examples
     ========
--- a/hornbeamglade/replicas/replicalist.py
+++ b/hornbeamglade/replicas/replicalist.py
@@ -1,4 +1,4 @@
-"""The platform's list of replicas, as this node knows it."""
+"""The platform's list of replicas, as known to this node."""
 
 import collections.abc
 import dataclasses
@@ -8,11 +8,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListChange:
-    """What a change of the list did to one replica.
+    """The effect of a list change on one replica.
 
-    :param replica: as it is now, or was before it was gone.
-    :param what: ``added``, ``leaving``, ``gone``, ``changed``; ``restarted`` of the former
-        start of a server that has started anew; ``unread`` when its entry cannot be read.
+    :param replica: the replica in its new state, or as it was before it was removed.
+    :param kind: ``added``, ``leaving``, ``gone`` or ``changed``; ``restarted`` for the
+        previous incarnation of a server that has restarted; ``unread`` if its entry is
+        malformed.
     """
 
     replica: models.Replica
@@ -25,18 +26,18 @@
     Explanation
     ===========
 
-    A replica that is taken from the list may serve on for some seconds, and its runs go
-    on there; it stays known as departed until :meth:`forget_departed`.
+    A replica that is removed from the list may continue to serve its running requests for
+    some seconds. It remains known as departed until :meth:`forget_departed`.
 
-    Rows come with the version at which they were written. Only rows newer than those
-    known are taken: a change that arrives late, over another way, must not bring back
-    a replica that has left.
+    Rows have the version at which they were written. Only rows newer than the known ones
+    are applied, since a change that arrives late by another way must not restore a replica
+    that has been removed.
 
-    A server that starts again under its name is another replica: it holds nothing of
-    before, and whatever was believed of its former start is believed of an id that is no
-    longer listed. Which start is the newer one is told by their times, not by the order in
-    which entries arrive. Once a name has told the time of a start, an entry without one is
-    that of another writer.
+    A server that restarts with the same name is another replica: it has none of the
+    previous state, and all information about its previous incarnation belongs to an id
+    that is no longer listed. The newer of two incarnations is determined by their start
+    times, not by the order in which entries arrive. Once an entry with a start time has been
+    received for a name, an entry without one comes from another writer.
     """
 
     def __init__(self) -> None:
@@ -48,16 +49,16 @@
         self._ids_by_service: dict[str, tuple[str, ...]] = {}
 
     def of_service(self, service: str) -> tuple[models.Replica, ...]:
-        """Return the replicas of a service, those that leave included."""
+        """Return the replicas of a service, including leaving ones."""
         return tuple(self.by_id[each] for each in self._ids_by_service.get(service, ()))
 
     def by_name(self, name: str) -> models.Replica | None:
-        """Return the replica that a server's name stands for now, or None."""
+        """Return the current replica with a server's name, or None."""
         replica_id = self._id_by_name.get(name)
         return None if replica_id is None else self.by_id[replica_id]
 
     def is_usable(self, replica_id: str) -> bool:
-        """Tell whether a replica may get new work."""
+        """Return whether a replica is listed and not leaving."""
         replica = self.by_id.get(replica_id)
         return replica is not None and not replica.is_leaving
 
@@ -67,16 +68,16 @@
         version: int,
         unread: collections.abc.Iterable[str] = (),
     ) -> tuple[ListChange, ...]:
-        """Take the whole list as of ``version``; an older one changes nothing.
+        """Set the full list as of ``version``; an older one is ignored.
 
-        :param unread: names whose entries cannot be read.
+        :param unread: names with malformed entries.
         """
         if version < self.version:
             return ()
         replicas, unread = tuple(replicas), tuple(unread)
         listed = {replica.name for replica in replicas} | set(unread)
         gone = [name for name in self._newest_start_by_name if name not in listed]
-        return self._take(replicas, gone, unread, version)
+        return self._apply(replicas, gone, unread, version)
 
     def update(
         self,
@@ -85,20 +86,20 @@
         version: int,
         unread: collections.abc.Iterable[str] = (),
     ) -> tuple[ListChange, ...]:
-        """Take changes up to ``version``; older ones change nothing.
+        """Apply changes up to ``version``; older ones are ignored.
 
-        :param gone: names that were taken from the list.
-        :param unread: names whose entries cannot be read.
+        :param gone: names that were removed from the list.
+        :param unread: names with malformed entries.
         """
         if version <= self.version:
             return ()
-        return self._take(present, gone, unread, version)
+        return self._apply(present, gone, unread, version)
 
     def forget_departed(self, replica_id: str) -> None:
-        """Forget a replica that was taken from the list some time ago."""
+        """Forget a replica that was removed from the list some time ago."""
         self.departed_by_id.pop(replica_id, None)
 
-    def _take(
+    def _apply(
         self,
         present: collections.abc.Iterable[models.Replica],
         gone: collections.abc.Iterable[str],
@@ -107,7 +108,7 @@
     ) -> tuple[ListChange, ...]:
         changes: list[ListChange] = []
         for replica in present:
-            changes += self._enter(replica)
+            changes += self._add(replica)
         for name in gone:
             changes += self._remove(name, "gone")
             self._newest_start_by_name.pop(name, None)
@@ -115,10 +116,10 @@
             changes += self._remove(name, "unread")
             self._newest_start_by_name.setdefault(name, 0)
         self.version = version
-        self._sort_by_service()
+        self._index_by_service()
         return tuple(changes)
 
-    def _enter(self, replica: models.Replica) -> list[ListChange]:
+    def _add(self, replica: models.Replica) -> list[ListChange]:
         newest = self._newest_start_by_name.get(replica.name, 0)
         if newest and not replica.started_ms:
             return self._remove(replica.name, "unread")
@@ -135,8 +136,8 @@
         if before is None:
             changes.append(ListChange(replica, "added"))
         elif before != replica:
-            is_new = replica.is_leaving and not before.is_leaving
-            changes.append(ListChange(replica, "leaving" if is_new else "changed"))
+            starts_leaving = replica.is_leaving and not before.is_leaving
+            changes.append(ListChange(replica, "leaving" if starts_leaving else "changed"))
         return changes
 
     def _remove(self, name: str, kind: str) -> list[ListChange]:
@@ -148,7 +149,7 @@
             self.departed_by_id[replica_id] = replica
         return [ListChange(replica, kind)]
 
-    def _sort_by_service(self) -> None:
+    def _index_by_service(self) -> None:
         ids_by_service: dict[str, list[str]] = {}
         for replica in self.by_id.values():
             ids_by_service.setdefault(replica.service, []).append(replica.id)
--- a/hornbeamglade/replicas/startgate.py
+++ b/hornbeamglade/replicas/startgate.py
@@ -1,4 +1,4 @@
-"""What may keep a request from starting at a replica that is listed and has room."""
+"""Interface for refusing the start of a request at a replica that is listed and has capacity."""
 
 import abc
 
@@ -6,26 +6,26 @@
 
 
 class StartGate(abc.ABC):
-    """Asked by whoever admits requests to replicas."""
+    """Queried by the components that admit requests to replicas."""
 
     @abc.abstractmethod
     def refusal(self, replica_id: str, now: float) -> outcomes.Refusal | None:
-        """Return why no request may start at a replica now, or None.
+        """Return the refusal if no request may start at a replica now, or None.
 
         :param now: monotonic seconds.
         """
 
     @abc.abstractmethod
     def started(self, replica_id: str, now: float) -> None:
-        """Note that a request starts at a replica."""
+        """Record that a request starts at a replica."""
 
 
 class OpenGate(StartGate):
-    """Lets every request start."""
+    """Allows every request to start."""
 
     def refusal(self, _replica_id: str, _now: float) -> outcomes.Refusal | None:
         """Return None."""
         return None
 
     def started(self, replica_id: str, now: float) -> None:
-        """Take no note."""
+        """Record nothing."""
--- a/hornbeamglade/routed/bufferedexchange.py
+++ b/hornbeamglade/routed/bufferedexchange.py
@@ -134,7 +134,7 @@
             detail = f"no replica of {routed.service.name} that may serve it is in use"
             return outcomes.Refusal("no_replica", 503, detail, retry_after_s=NO_REPLICA_RETRY_S)
         retry_s = min(self._wait_s(replica, now) for replica in usable)
-        retry_s = max(retry_s, availability.LEAST_COLD_RETRY_S)
+        retry_s = max(retry_s, availability.MIN_COLD_RETRY_S)
         if any(self._available.limit(replica.id) is not None for replica in usable):
             detail = f"the replicas of {routed.service.name} take no more requests for now"
             return outcomes.Refusal("replicas_limited", 503, detail, retry_after_s=retry_s)
--- a/tests/replicas/test_availability.py
+++ b/tests/replicas/test_availability.py
@@ -1,4 +1,4 @@
-"""Which replicas get new work, and what is told of those that do not."""
+"""Availability of replicas for new requests, and the refusals of unavailable ones."""
 
 import dataclasses
 import random
@@ -38,7 +38,7 @@
     return [each.id for each in replicas]
 
 
-def test_evacuated_domain_gets_no_work_until_it_is_taken_back():
+def test_evacuated_domain_gets_no_requests_until_the_evacuation_ends():
     known = available()
     assert ids(known.usable("llm")) == ["e0", "e1"]
     assert known.apply_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0) == {"a"}
@@ -49,7 +49,7 @@
     assert ids(known.usable("llm")) == ["e0", "e1"]
 
 
-def test_older_word_changes_nothing():
+def test_older_state_of_evacuations_is_ignored():
     known = available()
     known.apply_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0)
     assert not known.apply_evacuations(evacuations.Evacuations(4), 0.0)
@@ -63,14 +63,14 @@
 
 
 def cold_site(engine):
-    """Return replicas of a service that bear ten requests a second after their start."""
+    """Return replicas of a service that accept ten requests per second after their start."""
     known = available()
     start = routemodels.SlowStart(requests_per_s=10.0, duration_s=3.0)
     known.configure({"llm": routemodels.Service("llm", "/h", 50, engine, start)})
     return known
 
 
-def test_replica_is_cold_as_long_as_its_entry_says():
+def test_replica_is_cold_for_the_time_in_its_entry():
     known = cold_site(None)
     replica = models.Replica("e3", "llm", "10.0.0.9:1", "a", 8, warm_in_s=2.0)
     known.list_changed(known.replicas.update([replica], [], 2), 10.0)
@@ -86,7 +86,7 @@
     assert not known.is_cold("e0", 13.0)
 
 
-def test_cold_replica_refuses_until_the_next_request_may_come():
+def test_cold_replica_refuses_until_the_next_request_is_allowed():
     known = cold_site(None)
     replica = models.Replica("e3", "llm", "10.0.0.9:1", "a", 8, warm_in_s=30.0)
     known.list_changed(known.replicas.update([replica], [], 2), 0.0)
@@ -98,7 +98,7 @@
     assert 0.0 < refusal.retry_after_s <= 30.0
 
 
-def test_service_without_a_bound_has_no_slow_start():
+def test_replica_of_a_service_without_slow_start_is_not_cold():
     known = available()
     replica = models.Replica("e3", "llm", "10.0.0.9:1", "a", 8, warm_in_s=30.0)
     known.list_changed(known.replicas.update([replica], [], 2), 0.0)
@@ -113,15 +113,15 @@
     assert ids(known.usable("llm", frozenset("rs"))) == ["e0", "e1"]
 
 
-def test_failure_domain_of_no_known_region_is_in_none():
+def test_failure_domain_of_unknown_region_is_in_no_region():
     known = available()
     known.replicas.update([models.Replica("e9", "llm", "10.0.0.9:1", "z", 8)], [], 2)
     assert ids(known.usable("llm")) == ["e0", "e1", "e9"]
     assert ids(known.usable("llm", frozenset("rs"))) == ["e0", "e1"]
 
 
-def test_a_line_tells_of_a_cold_replica_where_no_other_line_does(monkeypatch):
-    """At each of many instances a second line for each new replica would double the log."""
+def test_a_slow_start_is_logged_only_if_no_other_line_contains_it(monkeypatch):
+    """Guards against twice as many log lines for new replicas, at each of many instances."""
     lines = []
     monkeypatch.setattr(
         availability.logs, "state_changed", lambda *states, **fields: lines.append(fields)
--- a/tests/replicas/test_evacuations.py
+++ b/tests/replicas/test_evacuations.py
@@ -1,4 +1,4 @@
-"""States of the evacuations that arrive in any order."""
+"""States of evacuations that arrive in any order."""
 
 import hypothesis
 from hypothesis import strategies
@@ -12,19 +12,19 @@
 
 def states(changes):
     """Return the state after each change."""
-    made = [evacuations.Evacuations(1)]
+    in_order = [evacuations.Evacuations(1)]
     for version, (domain, begins) in enumerate(changes, 2):
         begun, ended = ([domain], []) if begins else ([], [domain])
-        made.append(made[-1].updated(begun, ended, version))
-    return made
+        in_order.append(in_order[-1].updated(begun, ended, version))
+    return in_order
 
 
 @hypothesis.given(CHANGES, strategies.randoms(use_true_random=False))
-def test_the_newest_state_holds_in_whichever_order_they_come(changes, rng):
-    """Guards against an evacuation that ends, or begins again, by an older word."""
-    made = states(changes)
-    shuffled = rng.sample(made, len(made))
-    believed = evacuations.Evacuations()
+def test_the_newest_state_applies_whatever_the_order_of_arrival(changes, rng):
+    """Guards against an evacuation that ends, or starts again, because of an older state."""
+    in_order = states(changes)
+    shuffled = rng.sample(in_order, len(in_order))
+    current = evacuations.Evacuations()
     for state in shuffled:
-        believed = believed.newer(state)
-    assert believed == made[-1]
+        current = current.newer(state)
+    assert current == in_order[-1]
--- a/tests/replicas/test_replicalist.py
+++ b/tests/replicas/test_replicalist.py
@@ -1,4 +1,4 @@
-"""The platform's list of replicas, as it changes."""
+"""Changes of the platform's list of replicas."""
 
 import dataclasses
 
@@ -25,7 +25,7 @@
     return [(change.replica.id, change.kind) for change in changes]
 
 
-def test_changes_are_told_once():
+def test_changes_are_reported_once():
     known = replicalist.ReplicaList()
     first = known.replace([replica("a"), replica("b")], 5)
     second = known.update([replica("a", leaving=True)], ["b"], 6)
@@ -36,10 +36,10 @@
     assert [known.is_usable(name) for name in ("a", "b")] == [False, False]
 
 
-def test_older_word_changes_nothing():
-    """A list comes late from another instance, after a replica has left.
+def test_older_lists_and_changes_are_ignored():
+    """Guards against a list that arrives late from another instance.
 
-    Taken, it would bring back a replica whose address another service has by now.
+    It would restore a removed replica, whose address may be in use by another service.
     """
     known = replicalist.ReplicaList()
     known.replace([replica("a")], 5)
@@ -49,7 +49,7 @@
     assert known.by_id == {}
 
 
-def test_replica_that_was_taken_off_stays_known_as_departed():
+def test_removed_replica_remains_known_as_departed():
     known = replicalist.ReplicaList()
     known.replace([replica("a")], 1)
     known.update([], ["a"], 2)
@@ -58,7 +58,7 @@
     assert known.departed_by_id == {}
 
 
-def test_other_changes_are_told_as_such():
+def test_other_changes_of_an_entry_are_reported_as_changed():
     known = replicalist.ReplicaList()
     known.replace([replica("a")], 1)
     warmer = dataclasses.replace(replica("a"), warm_in_s=0.5)
@@ -72,10 +72,10 @@
     assert known.of_service("none") == ()
 
 
-def test_server_that_starts_anew_is_another_replica():
-    """An engine that was told to stop comes back under its name.
+def test_restarted_server_is_another_replica():
+    """Guards against an engine that is never used again after a restart with the same name.
 
-    Believed to be the same, it was never used again by whoever had heard of the stop.
+    Instances that knew of its stop took the restarted engine for the leaving one.
     """
     known = replicalist.ReplicaList()
     known.update([replica("a", started_ms=5, leaving=True)], [], 1)
@@ -85,7 +85,7 @@
     assert known.departed_by_id == {}
 
 
-def test_entry_of_a_former_start_that_comes_late_changes_nothing():
+def test_late_entry_of_a_previous_incarnation_is_ignored():
     known = replicalist.ReplicaList()
     known.update([replica("a", started_ms=6)], [], 1)
     assert known.update([replica("a", started_ms=5)], [], 2) == ()
@@ -93,14 +93,14 @@
     assert list(known.by_id) == ["a@6"]
 
 
-def test_entry_without_a_start_is_foreign_once_the_name_has_told_one():
+def test_entry_without_start_time_is_unread_after_an_entry_with_one():
     known = replicalist.ReplicaList()
     known.update([replica("a", started_ms=6)], [], 1)
     assert changed(known.update([replica("a")], [], 2)) == [("a@6", "unread")]
     assert changed(known.update([replica("a", started_ms=6)], [], 3)) == [("a@6", "added")]
 
 
-def test_replica_whose_entry_turns_bad_is_out_of_use_until_it_is_good_again():
+def test_replica_with_a_malformed_entry_is_unusable_until_the_entry_is_valid():
     known = replicalist.ReplicaList()
     known.replace([replica("a"), replica("b")], 1)
     assert changed(known.update([], [], 2, ["a"])) == [("a", "unread")]
@@ -125,8 +125,8 @@
 
 
 @hypothesis.given(_ENTRIES)
-def test_no_belief_of_a_former_start_outlives_a_newer_one(entries):
-    """Entries of several starts and of other writers come in any order."""
+def test_no_state_of_a_previous_incarnation_outlives_a_newer_one(entries):
+    """Entries of several incarnations and of other writers arrive in any order."""
     known = replicalist.ReplicaList()
     newest = {"a": 0, "b": 0}
     for version, (kind, name, started) in enumerate(entries, 1):
