--- a/hornbeamglade/configuration/documents.py
+++ b/hornbeamglade/configuration/documents.py
@@ -63,7 +63,7 @@
             raise _error("config_digest_differs", detail)
 
     def effective(self, site: str) -> models.SiteConfiguration:
-        """Return the configuration of one site; computed by each call.
+        """Return the configuration of one site; the result is not cached.
 
         :param site: the site's name.
         :raises ConfigurationError: for an unknown site, or for content of a
--- a/hornbeamglade/configuration/follower.py
+++ b/hornbeamglade/configuration/follower.py
@@ -164,7 +164,7 @@
         return self._fetch(head, asked_at) if wanted else True
 
     def _fetch(self, head: headrecords.Head, asked_at: float) -> bool:
-        revision = self._content.read(head, held=self._tracker.current)
+        revision = self._content.read(head, previous=self._tracker.current)
         if isinstance(revision, contract.Unavailable):
             return False
         with self._lock:
--- a/hornbeamglade/configuration/following.py
+++ b/hornbeamglade/configuration/following.py
@@ -85,8 +85,8 @@
     Examples
     ========
 
-    >>> following = RevisionTracker("krakow", "node-1")
-    >>> following.readiness.value
+    >>> tracker = RevisionTracker("krakow", "node-1")
+    >>> tracker.readiness.value
     'config_not_read'
     """
 
--- a/hornbeamglade/configuration/head.py
+++ b/hornbeamglade/configuration/head.py
@@ -226,7 +226,7 @@
         return OutcomeUnknown(change.change_id, reason or "no answer")
 
     def _resolve_conflict(self, change: Change, earlier_outcome: PlatformDown | None) -> Outcome:
-        """Return the outcome after a conflict: a lost race, or unknown without the platform."""
+        """Return the outcome of a conflict: a lost race, or unknown if the platform is down."""
         if isinstance(earlier_outcome, PlatformDown):
             return OutcomeUnknown(change.change_id, earlier_outcome.reason)
         read = self._table.read(headrecords.HEAD_KEY)
--- a/hornbeamglade/configuration/headcontent.py
+++ b/hornbeamglade/configuration/headcontent.py
@@ -46,15 +46,15 @@
     def read(
         self,
         found: headrecords.Head | headrecords.AuditRecord,
-        held: documents.Revision | None = None,
+        previous: documents.Revision | None = None,
     ) -> documents.Revision | contract.Unavailable:
         """Return the revision that a row refers to.
 
         :param found: the head or audit row.
-        :param held: a revision at hand, to which a delta may apply.
+        :param previous: a known revision, to which a delta may apply.
         :raises CodedError: when the content is missing or differs from its digest.
         """
-        text = self._by_delta(found.digest, held) if held is not None else None
+        text = self._by_delta(found.digest, previous) if previous is not None else None
         if text is None:
             read = self._objects.get(headrecords.content_key(found.digest))
             if isinstance(read, contract.Unavailable):
@@ -67,11 +67,11 @@
         revision.verify()
         return revision
 
-    def _by_delta(self, digest: str, held: documents.Revision) -> str | None:
+    def _by_delta(self, digest: str, previous: documents.Revision) -> str | None:
         read = self._objects.get(headrecords.delta_key(digest))
         if not isinstance(read, contract.Found):
             return None
-        text = documentdelta.apply(held.document, read.row.value)
+        text = documentdelta.apply(previous.document, read.row.value)
         if text is None or documents.digest(text) != digest:
             return None
         return text
--- a/hornbeamglade/placement/rolloutrun.py
+++ b/hornbeamglade/placement/rolloutrun.py
@@ -156,8 +156,8 @@
     node_placer = _make_placer(pool, table, settings, seed)
     fewest = count
     missing_s = 0.0
-    last = NEW if second is None else NEWER
-    while not pool.has(last):
+    final_state = NEW if second is None else NEWER
+    while not pool.has(final_state):
         if second is not None and second.is_due(pool.clock.now(), pool.has(NEW)):
             node_placer.set_desired(pool.desired_state(2, NEWER))
         serving = pool.step(node_placer.closed())
@@ -176,13 +176,17 @@
     settings: placementsettings.PlacementSettings,
     seed: int,
 ) -> placer.Placer:
-    own = placementsettings.PlacerSettings()
+    placer_settings = placementsettings.PlacerSettings()
     decisions = rollout.Rollout(
-        pool.desired_state(1, NEW), settings, own.flight_s, random.Random(seed), 0.0
+        pool.desired_state(1, NEW), settings, placer_settings.flight_s, random.Random(seed), 0.0
+    )
+    lease = leases.LeaseHolder(
+        table, pool.clock, "pool", "n1", placer_settings.term_s, placer_settings.flight_s
     )
-    lease = leases.LeaseHolder(table, pool.clock, "pool", "n1", own.term_s, own.flight_s)
     client = virtualengines.VirtualEngineClient(pool.clock, pool.engine_by_name.values())
-    return placer.Placer(lease, decisions, client, lambda: True, lambda: 1, own, pool.clock)
+    return placer.Placer(
+        lease, decisions, client, lambda: True, lambda: 1, placer_settings, pool.clock
+    )
 
 
 @click.command()
--- a/hornbeamglade/placement/virtualengines.py
+++ b/hornbeamglade/placement/virtualengines.py
@@ -3,9 +3,9 @@
 Explanation
 ===========
 
-An engine that gets an order unloads immediately, which ends its streams, and loads
-for ``load_s``. Orders may be lost, arrive late or get no response
-(:class:`Fault`).
+An engine that gets an order immediately unloads what is not wanted any more, which
+ends its streams, and loads the rest for ``load_s``. Orders may be lost, arrive late
+or get no response (:class:`Fault`).
 """
 
 import collections.abc
@@ -153,13 +153,13 @@
             case Fault.REFUSES:
                 return orders.Refused(400, "no such model")
             case Fault.LOSES_ORDER:
-                return orders.Lost("the order")
+                return orders.Lost("order lost")
             case Fault.DELAYS_ORDER:
                 self.delayed.append(DelayedOrder(engine, fencing, wanted, sent_at))
-                return orders.Lost("late")
+                return orders.Lost("order delayed")
         now = self._clock.now()
         outcome = engine.apply_order(fencing, wanted, now, now - sent_at > LATE_S)
-        return orders.Lost("its answer") if engine.fault is Fault.LOSES_ANSWER else outcome
+        return orders.Lost("response lost") if engine.fault is Fault.LOSES_ANSWER else outcome
 
     def stream_count(self, replica: models.Replica) -> engines.StreamCount | None:
         """Read the number of streams."""
--- a/tests/backends/conftest.py
+++ b/tests/backends/conftest.py
@@ -28,15 +28,15 @@
         return [r["state"] for r in self.ledger()["runs"] if r["request_id"] == request_id]
 
     def wait_for_state(self, state):
-        _wait(lambda: self.state() == [state])
+        _wait_until(lambda: self.state() == [state])
 
     def wait_for_tokens(self, count):
-        _wait(lambda: self.ledger()["runs"][0]["tokens"] >= count)
+        _wait_until(lambda: self.ledger()["runs"][0]["tokens"] >= count)
 
 
-def _wait(reached):
+def _wait_until(is_reached):
     end = time.monotonic() + WAIT_S
-    while not reached():
+    while not is_reached():
         assert time.monotonic() < end
         time.sleep(0.01)
 
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -7,7 +7,7 @@
 from hornbeamglade.store import contract, memory
 from tests.configuration import samples
 
-BOUND_S = 10.0
+TIMEOUT_S = 10.0
 
 
 @pytest.fixture
@@ -33,11 +33,11 @@
     adopted = threading.Event()
     node.on_adopted = adopted.set
     node.start()
-    assert adopted.wait(BOUND_S)
+    assert adopted.wait(TIMEOUT_S)
     adopted.clear()
     apply_number(platform, 2)
     node.on_version_announcement(2)
-    assert adopted.wait(BOUND_S)
+    assert adopted.wait(TIMEOUT_S)
     node.stop()
     assert node.active().site.node.max_streams == 2
 
--- a/tests/placement/test_engines.py
+++ b/tests/placement/test_engines.py
@@ -16,7 +16,7 @@
 from hornbeamglade.store import memory
 from tests.backends import scripted
 
-WAIT_S = 20.0
+TIMEOUT_S = 20.0
 WANTED = orders.EngineState(frozenset({"draft@2"}), frozenset(), "mixed")
 LOAD_RATE = placement.LoadRateSettings(loads_per_s=100.0)
 ROLLOUT = placement.PlacementSettings(load_rate=LOAD_RATE, propagation_s=0.05, back_off_s=0.01)
@@ -25,14 +25,14 @@
 
 @pytest.fixture
 def servers():
-    made = [
+    started = [
         engine.serve(engine.EngineSettings(threads=8, step_s=0.002, checks_fencing=checks))
         for checks in (True, False)
     ]
-    for server in made:
+    for server in started:
         server.start()
-    yield made
-    for server in made:
+    yield started
+    for server in started:
         server.stop()
 
 
@@ -54,7 +54,7 @@
 
 
 def step_until(placer, is_reached):
-    end = time.monotonic() + WAIT_S
+    end = time.monotonic() + TIMEOUT_S
     while not is_reached():
         assert time.monotonic() < end, placer.statuses()
         placer.step()
@@ -77,10 +77,10 @@
 
 
 def test_model_is_not_unloaded_while_its_stream_runs(placer, servers):
-    pool = urllib3.HTTPConnectionPool(servers[0].address, maxsize=2, timeout=WAIT_S)
+    pool = urllib3.HTTPConnectionPool(servers[0].address, maxsize=2, timeout=TIMEOUT_S)
     body = {"model": "draft", "stream": True, "prompt": "hi", "x_answer_tokens": 100_000}
     headers = {"X-Request-Id": "r1"}
-    answer = pool.request(
+    response = pool.request(
         "POST", "/v1/completions", json=body, headers=headers, preload_content=False
     )
     waiting = placement.PlacementCondition.WAITING_FOR_STREAMS
@@ -91,7 +91,7 @@
     assert ledger(pool)["orders"] == []
     assert ledger(pool)["runs"][0]["state"] == "running"
     pool.request("DELETE", "/v1/streams/r1")
-    answer.close()
+    response.close()
     step_until(placer, lambda: conditions(placer) == {placement.PlacementCondition.IN_SYNC})
 
 
--- a/tests/placement/test_placer_machine.py
+++ b/tests/placement/test_placer_machine.py
@@ -2,8 +2,8 @@
 
 No engine returns to an older revision, no stream is cut, the floor is kept, and the
 newest revision is loaded in the end. While an order is sent, a script may pause its
-sender and run the other node. Owners learn that a replica is closed after ``HEARD_S``
-and keep it closed for ``KEPT_S``.
+sender and run the other node. Owners learn that a replica is closed after
+``CLOSING_DELAY_S`` and keep it closed for ``CLOSING_TTL_S``.
 """
 
 import random
@@ -23,8 +23,8 @@
 ENGINES = ("e0", "e1", "e2", "e3")
 UNCHECKED = "e3"
 MODELS = [("a",), ("b",), ("a", "b")]
-HEARD_S = 4.0
-KEPT_S = 20.0
+CLOSING_DELAY_S = 4.0
+CLOSING_TTL_S = 20.0
 EVENTS = ["nothing", "pause", "long_pause", "other", "other_long", "configure"]
 SETTINGS = placement.PlacerSettings()
 ROLLOUT = placement.PlacementSettings(
@@ -115,9 +115,9 @@
     def announce_closed(self, closed):
         now = self.clock.now()
         for name in closed:
-            heard_at, until = self.closing_by_engine.get(name, (0.0, 0.0))
-            heard_at = heard_at if now < until else now + HEARD_S
-            self.closing_by_engine[name] = (heard_at, now + KEPT_S)
+            known_at, until = self.closing_by_engine.get(name, (0.0, 0.0))
+            known_at = known_at if now < until else now + CLOSING_DELAY_S
+            self.closing_by_engine[name] = (known_at, now + CLOSING_TTL_S)
 
     @stateful.invariant()
     def check(self):
@@ -166,8 +166,8 @@
 
     @stateful.rule(name=st.sampled_from(ENGINES), streams=st.sampled_from([0, 1]))
     def change_streams(self, name, streams):
-        heard_at, until = self.closing_by_engine.get(name, (0.0, 0.0))
-        if streams == 0 or not heard_at <= self.clock.now() < until:
+        known_at, until = self.closing_by_engine.get(name, (0.0, 0.0))
+        if streams == 0 or not known_at <= self.clock.now() < until:
             self.engines[name].streams = streams
 
     @stateful.rule(node=st.sampled_from(NODES))
--- a/tests/placement/test_rollout.py
+++ b/tests/placement/test_rollout.py
@@ -57,10 +57,10 @@
 
 
 def test_two_thirds_of_the_replicas_keep_the_old_models():
-    """A change of the model takes the whole pool out of service for minutes.
+    """A change of the model would take the whole pool out of service for minutes.
 
-    If all replicas are ordered at once, each unloads the old model first, and the weight
-    store needs minutes to deliver the new one. Two thirds must stay in service.
+    If all replicas were ordered at once, each would unload the old model first, and the
+    weight store needs minutes to deliver the new one. Two thirds must stay in service.
     """
     driver = Driver()
     assert [order.replica for order in driver.drain_and_plan()] == ["e0", "e1", "e2"]
@@ -95,7 +95,7 @@
 
 
 def test_streams_end_before_their_model_is_unloaded():
-    """A generation fails midway because its model is unloaded during a rollout."""
+    """Unloading a model during a rollout would break off its running generations."""
     driver = Driver(count=1)
     driver.plan(after_s=200)
     driver.now += 6
@@ -108,7 +108,8 @@
 def test_report_from_before_all_nodes_know_of_the_closing_does_not_count():
     """A node that does not know yet that the replica is closed starts a stream there.
 
-    A load report from just before shows no streams, and the model is unloaded.
+    By a load report from just before, which shows no streams, the model would be
+    unloaded.
     """
     driver = Driver(count=1)
     driver.plan(after_s=200)
@@ -190,10 +191,10 @@
 
 
 def test_withdrawn_order_that_is_pending_is_replaced():
-    """An operator withdraws a change, and minutes later it takes effect after all.
+    """An operator withdraws a change, and minutes later it would take effect after all.
 
-    The engine was still loading, so the state that was read equalled the desired one, and
-    the engine got no new order.
+    The engine is still loading, so the state that is read equals the desired one, and
+    without this rule the engine would get no new order.
     """
     driver = Driver(count=3, present=OLD, wanted=fakes.state("draft@1", "tags@1"))
     first, *_ = driver.plan(after_s=200)
@@ -279,7 +280,7 @@
 
 
 def test_lost_order_delays_the_next_one_to_an_engine_without_fencing_checks():
-    """A change is lost, withdrawn, and takes effect after all.
+    """A change is lost and withdrawn, and would take effect after all.
 
     The engine does not check fencing numbers, so the next order waits until the lost one
     has arrived or cannot arrive any more, and the engine has been read again.
