--- a/hornbeamglade/entry/__init__.py
+++ b/hornbeamglade/entry/__init__.py
@@ -1,1 +1,1 @@
-"""One entry instance on the users' platform, as a process."""
+"""An entry instance, which routes callers' requests on the platform, as a process."""
--- a/hornbeamglade/entry/__main__.py
+++ b/hornbeamglade/entry/__main__.py
@@ -3,11 +3,11 @@
 Explanation
 ===========
 
-The same as ``hornbeamglade entry``, without what only a command line needs. After a loss of
-all instances callers wait until one has imported its modules, so what is imported here is
-time in which nobody is served.
+Equivalent to ``hornbeamglade entry``, but imports nothing that only the command line needs.
+After a full outage, callers wait until the first instance has imported its modules, so every
+import here adds to the time without service.
 
-The file of the settings is named by ``HORNBEAMGLADE_SETTINGS``.
+The environment variable ``HORNBEAMGLADE_SETTINGS`` names the settings file.
 """
 
 import os
@@ -21,7 +21,7 @@
 
 
 def main() -> int:
-    """Run until it is told to stop (SIGTERM drains it); return the exit code."""
+    """Serve until stopped (SIGTERM starts draining); return the exit code."""
     try:
         return daemon.run(os.environ.get(SETTINGS_VARIABLE, ""))
     except codederrors.CodedError as error:
--- a/hornbeamglade/entry/callershandler.py
+++ b/hornbeamglade/entry/callershandler.py
@@ -1,4 +1,4 @@
-"""Answers routed requests: decides where they go and says what came of them."""
+"""Handles callers' requests: routes them, sends the response and logs the outcome."""
 
 import asyncio
 import collections.abc
@@ -31,18 +31,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandlerDependencies:
-    """What routed requests are answered with.
+    """Components that a request handler works with.
 
-    :param request_dialect: how requests and answers are written.
-    :param startup: has callers wait for the first configuration.
+    :param request_dialect: parses requests and formats dispatches.
+    :param startup: makes callers wait for the first configuration.
     :param current: the configuration in force.
-    :param buffered: gets whole answers.
-    :param runs: what streamed answers work with.
+    :param buffered: fetches responses that are not streamed.
+    :param runs: dependencies of streamed responses.
     :param quarantine: refuses requests that crash their replicas.
-    :param budgets: bounds what is sent again.
-    :param drain_admission: decides on requests that come during a planned stop.
-    :param staleness: returns how far the list of replicas can be trusted.
-    :param metrics: the instance's instruments.
+    :param budgets: limits retries.
+    :param drain_admission: decides which requests to accept while draining.
+    :param staleness: returns the version of the replica list and its staleness.
+    :param metrics: the instance's metrics.
     :param clock: monotonic time.
     """
 
@@ -60,31 +60,31 @@
 
 
 class CallersHandler(serverside.Handler):
-    """Answers callers.
+    """Handles requests of callers.
 
-    :param dependencies: what it works with.
+    :param dependencies: the components it works with.
     """
 
     def __init__(self, dependencies: HandlerDependencies) -> None:
         self._dependencies = dependencies
 
     def limits(self) -> serverside.ConnectionLimits:
-        """Return the limits of the configuration in force."""
+        """Return the connection limits of the configuration in force."""
         view = self._dependencies.current.routes
         return serverside.ConnectionLimits() if view is None else view.limits
 
     def refused(self, status: http.HTTPStatus, reason: str) -> None:
-        """Note a request that could not be read."""
+        """Record a request that could not be parsed."""
         self._dependencies.metrics.refusals.add(labels=("request_unreadable", ""))
         logs.decided("-", "read", "refused", status=status.value, reason=logs.slug(reason))
 
     def failed(self, error: Exception) -> None:
-        """Note an error of this instance's own."""
+        """Record an internal error."""
         self._dependencies.metrics.refusals.add(labels=("internal_error", ""))
         logs.failed("caller", error)
 
     async def handle(self, exchange: serverside.Exchange) -> None:
-        """Answer one request."""
+        """Handle one request."""
         dependencies = self._dependencies
         call = dependencies.request_dialect.parse_request(exchange.request)
         if isinstance(call, outcomes.Refusal):
@@ -141,7 +141,7 @@
         log: attemptlog.AttemptLog,
         refusal: outcomes.Refusal,
     ) -> None:
-        """Refuse a routed request, with a time to come back that its caller can wait for."""
+        """Refuse a routed request, with a retry delay that fits the caller's deadline."""
         remaining_s = routed.ends_at - self._dependencies.clock.now()
         refusal = grantresponses.bound_retry_after(remaining_s, refusal)
         team = "" if routed.team is None else routed.team.name
@@ -154,7 +154,7 @@
         routed: callrouter.RoutedRequest,
         log: attemptlog.AttemptLog,
     ) -> streamrun.StreamRun | None:
-        """Return the run of a request for an engine's stream; None for a plain one."""
+        """Return the run for an engine stream, or None for a buffered response."""
         if routed.route.kind is models.RouteKind.STREAM and routed.service.engine is not None:
             return streamrun.StreamRun(routed, exchange, log, self._dependencies.runs)
         return None
@@ -162,7 +162,7 @@
     async def _refuse_unrouted(
         self, exchange: serverside.Exchange, refusal: outcomes.Refusal, request_id: str
     ) -> None:
-        """Refuse a request of which no route is known."""
+        """Refuse a request that matched no route."""
         logs.decided(request_id, "route", refusal.code, status=refusal.http_status)
         await self._refuse(exchange, refusal, request_id, "")
 
@@ -180,7 +180,7 @@
         status: int,
         **extra_fields: logs.FieldValue,
     ) -> None:
-        """Write the line that says how a request ended, and by what it was decided."""
+        """Log how a request ended, with the inputs of the routing decision."""
         service = routed.service.name
         staleness = self._dependencies.staleness()
         generation = routed.call.generation
@@ -223,9 +223,10 @@
         log: attemptlog.AttemptLog,
         run: streamrun.StreamRun | None,
     ) -> None:
-        """Note a request that ended without an answer, and who ended it."""
-        # A planned stop that reaches its limit ends what is under way as a caller's close
-        # does. Told as the caller's doing, it would send whoever looks for the cause astray.
+        """Log a request that ended without a response, and whose doing that was."""
+        # When draining reaches its time limit, in-flight requests are cancelled just as if
+        # the caller had closed the connection. Logging that as the caller's doing would
+        # mislead the operator who looks for the cause.
         is_over = self._dependencies.drain_admission.is_over(self._dependencies.clock.now())
         events = None if run is None else run.result(is_complete=False).events
         self._log_outcome(
@@ -252,7 +253,7 @@
 
 
 def _is_completed(answer: streamrun.StreamResult | outcomes.Refusal | responses.Response) -> bool:
-    """Tell whether a replica ran a request to a good end."""
+    """Return whether a replica ran the request successfully."""
     if isinstance(answer, streamrun.StreamResult):
         return answer.is_complete
     return isinstance(answer, responses.Response) and answer.status < 500
@@ -262,9 +263,9 @@
     routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
 ) -> outcomes.Refusal:
     if log.run is outcomes.RunStatus.NOT_RUN:
-        detail = f"no replica of {routed.service.name} could take the request in time"
+        detail = f"no replica of {routed.service.name} could start the request in time"
         return outcomes.Refusal(
             "not_started_in_time", 503, detail, retry_after_s=NOT_STARTED_RETRY_S
         )
-    detail = f"the answer took longer than the {routed.route.timeout_s:g} s of its route"
+    detail = f"the response exceeded the route timeout of {routed.route.timeout_s:g} s"
     return outcomes.Refusal("answer_too_late", 504, detail, outcomes.RunStatus.UNKNOWN)
--- a/hornbeamglade/entry/clusterstate.py
+++ b/hornbeamglade/entry/clusterstate.py
@@ -1,4 +1,4 @@
-"""The configuration and the list of replicas as this instance believes them."""
+"""The configuration, replica list and evacuations as this instance knows them."""
 
 import collections.abc
 
@@ -14,11 +14,11 @@
 from hornbeamglade.store import contract, positions, tablefollower
 
 REACHABLE_TIMEOUT_S = tablefollower.WAIT_S + 1.5
-"""A question is held by the store for the wait, and answered within a second of its end."""
+"""The store holds a long poll for the wait and answers within a second of its end."""
 
 MAX_LOGGED_PROBLEMS = 100
-"""Entries of other writers that are decoded in the log at a time; any program may write to the
-list, and each line costs what a request's does."""
+"""Undecodable entries that are logged at a time. Any program may write to the list, and each
+log line costs as much as that of a request."""
 
 STORE = "store"
 PEER = "peer"
@@ -28,26 +28,26 @@
 
 
 class ClusterState:
-    """Takes what the store and other instances tell; to be used on the event loop only.
+    """Applies updates from the store and from other instances; for the event loop only.
 
     Explanation
     ===========
 
-    No belief ever goes back: a configuration is taken only when its revision is
-    higher than that in force, a list or the evacuations only when their position is. One
-    that cannot be read leaves the former in force.
+    State never goes back: a configuration is applied only if its revision is higher than that
+    in force, a replica list or the evacuations only if their position is. A document that
+    cannot be decoded leaves the former one in force.
 
-    A store that has come back from an older copy lacks what was written since, until it is
-    written again. The first reading of such an era is joined with what is known: what it lacks
-    stays, what is known to be gone stays gone, and what is known to stop stays so. What the feed
-    says of that era holds at once, and so does the next reading.
+    A store that was restored from an older copy lacks later writes until they are repeated.
+    So the first snapshot of a new era is merged with the known state: missing entries stay,
+    departed replicas stay departed, and leaving replicas stay leaving. Changes from the feed
+    of that era, and the next snapshot, apply as they are.
 
-    :param current: the configuration in force; written here.
-    :param available: the list and the evacuations; written here.
+    :param current: the configuration in force; updated here.
+    :param available: the replica list and the evacuations; updated here.
     :param clock: monotonic time.
-    :param on_list_changed: decoded of each change of the list.
-    :param on_configured: called when another configuration is in force.
-    :param on_evacuated: called when an evacuation has begun or ended.
+    :param on_list_changed: called with each change of the replica list.
+    :param on_configured: called after another configuration has come into force.
+    :param on_evacuated: called after an evacuation has begun or ended.
     """
 
     def __init__(
@@ -77,26 +77,26 @@
         self.reached_at_by_table: dict[str, float] = {}
 
     def versions(self) -> documentsync.Versions:
-        """Return what this instance has."""
+        """Return the versions that this instance holds."""
         route_view = self._current.routes
         revision = 0 if route_view is None else route_view.revision
         return documentsync.Versions(revision, self._replicas.version)
 
     def replica_list_staleness(self) -> views.ListStaleness:
-        """Return what this instance believes of the replicas, and how old that is."""
+        """Return the version of the replica list and its age."""
         read_at = self.reached_at_by_table.get(tables.REPLICAS)
         times = [each for each in (read_at, self._confirmed_at) if each is not None]
         age_s = self._clock.now() - max(times) if times else None
         return views.ListStaleness(self._replicas.version, age_s)
 
     def on_announcement(self, announcement: messages.VersionAnnouncement) -> None:
-        """Take the word of a follower: its list is as new as the store's."""
+        """Process a follower's version announcement, which may confirm this replica list."""
         if announcement.is_reached and announcement.list_version <= self._replicas.version:
             self._confirmed_at = self._clock.now()
         self.apply_evacuations(announcement.evacuations, PEER)
 
     def is_reached(self) -> bool:
-        """Tell whether the store answers this instance, as far as it has tried."""
+        """Return whether the store answers this instance, as far as it has tried."""
         now = self._clock.now()
         reached_at = self.reached_at_by_table
         return all(
@@ -108,8 +108,8 @@
     def read_document(self, subject: messages.Subject, since: int = 0) -> bytes | None:
         """Return a document for another instance, or None.
 
-        :param since: the position that it has of the list, or 0; what has changed after that
-            will do.
+        :param since: the position of the list that the other instance holds, or 0. Only the
+            changes after it are returned if they are still known.
         """
         if subject is messages.Subject.CONFIGURATION:
             return self._document or None
@@ -118,7 +118,7 @@
         )
 
     def apply_document(self, subject: messages.Subject, version: int, document: bytes) -> None:
-        """Take a document of another instance."""
+        """Apply a document fetched from another instance."""
         if subject is messages.Subject.CONFIGURATION:
             self._apply_configuration(document, PEER)
             return
@@ -130,7 +130,7 @@
             self._apply_changes(decoded.changes, PEER)
 
     def on_configuration(self, outcome: TableOutcome) -> None:
-        """Take an outcome of following the table of the configuration."""
+        """Process the outcome of polling the configuration table."""
         if not self._record_reachability(tables.CONFIGURATION, outcome):
             return
         self._apply_evacuation_rows(outcome)
@@ -140,7 +140,7 @@
             self._apply_configuration(row.value.encode(), STORE)
 
     def on_replicas(self, outcome: TableOutcome) -> None:
-        """Take an outcome of following the table of replicas."""
+        """Process the outcome of polling the replica table."""
         if not self._record_reachability(tables.REPLICAS, outcome):
             return
         if isinstance(outcome, contract.Snapshot):
@@ -149,7 +149,7 @@
             self._apply_changes(outcome, STORE)
 
     def apply_evacuations(self, state: evacuationlib.Evacuations, source: str) -> None:
-        """Take a state of the evacuations; an older one changes nothing.
+        """Apply a state of the evacuations, unless it is older than the known one.
 
         :param source: where it comes from, for the log.
         """
@@ -185,7 +185,7 @@
         self.apply_evacuations(state, STORE)
 
     def _record_reachability(self, table: str, outcome: TableOutcome) -> bool:
-        """Note whether the store answers; tell whether it has."""
+        """Record whether the store answered; return whether it did."""
         is_reached = not isinstance(outcome, contract.Unavailable)
         was_reached = self._reached_by_table.get(table)
         if was_reached is not is_reached:
@@ -237,7 +237,7 @@
         self._report(changes, source)
 
     def _merged(self, restored: tuple[contract.Row, ...]) -> tuple[contract.Row, ...]:
-        """Return the rows of an older copy, joined with what is known to have come since."""
+        """Return the rows of a restored table, merged with the state known from later writes."""
         gone = {replica.name for replica in self._replicas.departed_by_id.values()}
         row_by_key = {
             row.key: row for row in restored if replicarows.server_name(row.key) not in gone
@@ -270,7 +270,7 @@
     def _decode_rows(
         self, rows: collections.abc.Iterable[contract.Row]
     ) -> tuple[list[replicamodels.Replica], list[str]]:
-        """Return the entries that can be read, and the names of those that cannot."""
+        """Return the entries that can be decoded, and the names of those that cannot."""
         replicas: list[replicamodels.Replica] = []
         undecodable: list[str] = []
         for row in rows:
@@ -289,10 +289,10 @@
         return replicas, undecodable
 
     def _record_entry(self, key: str, error: codederrors.CodedError | None) -> None:
-        """Log whether an entry can be read, when that is news.
+        """Log whether an entry can be decoded, if that changed.
 
-        Another writer may write one bad entry again and again, or many: a line is written
-        when an entry's problem changes, and for a bounded number of entries at a time.
+        Another program may write one bad entry repeatedly, or many. A line is written only
+        when an entry's problem changes, and for a limited number of entries at a time.
         """
         before = self._problem_by_key.get(key)
         detail = None if error is None else error.detail
@@ -328,7 +328,7 @@
 
 
 def _is_new_era(known: int, read: int) -> bool:
-    """Tell whether a reading is the first one after the store came back from an older copy."""
+    """Return whether a snapshot is the first since the store was restored from an older copy."""
     return known > 0 and positions.era(read) > positions.era(known)
 
 
--- a/hornbeamglade/entry/componentsettings.py
+++ b/hornbeamglade/entry/componentsettings.py
@@ -1,4 +1,4 @@
-"""What the parts of an instance are set by, from its settings and the configuration."""
+"""Derives the settings of an instance's components from its settings and configuration."""
 
 import hashlib
 
@@ -15,7 +15,7 @@
 
 
 def routing(instance_settings: settings.Settings) -> candidates.RoutingSettings:
-    """Return what the choice of an engine goes by."""
+    """Return the settings of engine selection."""
     return candidates.RoutingSettings(
         failure_domain=instance_settings.failure_domain,
         usable_s=digestcache.UNKNOWN_AGE_S,
@@ -27,7 +27,7 @@
 
 
 def retry_budget(instance_settings: settings.Settings) -> retrybudget.BudgetSettings:
-    """Return the bound on attempts beyond the first."""
+    """Return the retry budget."""
     return retrybudget.BudgetSettings(
         instance_settings.budget.ratio,
         instance_settings.budget.slack,
@@ -36,7 +36,7 @@
 
 
 def slow_start_bound(instance_settings: settings.Settings) -> slowstart.Bound:
-    """Return the bound on requests to a cold replica."""
+    """Return the bound on the request rate of a cold replica."""
     return slowstart.Bound(
         instance_settings.slow_start.overage, instance_settings.slow_start.tolerance
     )
@@ -45,7 +45,7 @@
 def scheduler(
     engine: models.EngineTraits, policy: policysettings.Policy
 ) -> schedulerset.SchedulerSpec:
-    """Return what an engine's scheduler is made from."""
+    """Return the settings of an engine's scheduler."""
     return schedulerset.SchedulerSpec(
         memory_tokens=engine.memory_tokens,
         admission=replicaadmission.AdmissionSettings(
@@ -62,13 +62,13 @@
 
 
 def exchange_keys(store: str) -> codec.KeyRing:
-    """Return the keys that sign what instances exchange.
+    """Return the keys that sign the messages between instances.
 
     Explanation
     ===========
 
-    The platform hands out no secret, and the ports between instances are open to them
-    only. The key is made from the address of the store that they share: it keeps frames
-    of another deployment apart, and no more.
+    The platform provides no secret, and the ports between instances are reachable only by
+    them. The key is derived from the address of the shared store. It only separates
+    deployments from one another; it is no protection against an attacker.
     """
     return codec.KeyRing(1, {1: hashlib.blake2b(store.encode(), digest_size=32).digest()})
--- a/hornbeamglade/entry/controlhandler.py
+++ b/hornbeamglade/entry/controlhandler.py
@@ -1,4 +1,4 @@
-"""InstanceInterface the platform's check, callers who ask where to connect, and operators."""
+"""Handles readiness checks, callers' address lookups, metrics and operators' requests."""
 
 import abc
 import http
@@ -13,23 +13,23 @@
 
 
 class InstanceInterface(abc.ABC):
-    """What an instance says of itself."""
+    """What the control endpoints need from an instance."""
 
     @abc.abstractmethod
     def is_ready(self) -> bool:
-        """Tell whether the instance takes callers."""
+        """Return whether the instance accepts callers."""
 
     @abc.abstractmethod
     def addresses(self, failure_domain: str, region: str) -> tuple[str, ...]:
-        """Return where a caller is to connect."""
+        """Return the addresses that a caller should connect to."""
 
     @abc.abstractmethod
     def metrics(self) -> bytes:
-        """Return the instruments in text."""
+        """Return the metrics in text exposition format."""
 
     @abc.abstractmethod
     def members(self) -> bytes:
-        """Return the instances that this one knows, for one that starts."""
+        """Return the known instances, for an instance that is starting."""
 
     @abc.abstractmethod
     def status(self) -> bytes:
@@ -37,11 +37,11 @@
 
 
 class ControlHandler(serverside.Handler):
-    """InstanceInterface everything but routed requests.
+    """Handles everything but routed requests.
 
-    :param instance: what the instance says.
-    :param address_ttl_s: how long callers keep an answer.
-    :param metrics_type: content type of the instruments' text.
+    :param instance: the instance that the endpoints describe.
+    :param address_ttl_s: seconds for which callers cache the addresses.
+    :param metrics_type: content type of the metrics page.
     """
 
     def __init__(
@@ -52,17 +52,17 @@
         self._metrics_fields = ((b"Content-Type", metrics_type.encode()),)
 
     def limits(self) -> serverside.ConnectionLimits:
-        """Return the limits of callers who only ask."""
+        """Return connection limits that allow no request body."""
         return serverside.ConnectionLimits(body_bytes=0)
 
     async def handle(self, exchange: serverside.Exchange) -> None:
-        """Answer one request."""
+        """Handle one request."""
         target = exchange.request.target
         query = directorycalls.question(target)
         if query is not None:
             addresses = self._instance.addresses(query.failure_domain, query.region)
             body = directorycalls.answer(addresses, self._address_ttl_s)
-            # An answer without addresses counts as none: the caller asks another instance.
+            # Callers treat an empty list as a failure and ask another instance.
             status = http.HTTPStatus.OK if addresses else http.HTTPStatus.SERVICE_UNAVAILABLE
             await exchange.answer(status, JSON, body)
         elif directorycalls.is_readiness(target):
--- a/hornbeamglade/entry/daemon.py
+++ b/hornbeamglade/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The process of one entry instance: its servers, its threads, its planned stop."""
+"""The process of one entry instance: its servers, threads and graceful shutdown."""
 
 import asyncio
 import gc
@@ -16,13 +16,13 @@
 from hornbeamglade.store import contract, countedstore, tablefollower
 
 STORE_TIMEOUT_S = 1.0
-"""The store answers within some ten milliseconds; one that does not is slow or away, and
-another call is the better use of the time."""
+"""The store answers within about ten milliseconds. If it does not, it is slow or down, and
+another call is a better use of the time."""
 
 FALLBACK_RETRY_S = 6.0
-"""Pause after a failed call of an instance that follows the store only for want of others
-to tell it: at a large site nearly all do so while the store is away, and those that are to
-follow it look for its return four times a second."""
+"""Pause after a failed call by an instance that follows the store only because no follower
+announces versions to it. During a store outage that is nearly every instance of a large site,
+and the regular followers already check four times a second whether the store is back."""
 
 ADDRESS_TTL_S = 2.0
 STOP_POLL_S = 0.05
@@ -34,7 +34,7 @@
     """Runs one entry instance.
 
     :param path: its settings file.
-    :raises CodedError: when the settings cannot be used.
+    :raises CodedError: if the settings are unusable.
     """
 
     def __init__(self, path: str) -> None:
@@ -80,7 +80,7 @@
         return self._settings.name
 
     async def run(self) -> int:
-        """Serve until a planned stop is done; return the exit code."""
+        """Serve until a graceful shutdown is complete; return the exit code."""
         self._loop = loop = asyncio.get_running_loop()
         self._stopping = asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, self._stopping.set)
@@ -105,7 +105,7 @@
         return EXIT_OK
 
     def _make_follower(self, table: str) -> tablefollower.TableFollower:
-        """Return what follows one table, on a thread of its own."""
+        """Return a follower of one table, which runs on its own thread."""
         return tablefollower.TableFollower(
             self._store,
             table,
@@ -129,7 +129,7 @@
         self._loop.call_soon_threadsafe(self.instance.quarantine.on_rows, rows)
 
     def _update_followers(self) -> None:
-        """Follow the store, or leave it to others, as this instance's part is now."""
+        """Start or pause the followers according to this instance's current role."""
         for follower in self._followers:
             if self.instance.follower_role.is_following:
                 follower.start()
@@ -158,11 +158,11 @@
         while True:
             await asyncio.sleep(CLEANUP_INTERVAL_S)
             self.instance.clean_up()
-            # The file may change without a signal.
+            # The file may change without a SIGHUP.
             self._reload()
 
     def _reload(self) -> None:
-        """Read the settings anew; a file that cannot be read leaves the former in force."""
+        """Reload the settings; if the file is invalid, the former settings stay in force."""
         try:
             text = settings.read(self._path)
             if text == self._settings_text:
@@ -180,7 +180,7 @@
         logs.state_changed("settings", "in_force", "changed", node=instance_settings.name)
 
     async def _drain(self) -> None:
-        """Stop as planned: told to all first, and with nothing under way cut off."""
+        """Shut down gracefully: announce it first, then let in-flight requests finish."""
         logs.state_changed("node", "serving", "leaving", node=self._settings.name)
         stop = self.instance.leave()
         self._callers.leave()
@@ -198,10 +198,10 @@
 
 
 def run(path: str) -> int:
-    """Run one entry instance until its planned stop is done; return the exit code.
+    """Run one entry instance until its graceful shutdown; return the exit code.
 
     :param path: its settings file.
-    :raises CodedError: when the settings cannot be used.
+    :raises CodedError: if the settings are unusable.
     """
     daemon = Daemon(path)
     instruments = daemon.instance.instruments
@@ -209,7 +209,7 @@
         sys.stdout, daemon.name, instruments.state_changes, instruments.log_lines_dropped
     )
     writer.start()
-    # What was imported stays: later collections need not look at it.
+    # Imported objects are never freed, so garbage collections need not traverse them.
     gc.freeze()
     gc.enable()
     code = asyncio.run(daemon.run())
--- a/hornbeamglade/entry/directory.py
+++ b/hornbeamglade/entry/directory.py
@@ -1,22 +1,23 @@
-"""Which instances callers are told to connect to.
+"""Selects the instances that callers should connect to.
 
 Explanation
 ===========
 
-A caller picks one of the addresses at random for each connection, so an answer names
-instances that are equally good for it: those of its own failure domain, if there are
-enough of them for one to fail. An instance that has come back is one address among
-others, so it gets its part of new connections and no more.
+A caller picks one of the returned addresses at random for each connection, so all of them
+must suit it equally well: the instances of its own failure domain, if there are enough that
+one of them may fail. A recovered instance is one address among several, so it receives its
+share of new connections and no more.
 
-Named are instances that live, don't leave, and know a configuration and the replicas.
-One that was listed but never heard of may be long gone, and is not named.
+Only instances that are live, not leaving, and know a configuration and a replica list are
+returned. An instance that is listed but has never sent a heartbeat may be long gone, and is
+left out.
 """
 
 from hornbeamglade.exchange import messages
 from hornbeamglade.membership import view
 
 MIN_ADDRESSES = 2
-"""With two addresses, a caller whose first one fails has another at once."""
+"""With two addresses, a caller has an alternative at once if the first one fails."""
 
 MAX_ADDRESSES = 32
 
@@ -29,13 +30,13 @@
     region: str,
     region_by_domain: dict[str, str],
 ) -> tuple[str, ...]:
-    """Return the addresses for a caller, the nearest only if there are enough.
+    """Return the addresses for a caller, only the nearest ones if there are enough.
 
-    :param members: all instances as the answering one sees them, itself included.
-    :param own_name: the answering instance.
-    :param is_own_ready: whether it takes callers itself.
-    :param failure_domain: where the caller is.
-    :param region: its region.
+    :param members: all instances in this instance's view, itself included.
+    :param own_name: the name of this instance.
+    :param is_own_ready: whether this instance accepts callers.
+    :param failure_domain: the caller's failure domain.
+    :param region: the caller's region.
     :param region_by_domain: the region of each failure domain.
     """
     ready = [
@@ -56,7 +57,7 @@
 
 
 def has_others_ready(members: tuple[view.Member, ...], own_name: str) -> bool:
-    """Tell whether another instance than the answering one takes callers."""
+    """Return whether any other instance accepts callers."""
     return any(_is_ready(each) for each in members if each.identity.name != own_name)
 
 
--- a/hornbeamglade/entry/documentsync.py
+++ b/hornbeamglade/entry/documentsync.py
@@ -1,15 +1,15 @@
-"""What instances read from one another when the platform's store turns some of them away.
+"""Synchronizes documents between instances when the store refuses some of them.
 
 Explanation
 ===========
 
-Each heartbeat tells the revision of the configuration and the version of the list of
-replicas that its sender has. An instance that stays behind for longer than the store's
-own way takes asks an instance that is ahead for the whole document, chunk by chunk; one
-that has others follow the store for it asks at once. Both documents are the store's own
-rows, so the receiver takes them as if it held read them, and only when they are newer than
-what it has. Of the list it gets what has changed since the position that it has, where whoever
-is asked still knows that (:mod:`hornbeamglade.entry.listhistory`).
+Each heartbeat carries the revision of the configuration and the version of the replica list
+that its sender holds. An instance that stays behind for longer than an update from the store
+usually takes fetches the whole document, chunk by chunk, from an instance that is ahead. An
+instance that relies on followers of the store requests it at once. Both documents consist of
+the store's own rows, so the receiver applies them as if it had read them itself, and only if
+they are newer than its own. For the replica list it receives just the changes since its own
+position, if the sender still has them (:mod:`hornbeamglade.entry.listhistory`).
 """
 
 import collections
@@ -22,7 +22,7 @@
 from hornbeamglade.membership import view as membershipview
 
 FETCH_DELAY_S = 0.3
-"""The store tells a change to all instances within some ten milliseconds of one another."""
+"""The store delivers a change to all instances within about ten milliseconds of one another."""
 
 REQUEST_RETRY_S = 0.25
 MAX_DOCUMENT_BYTES = 16_777_216
@@ -32,10 +32,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Versions:
-    """What an instance has.
+    """The versions that an instance holds.
 
     :param configuration: the revision in force, or 0.
-    :param replicas: the version of the list of replicas, or 0.
+    :param replicas: the version of the replica list, or 0.
     """
 
     configuration: int = 0
@@ -50,9 +50,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """A request to send.
+    """A chunk request to send.
 
-    :param node: the instance that is asked.
+    :param node: the recipient's name.
     :param message: the request.
     """
 
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Fetch:
-    """A newer document that this instance wants."""
+    """An ongoing fetch of a newer document."""
 
     version: int
     since: float
@@ -74,18 +74,18 @@
 
 ApplyDocument = collections.abc.Callable[[messages.Subject, int, bytes], None]
 ReadDocument = collections.abc.Callable[[messages.Subject, int], bytes | None]
-"""Returns a document for someone that has a position of it, or None."""
+"""Returns a document for an instance that holds the given position of it, or None."""
 
 MAX_CACHED_DOCUMENTS = 8
-"""Documents that are kept cut into chunks: those who request have mostly the same position."""
+"""Documents kept split into chunks. Most instances that fetch hold the same position."""
 
 
 class DocumentSync:
-    """Both documents of one instance, as the others may read them.
+    """Fetches newer documents from other instances and serves this instance's own.
 
-    :param versions: returns what this instance has.
-    :param read: returns a document as it is in force, or what has changed in it, or None.
-    :param apply: called with a document that was read from another instance.
+    :param versions: returns the versions held here.
+    :param read: returns a document as it is in force, or its changes, or None.
+    :param apply: called with a document fetched from another instance.
     :param clock: monotonic time.
     """
 
@@ -110,16 +110,16 @@
 
     @property
     def is_fetching(self) -> bool:
-        """Whether it wants a newer document."""
+        """Whether a fetch of a newer document is in progress."""
         return bool(self._fetch_by_subject)
 
     def next_request(
         self, live: tuple[membershipview.Member, ...], own_name: str
     ) -> OutgoingRequest | None:
-        """Return a request that is due, given the instances that live.
+        """Return the chunk request that is due, given the live instances.
 
-        Asked many times a second, mostly with the same instances, so whoever is furthest
-        ahead is looked for only when they are others than before.
+        Called many times a second, mostly with the same instances, so the instances with
+        the newest documents are determined only when the set changes.
         """
         if live is not self._live:
             self._live = live
@@ -155,7 +155,7 @@
         return tuple(each for each in due if each is not None)
 
     def on_chunk_request(self, request: messages.ChunkRequest) -> messages.DocumentChunk | None:
-        """Return the chunk that another instance asks for, or None."""
+        """Return the chunk that another instance requests, or None."""
         key = _DocumentKey(request.subject, self.versions().of(request.subject), request.since)
         if key.version != request.revision:
             return None
@@ -163,7 +163,7 @@
         return chunks[request.chunk] if request.chunk < len(chunks) else None
 
     def on_chunk(self, chunk: messages.DocumentChunk) -> messages.ChunkRequest | None:
-        """ApplyDocument a chunk; return the request for the next one, or None at the end."""
+        """Process a chunk; return the request for the next one, or None at the end."""
         fetch = self._fetch_by_subject.get(chunk.subject)
         if fetch is None or fetch.assembly is None or fetch.version != chunk.revision:
             return None
@@ -222,7 +222,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _DocumentKey:
-    """What is asked for: a document as of a version, by someone that has another."""
+    """A requested document: its version, and the version that the requester holds."""
 
     subject: messages.Subject
     version: int
@@ -230,12 +230,12 @@
 
 
 def _with_since(request: messages.ChunkRequest | None, since: int) -> messages.ChunkRequest | None:
-    """Return an request that says which position its sender has."""
+    """Return the request with the position that its sender holds."""
     return None if request is None else dataclasses.replace(request, since=since)
 
 
 def _newest(members: list[membershipview.Member], subject: messages.Subject) -> tuple[int, str]:
-    """Return the newest version that any of ``members`` has, and who has it."""
+    """Return the newest version that any of ``members`` holds, and the holder's name."""
     candidates = ((_version_held_by(member, subject), member.identity.name) for member in members)
     return max(candidates, default=(0, ""))
 
@@ -259,5 +259,5 @@
 
 
 def _decompress(document: bytes) -> bytes:
-    # A peer with a fault must not fill this instance's memory by a few bytes.
+    # Limits decompression: a faulty peer must not exhaust memory with a few bytes.
     return zlib.decompressobj().decompress(document, MAX_DOCUMENT_BYTES)
--- a/hornbeamglade/entry/enginemonitor.py
+++ b/hornbeamglade/entry/enginemonitor.py
@@ -1,4 +1,4 @@
-"""What an instance comes to believe of each engine, and what it does about it."""
+"""Tracks the state of each engine and reacts to engines that leave, fail or restart."""
 
 import collections.abc
 
@@ -13,7 +13,7 @@
 from hornbeamglade.routed import runregistry
 
 REPORT_LAG_S = 0.5
-"""How old an engine's report is when it comes, as measured on the operators' engines."""
+"""Age of an engine's report on arrival, as measured on the operators' engines."""
 
 LIST = "list"
 PEER = "peer"
@@ -21,21 +21,21 @@
 
 
 class EngineMonitor:
-    """Takes words about engines from the list, their own reports and other instances.
+    """Processes engine state from the replica list, engine reports and other instances.
 
     Explanation
     ===========
 
-    The platform's list tells first that an engine is about to stop. While the store is away
-    only the engine's own report does, half a second later; its owner then tells the other
-    instances.
+    The platform's list is the first to announce that an engine will stop. During a store
+    outage only the engine's own report does so, half a second later; its owner then informs
+    the other instances.
 
-    :param replicas: the platform's list.
+    :param replicas: the platform's replica list.
     :param schedulers: this instance's schedulers.
-    :param registry: which run is where.
-    :param pool: the connections that are kept.
-    :param announce: tells the other instances at once what this one knows of its engines.
-    :param moves_runs: whether runs leave an engine that is about to stop.
+    :param registry: the engine of each run.
+    :param pool: idle connections to replicas.
+    :param announce: sends the state of owned engines to the other instances at once.
+    :param moves_runs: whether runs migrate away from an engine that will stop.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         replica: replicamodels.Replica,
         report: enginemodels.EngineReport | reportpoller.EngineLost | None,
     ) -> None:
-        """Take what an owned engine says of itself."""
+        """Process the report of an owned engine, or the loss of that engine."""
         if report is None:
             return
         if isinstance(report, reportpoller.EngineLost):
@@ -87,9 +87,9 @@
             self._announce()
 
     def on_leaving(self, replica_id: str, source: str) -> None:
-        """Take the word that an engine is about to stop, and move its runs away.
+        """Mark an engine as leaving and migrate its runs.
 
-        :param source: who said so.
+        :param source: where the information came from.
         """
         if source != LIST:
             self._reported_leaving.add(replica_id)
@@ -105,29 +105,29 @@
             self._registry.on_replica_leaving(replica_id)
 
     def has_reported_stop(self, replica_id: str) -> bool:
-        """Tell whether an engine's own report, here or at its owner, announced its stop."""
+        """Return whether the engine's own report, to this instance or its owner, said it stops."""
         return replica_id in self._reported_leaving
 
     def on_added(self, replica_id: str) -> None:
-        """Take the word that a replica is in the list, perhaps once more.
+        """Handle a replica that appears in the list, possibly again.
 
-        An entry lapses while the store is away, of an engine that lives.
+        The list entry of a running engine may expire during a store outage.
         """
         self._leaving.discard(replica_id)
         self._reported_leaving.discard(replica_id)
 
     def on_restarted(self, former: replicamodels.Replica) -> None:
-        """Take the word that a server has started anew: its former start is no more.
+        """Handle a server that restarted: its former incarnation no longer exists.
 
-        Guards streams against waiting for events of a run that nobody makes any more, and
-        requests against connections that were kept to the former start: behind a cut
-        neither is reset.
+        Ends streams that would wait for events of a run that no longer exists, and closes
+        idle connections to the former incarnation. During a network partition neither
+        would be reset.
         """
         self._pool.close_kept(former.address)
         self._registry.on_replica_gone(former.id)
 
     def remove_absent(self) -> None:
-        """Forget replicas that are neither in the list nor have left it lately."""
+        """Remove state of replicas that are neither listed nor recently departed."""
         known = self._replicas.by_id.keys() | self._replicas.departed_by_id.keys()
         self._leaving &= known
         self._reported_leaving &= known
--- a/hornbeamglade/entry/followerrole.py
+++ b/hornbeamglade/entry/followerrole.py
@@ -1,14 +1,14 @@
-"""Whether this instance follows the store itself, and whom it tells what is new there.
+"""Decides whether this instance follows the store, and which instances it sends versions to.
 
 Explanation
 ===========
 
 At sites where a few instances follow the store for all
-(:mod:`hornbeamglade.membership.followers`), a follower sends each instance that it tells
-a hint each :data:`ANNOUNCE_INTERVAL_S`, and several at each change. A hint names the versions
-that its sender has, and says whether the store answers it. An instance that hears of no
-follower that reaches the store is on its own: it follows the store itself until it hears
-of one again.
+(:mod:`hornbeamglade.membership.followers`), a follower sends a version announcement to each
+instance assigned to it every :data:`ANNOUNCE_INTERVAL_S`, and several after each change. The
+announcement carries the versions that its sender holds and whether the store answers the
+sender. An instance that receives none from a follower that reaches the store falls back to
+following the store itself, until it receives one again.
 """
 
 import collections.abc
@@ -22,30 +22,30 @@
 
 ANNOUNCE_INTERVAL_S = 1.0
 ANNOUNCEMENT_TIMEOUT_S = 2.2
-"""Two hints are missing, of each of two followers. A change must be in force within 3 s,
-and an instance on its own reads it in some hundredths of a second."""
+"""Two announcements are missing, of each of two followers. A change must be in force within
+3 s, and an instance that falls back reads it within some hundredths of a second."""
 
 CHANGE_REPEATS = 3
 CHANGE_REPEAT_INTERVAL_S = 0.2
-"""A change is told this often: one datagram may be lost, and the next regular hint comes
-too late to matter."""
+"""Interval at which a change is announced repeatedly: one datagram may be lost, and the next
+regular announcement would come too late."""
 
 MIN_FALLBACK_S = 1.0
-"""One lost hint more or less must not have it begin and end all the time: each beginning
-costs a reading of the whole tables. But after an outage of the store every instance of a site
-is on its own, and each further second is paid for by all."""
+"""Prevents flapping when single announcements are lost, since each start of following costs a
+snapshot of all tables. But after a store outage every instance of a site is in fallback, and
+each further second costs calls by all of them."""
 
 INTRODUCTION_TIMEOUT_S = 1.0
-"""An instance that starts waits so long for the list of the others, which tells it
+"""A starting instance waits this long for the list of the other instances, which determines
 whether it follows at all."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutgoingAnnouncement:
-    """A hint to send.
+    """A version announcement to send.
 
     :param node: the recipient's name.
-    :param message: what it is told.
+    :param message: the announcement.
     """
 
     node: str
@@ -53,11 +53,11 @@
 
 
 class FollowerRole:
-    """One instance's part in following the store; to be used on the event loop only.
+    """One instance's role in following the store; for the event loop only.
 
     :param name: this instance's name.
-    :param versions: returns the configuration's revision and the list's version here.
-    :param evacuations: returns the evacuated failure domains as they are known here.
+    :param versions: returns the configuration revision and the replica list version held here.
+    :param evacuations: returns the evacuated failure domains known here.
     :param is_store_reached: returns whether the store answers this instance.
     :param clock: monotonic time.
     """
@@ -87,18 +87,18 @@
         self.is_following = False
 
     def on_introduction(self) -> None:
-        """Note that the list of the others was read."""
+        """Record that the list of the other instances was read."""
         self._starts_at = min(self._starts_at, self._clock.now())
 
     def on_announcement(self, announcement: messages.VersionAnnouncement) -> None:
-        """Take a announcement: a follower lives."""
+        """Process an announcement, which shows that a follower reaches the store."""
         if announcement.is_reached:
             self._last_announced_at = self._clock.now()
 
     def tick(self, nodes: tuple[str, ...]) -> tuple[OutgoingAnnouncement, ...]:
-        """Return the hints that are due; whether to follow is then in ``is_following``.
+        """Return the announcements that are due, and update ``is_following``.
 
-        :param nodes: names of the instances that live, in order.
+        :param nodes: sorted names of the live instances.
         """
         now = self._clock.now()
         if nodes != self._nodes:
@@ -108,19 +108,19 @@
 
     @property
     def has_pending_announcements(self) -> bool:
-        """Whether hints of a change are still to be sent."""
+        """Whether announcements of a change are still to be sent."""
         return bool(self._notified) and self._change_repeats_left > 0
 
     @property
     def is_fallback(self) -> bool:
-        """Whether it follows only for want of a follower that reaches the store."""
+        """Whether it follows only because no follower reaches the store."""
         return self.is_following and not self._is_chosen
 
     def _choose(self, nodes: tuple[str, ...]) -> None:
         chosen = followers.select(nodes)
         self._nodes = nodes
-        # An instance that leaves is no more among them: nobody tells it anything, and it
-        # serves its callers for some seconds yet.
+        # A leaving instance is no longer among the live ones, so no follower announces
+        # versions to it, but it serves callers for some more seconds.
         self._is_chosen = self._name in chosen or self._name not in nodes
         self._notified = ()
         if self._is_chosen:
--- a/hornbeamglade/entry/gauges.py
+++ b/hornbeamglade/entry/gauges.py
@@ -1,4 +1,4 @@
-"""The gauges of an entry instance: what it believes at the moment of a scrape."""
+"""The gauges of an entry instance, computed at each scrape."""
 
 import collections.abc
 import dataclasses
@@ -13,17 +13,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Gauges:
-    """Sets the gauges from the parts that know.
+    """Updates the gauges from the components' state.
 
-    :param instruments: the node's instruments.
+    :param instruments: the node's metrics.
     :param current: the configuration in force.
-    :param available: the replicas that may get new work.
-    :param cluster_state: how far the list of replicas can be trusted.
+    :param available: the replicas that may receive requests.
+    :param cluster_state: provides the staleness of the replica list.
     :param quarantine: refuses requests that crash replicas.
-    :param budgets: what is left for attempts beyond the first.
+    :param budgets: the remaining retry budget of each service.
     :param clock: monotonic time.
-    :param count_grants: returns how many grants are held.
-    :param count_connections: returns how many connections of callers are open.
+    :param count_grants: returns the number of grants held.
+    :param count_connections: returns the number of open caller connections.
     """
 
     instruments: metrics.NodeMetrics
@@ -37,7 +37,7 @@
     count_connections: collections.abc.Callable[[], int] = lambda: 0
 
     def update(self) -> None:
-        """Set every gauge to what holds now."""
+        """Set every gauge to its current value."""
         routed = self.instruments.routed
         age_s = self.cluster_state.replica_list_staleness().age_s
         routed.belief_age_s.set(-1.0 if age_s is None else age_s)
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -1,4 +1,4 @@
-"""One entry instance: its parts and how they hang together."""
+"""One entry instance: its components and how they are connected."""
 
 import collections.abc
 import json
@@ -52,20 +52,20 @@
 
 TICK_S = 0.05
 IDLE_TICK_S = 0.25
-"""Pause between ticks while nothing is under way; a whole part of the heartbeats' periods. At
-a large site nearly all instances idle, and ticks are most of what they then cost."""
+"""Pause between ticks while idle, a divisor of the heartbeat intervals. At a large site nearly
+all instances are idle, and ticks are most of what an idle instance costs."""
 
 ANNOUNCE_STOP_S = 2.0
-"""A planned stop is told to callers for so long: the time for which they keep an answer of
-the directory."""
+"""How long a graceful shutdown is announced before the listener closes: as long as callers
+cache the addresses."""
 
 STOP_MARGIN_S = 0.4
 DEPARTED_RETENTION_S = 12.0
-"""Longer than a replica serves on that was taken from the list without a word."""
+"""Longer than a replica keeps serving after it was removed from the list without notice."""
 
 
 class EntryInstance(controlhandler.InstanceInterface, peering.PeerEvents):
-    """The parts of one entry instance, on one event loop.
+    """The components of one entry instance, on one event loop.
 
     :param instance_settings: its settings.
     :param clock: monotonic and wall time.
@@ -249,13 +249,13 @@
         )
 
     def is_ready(self) -> bool:
-        """Tell whether the instance takes callers."""
+        """Return whether the instance accepts callers."""
         return self._has_complete_state and not self.is_leaving
 
     @property
     def _has_complete_state(self) -> bool:
-        # Without the list every request would be told that no replica is in use, and without
-        # the evacuations some would go where nothing may go.
+        # Without a replica list every request would be refused for want of replicas; without
+        # the evacuations some would be sent to evacuated failure domains.
         has_list = self._replicas.version > 0 and self._available.evacuations.is_known
         return self._views.routes is not None and has_list
 
@@ -265,11 +265,11 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether a planned stop has begun."""
+        """Whether a graceful shutdown has begun."""
         return self.draining is not None
 
     def leave(self) -> draining.Draining:
-        """Begin a planned stop, and tell the others; return its course."""
+        """Begin a graceful shutdown and announce it; return the state machine that tracks it."""
         limit_s = self._settings.bounds.stop_s - STOP_MARGIN_S
         now = self._clock.now()
         self.draining = draining.Draining(ANNOUNCE_STOP_S, propagation_s=0.0, hard_limit_s=limit_s)
@@ -279,16 +279,16 @@
         return self.draining
 
     def apply_settings(self, instance_settings: settings.Settings) -> None:
-        """Take settings that were changed while the instance runs.
+        """Apply settings that changed at run time.
 
-        What it is called and where it listens stays until its next start.
+        The name and the listening addresses keep their values until the next start.
         """
         self._settings = instance_settings
         self._budgets.configure(componentsettings.retry_budget(instance_settings))
         self._available.set_bound(componentsettings.slow_start_bound(instance_settings))
 
     def addresses(self, failure_domain: str, region: str) -> tuple[str, ...]:
-        """Return where a caller is to connect."""
+        """Return the addresses that a caller should connect to."""
         return directory.addresses(
             self.peering.heartbeats.members(),
             self._settings.name,
@@ -299,16 +299,16 @@
         )
 
     def metrics(self) -> bytes:
-        """Return the instruments in text."""
+        """Return the metrics in text exposition format."""
         self._gauges.update()
         return self.instruments.exposition()
 
     def set_connection_counter(self, count: collections.abc.Callable[[], int]) -> None:
-        """Take what tells how many connections of callers are open."""
+        """Set the function that counts open caller connections."""
         self._gauges.count_connections = count
 
     def members(self) -> bytes:
-        """Return the instances that this one knows, for one that starts."""
+        """Return the known instances, for an instance that is starting."""
         return discovery.members_page(self.peering.heartbeats.members())
 
     def status(self) -> bytes:
@@ -335,7 +335,7 @@
         return IDLE_TICK_S if is_idle and not self._schedulers.has_waiting_requests else TICK_S
 
     def tick(self) -> None:
-        """Do what is due; several times a second."""
+        """Do all periodic work that is due; called several times a second."""
         self._open_gate_when_ready()
         self.peering.tick()
         self.poller.tick()
@@ -344,7 +344,7 @@
         self.send_announcements()
 
     def on_store_outcome(self, table: str, outcome: clusterstate.TableOutcome) -> None:
-        """Take an outcome of following a table of the store."""
+        """Process the outcome of polling a table of the store."""
         if table == tables.CONFIGURATION:
             self.cluster_state.on_configuration(outcome)
         else:
@@ -352,42 +352,42 @@
         self.send_announcements()
 
     def send_announcements(self) -> None:
-        """Tell others what is new in the store, where that is this instance's part."""
+        """Send the version announcements that this instance's role requires."""
         live = tuple(each.identity.name for each in self.peering.heartbeats.live())
         for announcement in self.follower_role.tick(live):
             self.peering.send(announcement.node, announcement.message)
 
     def on_engine_leaving(self, replica_id: str) -> None:
-        """Take an owner's word that an engine is about to stop."""
+        """Handle an engine that its owner reports as leaving."""
         self._engine_monitor.on_leaving(replica_id, enginemonitor.PEER)
 
     def on_announcement(self, announcement: messages.VersionAnnouncement) -> None:
-        """Take a announcement of an instance that follows the store."""
+        """Process a version announcement of a follower."""
         self.follower_role.on_announcement(announcement)
         self.cluster_state.on_announcement(announcement)
 
     def on_evacuations(self, state: evacuationlib.Evacuations) -> None:
-        """Take the evacuated failure domains as another instance knows them."""
+        """Apply the evacuated failure domains that another instance reports."""
         self.cluster_state.apply_evacuations(state, clusterstate.PEER)
 
     def on_crash_report(self, sender: str, report: messages.CrashReport) -> None:
-        """Take crashes that another instance has seen."""
+        """Process crashes that another instance has observed."""
         self.quarantine.on_report(sender, report)
 
     def on_quarantine_notice(self, notice: messages.QuarantineNotice) -> None:
-        """Take requests that another instance refuses since they crash replicas."""
+        """Process a notice of requests that another instance has quarantined."""
         self.quarantine.on_notice(notice)
 
     def on_quarantine_digest(self, sender: str, digest: int) -> None:
-        """Take the digest of all requests that another instance so refuses."""
+        """Process the digest of another instance's quarantined requests."""
         self.quarantine.on_digest(sender, digest)
 
     def on_message_error(self, error: Exception, where: str) -> None:
-        """Log an error that a message caused here."""
+        """Log an error raised while handling a message."""
         logs.failed(where, error)
 
     def clean_up(self) -> None:
-        """Forget what is gone; every second or so."""
+        """Remove obsolete state; called about once a second."""
         present = self._replicas.by_id
         self._pool.forget(frozenset(each.address for each in present.values()))
         self._loads.forget_absent(present)
@@ -396,9 +396,9 @@
         self.quarantine.expire()
         self._remove_departed()
         self._engine_monitor.remove_absent()
-        # An instance may have come back under its name in another failure domain.
+        # An instance may have returned under its name in another failure domain.
         self.peering.update_owners()
-        # Killed instances come back under their names: their part is not given away.
+        # Killed instances return under their names, so their share is not redistributed.
         names = [each.identity.name for each in self.peering.heartbeats.members()]
         self._budgets.set_node_count(len(names))
         self._available.set_position(names.index(self._settings.name), len(names))
@@ -412,10 +412,10 @@
                 del self._departed_at_by_replica[replica_id]
 
     def on_introduction(self, listed: tuple[contract.Instance, ...]) -> None:
-        """Take the instances' own list of themselves."""
+        """Process the list of instances read from the store or a seed."""
         self.peering.heartbeats.apply_list(listed)
         if not self._was_introduced:
-            # At large sites it would take minutes until each had heard of this one.
+            # At large sites, gossip alone would take minutes to introduce this instance.
             self._was_introduced = True
             self.peering.heartbeats.announce()
         self.follower_role.on_introduction()
@@ -434,7 +434,7 @@
                 yield from self._replicas.of_service(name)
 
     def _engines_with_owners(self) -> collections.abc.Iterator[replicamodels.Replica]:
-        """Return what has an owner: runs leave an engine in turn also when it is not listed."""
+        """Return all engines that have owners; a delisted one still needs migration slots."""
         yield from self._engines()
         yield from self._replicas.departed_by_id.values()
 
@@ -443,7 +443,8 @@
         replica: replicamodels.Replica,
         report: enginemodels.EngineReport | reportpoller.EngineLost | None,
     ) -> None:
-        # Whether reports name limits is not said, so one without a limit lifts none.
+        # The platform does not say whether reports carry limits, so a report without one
+        # lifts none.
         if isinstance(report, enginemodels.EngineReport) and report.limit is not None:
             self._available.limit_reported(replica.id, report.limit)
         self._engine_monitor.on_report(replica, report)
@@ -462,7 +463,7 @@
         self._update_engines()
 
     def _on_evacuations_changed(self) -> None:
-        # Those that wait for an evacuated engine are refused, and go to another at once.
+        # Requests queued at an evacuated engine are refused and retried elsewhere at once.
         self._schedulers.process_queues()
         self._open_gate_when_ready()
         self.send_announcements()
--- a/hornbeamglade/entry/listhistory.py
+++ b/hornbeamglade/entry/listhistory.py
@@ -1,11 +1,11 @@
-"""The latest changes of the list of replicas, for instances that are a little behind.
+"""Recent changes of the replica list, for instances whose copy is slightly behind.
 
 Explanation
 ===========
 
-At a large site most instances have the list from one that follows the store, at each change. The
-whole list is hundreds of kilobytes, of which a change is one row: so an instance says which
-position it has, and gets what has changed since, where that is still known.
+At a large site most instances receive the replica list from a follower of the store at each
+change. The whole list has hundreds of kilobytes while a change has one row, so an instance
+states the position that it holds and receives only the changes since, if they are still known.
 """
 
 import collections
@@ -26,7 +26,7 @@
 
 
 class ListHistory:
-    """Changes of rows by position; not thread-safe.
+    """Row changes by position; not thread-safe.
 
     Examples
     ========
@@ -47,12 +47,12 @@
         self._newest = 0
 
     def reset(self, position: int) -> None:
-        """Begin anew at a position as of which the whole list was read."""
+        """Restart from a position at which the whole list was read."""
         self._changes.clear()
         self._complete_from = self._newest = position
 
     def add(self, changes: contract.Changes) -> None:
-        """Take changes that follow on those before."""
+        """Append changes that follow the previous ones."""
         position = changes.newest
         self._changes += [_Change(position, row.key, row) for row in changes.written_rows]
         self._changes += [_Change(position, key, None) for key in changes.deleted_keys]
@@ -61,7 +61,7 @@
             self._complete_from = self._changes.popleft().position
 
     def changes_since(self, position: int) -> bytes | None:
-        """Return a document of what has changed after a position, or None if not known."""
+        """Return a document with the changes after a position, or None if they are unknown."""
         if self._complete_from is None or not self._complete_from <= position <= self._newest:
             return None
         newest_by_key = {
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delta:
-    """What has changed in the list after a position.
+    """The changes of the list after a position.
 
     :param since: the position.
     :param changes: the changes.
@@ -90,20 +90,20 @@
 
     @property
     def deleted_keys(self) -> tuple[str, ...]:
-        """Keys of rows that were deleted."""
+        """Keys of the rows that were deleted."""
         return self.changes.deleted_keys
 
 
 def encode_list(rows: collections.abc.Iterable[contract.Row]) -> bytes:
-    """Return a document of a whole list, its rows in order of key.
+    """Return a document with a whole list, its rows sorted by key.
 
-    Instances with the same list have the same bytes of it.
+    Instances that hold the same list produce the same bytes.
     """
     return json.dumps([_row_fields(row) for row in sorted(rows, key=lambda row: row.key)]).encode()
 
 
 def decode(document: bytes) -> Delta | tuple[contract.Row, ...]:
-    """Read a document: what has changed, or the rows of a whole list."""
+    """Decode a document: either changes, or the rows of a whole list."""
     parsed = json.loads(document)
     if isinstance(parsed, list):
         return tuple(contract.Row(*row) for row in parsed)
--- a/hornbeamglade/entry/peering.py
+++ b/hornbeamglade/entry/peering.py
@@ -1,4 +1,4 @@
-"""What an entry instance exchanges with the others: heartbeats, grants, turns, documents."""
+"""Message exchange between entry instances: heartbeats, grants, migration slots, documents."""
 
 import abc
 import collections.abc
@@ -27,52 +27,52 @@
 
 
 class PeerEvents(abc.ABC):
-    """Told of what other instances do and say."""
+    """Callbacks for events and messages of other instances."""
 
     @abc.abstractmethod
     def on_engine_leaving(self, replica_id: str) -> None:
-        """Take an owner's word that an engine is about to stop."""
+        """Handle an engine that its owner reports as leaving."""
 
     @abc.abstractmethod
     def on_announcement(self, announcement: messages.VersionAnnouncement) -> None:
-        """Take a announcement of an instance that follows the store."""
+        """Process a version announcement of a follower."""
 
     @abc.abstractmethod
     def on_evacuations(self, state: evacuationlib.Evacuations) -> None:
-        """Take the evacuated failure domains as another instance knows them."""
+        """Apply the evacuated failure domains that another instance reports."""
 
     @abc.abstractmethod
     def on_crash_report(self, sender: str, report: messages.CrashReport) -> None:
-        """Take crashes that another instance has seen."""
+        """Process crashes that another instance has observed."""
 
     @abc.abstractmethod
     def on_quarantine_notice(self, notice: messages.QuarantineNotice) -> None:
-        """Take requests that another instance refuses since they crash replicas."""
+        """Process a notice of requests that another instance has quarantined."""
 
     @abc.abstractmethod
     def on_quarantine_digest(self, sender: str, digest: int) -> None:
-        """Take the digest of all requests that another instance so refuses."""
+        """Process the digest of another instance's quarantined requests."""
 
     @abc.abstractmethod
     def on_message_error(self, error: Exception, where: str) -> None:
-        """Take an error that a message caused here."""
+        """Handle an error raised while handling a message."""
 
 
 class Peering(grantacquirer.ReplicaOwners):
-    """One instance's side of the exchange; to be used on its event loop only.
+    """One instance's side of the message exchange; for its event loop only.
 
-    :param identity: this instance, as the others know it.
-    :param incarnation: this run of it; grows with each start.
-    :param keys: sign and check what is exchanged.
+    :param identity: this instance's identity for the others.
+    :param incarnation: this instance's incarnation; grows with each start.
+    :param keys: sign and verify messages.
     :param clock: monotonic and wall time.
     :param schedulers: this instance's schedulers.
-    :param digests: takes what owners say.
+    :param digests: stores the replica states that owners report.
     :param engines: returns the engines of the platform's list.
-    :param document_sync: what instances read from one another.
-    :param evacuations: returns the evacuated failure domains as this instance knows them.
+    :param document_sync: fetches documents from other instances and serves them.
+    :param evacuations: returns the evacuated failure domains known here.
     :param quarantine_digest: returns the digest of the requests that this instance refuses
-        since they crash replicas.
-    :param events: told of what the others do and say.
+        because they crash replicas.
+    :param events: receives events and messages of the other instances.
     """
 
     def __init__(
@@ -122,35 +122,35 @@
         )
 
     async def listen(self) -> None:
-        """Begin to receive."""
+        """Start receiving messages."""
         await self.transport.listen(transport.Endpoint.parse(self._identity.exchange))
 
     def set_alternatives(self, others: remotescheduler.Alternatives) -> None:
-        """Take what finds other engines for asks that leave the choice to this instance."""
+        """Set how alternatives are found for grant requests that accept any engine."""
         self._scheduler.set_alternatives(others)
 
     def owner(self, replica: str) -> transport.Peer | None:
-        """Return the owner of a replica, or None when it is this instance."""
+        """Return the owner of a replica, or None if it is this instance."""
         name = self._ownership.owner(replica)
         if name is None or name == self._identity.name:
             return None
         return self.heartbeats.peer(name)
 
     def owned(self) -> frozenset[str]:
-        """Return the replicas that this instance owns now."""
+        """Return the replicas that this instance currently owns."""
         return self._ownership.owned_by(self._identity.name)
 
     def record_no_response(self, owner: str) -> None:
-        """Note that an owner left an request unanswered."""
+        """Record that an owner left a grant request unanswered."""
         self.heartbeats.record_no_reply(owner)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing that is under way here has another step within a tick."""
+        """Whether nothing in progress here has a step due within a tick."""
         return self.migration_slots.is_idle and not self._document_sync.is_fetching
 
     def tick(self) -> None:
-        """Send what is due and take note of what changed; several times a second."""
+        """Send what is due and process changes; called several times a second."""
         changes = self.heartbeats.tick()
         for change in changes:
             membershiplog.log_member_change(change)
@@ -166,7 +166,7 @@
             self.send(request.node, request.message)
 
     def known_names(self) -> tuple[str, ...]:
-        """Return the names of the instances that are not known to be gone."""
+        """Return the names of the instances not known to be gone."""
         return tuple(
             each.identity.name
             for each in self.heartbeats.members()
@@ -174,13 +174,13 @@
         )
 
     def send(self, node: str, message: messages.Message) -> None:
-        """Send a message to an instance, if it is known where it is."""
+        """Send a message to an instance if its address is known."""
         peer = self.heartbeats.peer(node)
         if peer is not None:
             self.transport.send(peer, message)
 
     def update_owners(self) -> None:
-        """Share the engines of the list among the instances that live."""
+        """Distribute the ownership of the listed engines over the live instances."""
         members = self.heartbeats.owner_candidates()
         nodes = [
             ownership.Participant(each.identity.name, each.identity.failure_domain)
@@ -223,7 +223,7 @@
     ) -> None:
         peer = transport.Peer(sender.name, source)
         if isinstance(message, messages.Heartbeat):
-            # A heartbeat that was overtaken must not put older figures back.
+            # A heartbeat that arrives out of order must not restore older values.
             if self.heartbeats.receive(message, sender, source):
                 self._digests.hear(sender.name, message.replicas)
                 self._note_leaving_engines(message.replicas)
--- a/hornbeamglade/entry/policysettings.py
+++ b/hornbeamglade/entry/policysettings.py
@@ -1,4 +1,4 @@
-"""What an instance's decisions go by, as one value that can be varied in trials."""
+"""The tunable parameters of an instance's decisions, which trials vary as one value."""
 
 import json
 
@@ -11,21 +11,21 @@
 
 
 class Policy(pydantic.BaseModel):
-    """The settings of an instance's decisions.
-
-    :param horizons: tokens from now at which an engine's memory must suffice.
-    :param margin_start: deviations of memory kept free at first.
-    :param margin_least: the least that preemptions seen may narrow them to.
-    :param expected_answer_tokens: an answer's length before any was seen.
-    :param placement_s: seconds that a request placed just now adds to an engine's wait: the
-        time to read a prompt of some 2,500 tokens.
-    :param compared_engines: engines of other owners that a request compares. Their word is
-        half a second old at most and their owners grant what is really free, so few of many
-        requests are sent away.
-    :param least_retry_s: the earliest that a refused caller is asked to come back, seconds.
-    :param most_retry_s: the latest, seconds.
-    :param moves_runs: whether runs leave an engine that is about to stop.
-    :param arrivals_in_turn: whether an engine takes in one such run at a time.
+    """Parameters of an instance's decisions.
+
+    :param horizons: numbers of tokens from now at which an engine's memory must suffice.
+    :param margin_start: initial memory margin, in standard deviations.
+    :param margin_least: lower limit when the margin adapts to observed preemptions.
+    :param expected_answer_tokens: assumed length of an answer before any was observed.
+    :param placement_s: seconds that a request just placed adds to an engine's expected wait:
+        the time to prefill a prompt of about 2,500 tokens.
+    :param compared_engines: engines of other owners that are compared for a request. Their
+        state is at most half a second old and their owners grant only actual capacity, so few
+        of many requests are refused.
+    :param least_retry_s: shortest retry delay given to refused callers, seconds.
+    :param most_retry_s: longest retry delay, seconds.
+    :param moves_runs: whether runs migrate away from an engine that will stop.
+    :param arrivals_in_turn: whether an engine receives only one such run at a time.
     """
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
@@ -43,7 +43,7 @@
 
 
 def parse_variant(text: str) -> tuple[str, Policy]:
-    """Read a variant: its name, and the fields in which it differs.
+    """Parse a variant: its name, and the fields in which it differs.
 
     :param text: YAML, a mapping of one name to fields.
     :raises CodedError: ``variant_invalid``, naming what is wrong.
@@ -58,12 +58,14 @@
     try:
         parsed = yaml.safe_load(text)
     except yaml.YAMLError as error:
-        raise codederrors.CodedError(VARIANT_INVALID, f"{text!r:.80}: no YAML") from error
+        raise codederrors.CodedError(VARIANT_INVALID, f"{text!r:.80}: not valid YAML") from error
     if not isinstance(parsed, dict) or len(parsed) != 1:
-        raise codederrors.CodedError(VARIANT_INVALID, f"{text!r:.80}: not NAME: {{FIELD: VALUE}}")
+        raise codederrors.CodedError(
+            VARIANT_INVALID, f"{text!r:.80}: expected NAME: {{FIELD: VALUE}}"
+        )
     ((name, fields),) = parsed.items()
     if not isinstance(name, str) or not name.isidentifier():
-        raise codederrors.CodedError(VARIANT_INVALID, f"{name!r:.80}: not a name")
+        raise codederrors.CodedError(VARIANT_INVALID, f"{name!r:.80}: not a valid identifier")
     try:
         return name, Policy.model_validate(fields or {})
     except pydantic.ValidationError as error:
@@ -74,7 +76,7 @@
 
 
 def as_settings_section(policy: Policy) -> str:
-    r"""Return what a policy adds to the settings: the fields that differ; often nothing.
+    r"""Return the settings section for a policy: the fields that differ, often none.
 
     Examples
     ========
--- a/hornbeamglade/entry/registration.py
+++ b/hornbeamglade/entry/registration.py
@@ -1,4 +1,4 @@
-"""Keeps an instance in the instances' own list, and reads the list now and then."""
+"""Keeps an instance registered in the list of instances and reads that list periodically."""
 
 import collections.abc
 import threading
@@ -8,30 +8,30 @@
 from hornbeamglade.store import contract
 
 INITIAL_RETRY_S = 0.5
-"""Pause between tries until the instance is in the list and has read it once."""
+"""Pause between attempts until the instance is registered and has read the list once."""
 
 SECOND_READ_S = 2.0
-"""Instances of a site that starts as a whole write their rows within a second or two of
-one another."""
+"""When a whole site starts, its instances write their rows within a second or two of one
+another."""
 
 LIST_INTERVAL_S = 5.0
 LONG_LIST_INTERVAL_S = 60.0
-"""The list only introduces: an instance that comes tells the others itself. Each reading
-is paid for, and a long list is many bytes."""
+"""The list is only for discovery: a new instance contacts the others itself. Each read has a
+cost, and a long list is large."""
 
 OnList = collections.abc.Callable[[tuple[contract.Instance, ...]], None]
 
 
 class Registration:
-    """Works on a thread of its own until :meth:`withdraw`.
+    """Works on its own thread until :meth:`withdraw`.
 
     Explanation
     ===========
 
-    At the first start of a site all register and then read the list, so of any two at least
-    one finds the other. An instance that starts later reads first: after a loss of power its
-    row is still there, like those of all others, and one call in place of three is what a
-    site of hundreds then makes for each; the store takes their writes one after another.
+    At the first start of a site, every instance registers and then reads the list, so of any
+    two at least one finds the other. An instance that starts later reads first: after a power
+    failure its row is still there, like all others, so each instance makes one call instead
+    of three. That matters at a site of hundreds, because the store serializes their writes.
 
     :param own: this instance's row.
     :param rows: the list in the store.
@@ -62,11 +62,11 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin."""
+        """Start the thread."""
         threading.Thread(target=self._run, name="registration", daemon=True).start()
 
     def withdraw(self) -> None:
-        """Stop, and take the row away; on a thread of its own, as the store may be slow."""
+        """Stop, and remove the row on a separate thread, as the store may be slow."""
         self._stopping.set()
         threading.Thread(
             target=self._rows.deregister, args=(self._own.name,), name="withdrawal", daemon=True
@@ -86,11 +86,11 @@
         self._lists_read += 1
         self._on_list(listed)
         if self._is_registered and self._own not in listed:
-            # The store has come back from a copy older than the row.
+            # The store was restored from a copy older than the row.
             self._register()
         if not self._is_registered and not self._has_current_row(listed):
             self._register()
-            # Whoever registered since the list was read is not in it.
+            # Instances that registered after the list was read are not in it.
             return 0.0 if self._is_registered else INITIAL_RETRY_S
         if self._lists_read == 1 and not self._had_row_at_start:
             return SECOND_READ_S
@@ -105,7 +105,7 @@
         self._is_registered = isinstance(outcome, contract.Committed)
 
     def _has_current_row(self, listed: tuple[contract.Instance, ...]) -> bool:
-        """Note whether the row of a former run stands as it should."""
+        """Record and return whether the row of an earlier incarnation is still correct."""
         self._is_registered = self._had_row_at_start = self._own in listed
         return self._had_row_at_start
 
--- a/hornbeamglade/entry/settings.py
+++ b/hornbeamglade/entry/settings.py
@@ -1,4 +1,4 @@
-"""What an entry instance is told at its start and at each change, from a YAML file."""
+"""An entry instance's settings, a YAML file read at its start and at each change."""
 
 import pathlib
 import typing
@@ -21,13 +21,13 @@
 
 
 class Listen(_Section):
-    """Where the instance is called.
+    """The addresses on which the instance listens.
 
     :param callers: for routed requests.
-    :param readiness: for the platform's checks.
-    :param directory: for callers that ask where to connect; None if it does not answer them.
-    :param control: for instances that start and know nobody; None if it does not answer them.
-    :param metrics: where its instruments are read; None if they are not.
+    :param readiness: for the platform's readiness checks.
+    :param directory: for callers' address lookups, or None to serve none.
+    :param control: for instances that start and know no other, or None to serve none.
+    :param metrics: for metrics scrapes, or None to serve none.
     """
 
     callers: Address
@@ -38,11 +38,11 @@
 
 
 class Budget(_Section):
-    """The operator's bound on attempts beyond the first of each request.
+    """The operator's limit on retries.
 
-    :param ratio: of the requests of a window.
-    :param slack: beyond that, over all nodes.
-    :param window_s: the window's length.
+    :param ratio: retries allowed per request of a window.
+    :param slack: retries allowed beyond that, over all nodes.
+    :param window_s: length of the window, seconds.
     """
 
     ratio: NotNegative
@@ -51,10 +51,10 @@
 
 
 class SlowStart(_Section):
-    """The operator's bound on requests to a cold replica, over all instances.
+    """The operator's limit on requests to a cold replica, over all instances.
 
-    :param overage: times the rate that the service's replicas bear.
-    :param tolerance: requests a second beyond that.
+    :param overage: factor on the rate that the service's replicas sustain.
+    :param tolerance: requests per second beyond that.
     """
 
     overage: Positive = 1.0
@@ -62,10 +62,10 @@
 
 
 class Bounds(_Section):
-    """Times that the operator holds the system to, in seconds.
+    """Time limits set by the operator, in seconds.
 
-    :param stop_s: from the request to stop to the kill.
-    :param address_ttl_s: the longest that callers keep an answer of the directory.
+    :param stop_s: from the stop signal to the kill.
+    :param address_ttl_s: the longest that callers cache the addresses of the directory.
     """
 
     stop_s: Positive
@@ -76,19 +76,19 @@
     """Settings of one entry instance.
 
     :param name: unique within the operator.
-    :param host: the instance's IP number.
-    :param failure_domain: where it stands.
-    :param region: the region that the failure domain belongs to.
-    :param listen: where it is called.
-    :param exchange_ports: the first and last port that are free for traffic between nodes.
+    :param host: the instance's IP address.
+    :param failure_domain: the instance's failure domain.
+    :param region: the region of the failure domain.
+    :param listen: listening addresses.
+    :param exchange_ports: the first and last port available for traffic between nodes.
     :param seeds: addresses of nodes that may be up.
     :param store: address of the platform's store.
-    :param budget: bound on attempts beyond the first.
-    :param bounds: times.
-    :param slow_start: bound on requests to a cold replica.
+    :param budget: limit on retries.
+    :param bounds: time limits.
+    :param slow_start: limit on requests to a cold replica.
     :param region_by_failure_domain: every failure domain and its region.
     :param is_first_start: whether the whole site starts for the first time.
-    :param policy: what decisions go by, where it differs from the usual.
+    :param policy: parameters of decisions, where they differ from the defaults.
     """
 
     name: str
@@ -119,7 +119,7 @@
 
 
 def parse(text: str, path: str) -> Settings:
-    """Check the text of a settings file.
+    """Parse and validate the text of a settings file.
 
     :param path: the file, for messages.
     :raises CodedError: ``settings_unreadable`` or ``settings_invalid``, naming the file,
--- a/hornbeamglade/entry/startupgate.py
+++ b/hornbeamglade/entry/startupgate.py
@@ -1,23 +1,23 @@
-"""The time between an instance's start and its first configuration and list of replicas."""
+"""Delays the first callers until the configuration and the replica list are known."""
 
 import asyncio
 
 MAX_WAIT_S = 0.5
-"""An instance that starts has both from the store or from others within some tenths of a
-second; one that has neither by then may be cut off, and callers are sent elsewhere."""
+"""A starting instance has both from the store or from peers within a few tenths of a second.
+One that has neither by then may be partitioned, and callers should try another instance."""
 
 
 class StartupGate:
-    """Has the first callers of an instance wait until it can serve them.
+    """Makes the first callers of an instance wait until it can serve them.
 
     Explanation
     ===========
 
-    Guards callers that come back after a loss of all instances: the first instances that
-    listen are asked at once, some have their configuration a tenth of a second later, and a
-    caller that is sent away then may have no other try.
+    Serves callers that return after a full outage. The first instances that listen receive
+    requests at once, some have their configuration only a tenth of a second later, and a
+    caller that is refused in between may not retry.
 
-    To be used on an event loop.
+    For use on an event loop.
     """
 
     def __init__(self) -> None:
@@ -25,11 +25,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether configuration and list are known."""
+        """Whether the configuration and the replica list are known."""
         return self._opened.is_set()
 
     def open(self) -> None:
-        """Note that both are known; idempotent."""
+        """Open the gate once both are known; idempotent."""
         self._opened.set()
 
     async def wait(self) -> None:
