--- a/hornbeamglade/node/replicacatalog.py
+++ b/hornbeamglade/node/replicacatalog.py
@@ -204,7 +204,7 @@
     ) -> candidatelib.Candidate:
         heard = self._digests.newest(known.name)
         with self._lock:
-            held = self._index(known.name).held_tokens(prefix, self._clock.now())
+            held = self._index(known.name).cached_tokens(prefix, self._clock.now())
             detector = self._outliers_by_pool[known.pool]
             is_ejected = detector.is_ejected(known.name)
             slow_factor = detector.slow_factor(known.name)
@@ -220,7 +220,7 @@
             leaving=self._said_to_leave(known.name),
             ejected=is_ejected,
             slow_factor=slow_factor,
-            prefix_tokens_held=held,
+            cached_prefix_tokens=held,
         )
 
     def _detector(self, replica: str) -> outliers.OutlierDetector | None:
--- a/hornbeamglade/routing/__init__.py
+++ b/hornbeamglade/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Placing requests: the choice of a replica, prompt prefixes, outlier detection."""
+"""Routing of requests: choice of a replica, prompt prefixes and outlier detection."""
--- a/hornbeamglade/routing/candidates.py
+++ b/hornbeamglade/routing/candidates.py
@@ -1,4 +1,4 @@
-"""What a node knows of a replica when it places a request, and how it judges it."""
+"""State of a replica as known to a node, and the expected cost of routing a request to it."""
 
 import dataclasses
 
@@ -9,18 +9,18 @@
 class Candidate:
     """A replica that may run a request, as last reported.
 
-    :param replica: the replica's name.
-    :param owner: the node that admits to it.
+    :param replica: name of the replica.
+    :param owner: the node that admits requests to it.
     :param local: whether this node is the owner.
-    :param room_tokens: tokens of engine memory that are free or not promised.
-    :param queued: requests that wait for it and that a newcomer stands behind.
-    :param expected_wait_s: seconds until a request behind these starts.
-    :param report_age_s: seconds since this was true.
-    :param failure_domain: where the replica stands.
-    :param leaving: whether it is about to stop; it gets no new work.
-    :param ejected: whether outlier detection has taken it out for now.
-    :param slow_factor: its time per token over the pool's usual one; 1 is usual.
-    :param prefix_tokens_held: leading tokens of the prompt in its prefix cache.
+    :param room_tokens: unreserved tokens of engine memory.
+    :param queued: queued requests ahead of a new one.
+    :param expected_wait_s: expected queueing delay of a new request in seconds.
+    :param report_age_s: age of this state in seconds.
+    :param failure_domain: failure domain of the replica.
+    :param leaving: whether it will stop soon; it gets no new work.
+    :param ejected: whether outlier detection has ejected it for now.
+    :param slow_factor: its time per token relative to the pool's median; 1 is normal.
+    :param cached_prefix_tokens: leading tokens of the prompt in its prefix cache.
     """
 
     replica: str
@@ -34,25 +34,26 @@
     leaving: bool = False
     ejected: bool = False
     slow_factor: float = 1.0
-    prefix_tokens_held: int = 0
+    cached_prefix_tokens: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingSettings:
-    """Rates and trade-offs of the routing choice.
-
-    :param failure_domain: where this node stands.
-    :param fresh_s: reports younger than this count as exact.
-    :param usable_s: older reports are used only when there is no younger one.
-    :param samples: how many replicas with reports that are not fresh are compared.
-    :param prefill_tokens_per_s: prompt tokens that an engine computes per second.
-    :param decode_tokens_per_s: tokens that a usual engine frees per second, all streams.
-    :param expected_answer_tokens: growth to allow for where none is bounded.
-    :param preemption_s: what a preemption costs in stall time.
-    :param placement_s: wait that one placement since the report adds.
-    :param remote_s: cost of passing the request through another node.
-    :param other_domain_s: cost of leaving the failure domain.
-    :param same_domain_s: what a fall-back in the first choice's failure domain costs.
+    """Rates and costs used by the routing choice.
+
+    :param failure_domain: failure domain of this node.
+    :param fresh_s: reports younger than this are treated as exact.
+    :param usable_s: older reports are used only if no replica has a younger one.
+    :param samples: number of replicas without a fresh report that are compared.
+    :param prefill_tokens_per_s: prompt tokens that an engine processes per second.
+    :param decode_tokens_per_s: tokens that a normal engine frees per second over all streams.
+    :param expected_answer_tokens: expected length of an answer; a lower limit of the request
+        takes precedence.
+    :param preemption_s: stall time that a preemption costs.
+    :param placement_s: queueing delay that each placement since the report adds.
+    :param remote_s: cost of a replica that another node owns.
+    :param other_domain_s: cost of a replica in another failure domain.
+    :param same_domain_s: extra cost of a fallback in the failure domain of the first choice.
     """
 
     failure_domain: str = ""
@@ -70,7 +71,7 @@
 
 
 def needed_tokens(work: outcomes.Work, settings: RoutingSettings) -> int:
-    """Return the engine memory, in tokens, that a request is expected to need."""
+    """Return the engine memory in tokens that a request is expected to need."""
     answer = settings.expected_answer_tokens
     if work.max_tokens is not None:
         answer = min(answer, work.max_tokens)
@@ -78,40 +79,39 @@
 
 
 def stall_cost_s(work: outcomes.Work, candidate: Candidate, settings: RoutingSettings) -> float:
-    """Return the expected seconds of stall when ``candidate`` runs ``work``.
+    """Return the expected stall in seconds if ``candidate`` runs ``work``.
 
     Explanation
     ===========
 
-    The sum of the wait in its queue, the wait for memory that it lacks, the
-    chance of a preemption as memory runs short, the prefill of what its prefix
-    cache does not hold, and the way there. Time on the engine is stretched by
-    its slow factor.
+    The sum of the queueing delay, the wait for missing memory, the expected cost of
+    a preemption when memory is scarce, the prefill time of uncached prompt tokens,
+    and the network cost. The time on the engine is multiplied by its slow factor.
     """
-    on_engine = candidate.expected_wait_s
-    on_engine += _memory_s(work, candidate, settings)
-    on_engine += _prefill_s(work, candidate, settings)
-    return on_engine * candidate.slow_factor + _way_s(candidate, settings)
+    engine_s = candidate.expected_wait_s
+    engine_s += _memory_cost_s(work, candidate, settings)
+    engine_s += _prefill_cost_s(work, candidate, settings)
+    return engine_s * candidate.slow_factor + _network_cost_s(candidate, settings)
 
 
-def _memory_s(work: outcomes.Work, candidate: Candidate, settings: RoutingSettings) -> float:
-    needed = needed_tokens(work, settings) - candidate.prefix_tokens_held
+def _memory_cost_s(work: outcomes.Work, candidate: Candidate, settings: RoutingSettings) -> float:
+    needed = needed_tokens(work, settings) - candidate.cached_prefix_tokens
     needed = max(needed, 0)
-    room = max(candidate.room_tokens, 0)
+    free_tokens = max(candidate.room_tokens, 0)
     shortage = max(needed - candidate.room_tokens, 0)
-    crowding = min(needed / room, 1.0) if room else 1.0
+    memory_pressure = min(needed / free_tokens, 1.0) if free_tokens else 1.0
     if not needed:
-        crowding = 0.0
-    return shortage / settings.decode_tokens_per_s + settings.preemption_s * crowding**2
+        memory_pressure = 0.0
+    return shortage / settings.decode_tokens_per_s + settings.preemption_s * memory_pressure**2
 
 
-def _prefill_s(work: outcomes.Work, candidate: Candidate, settings: RoutingSettings) -> float:
-    missing = max(work.prompt_tokens - candidate.prefix_tokens_held, 0)
-    return missing / settings.prefill_tokens_per_s
+def _prefill_cost_s(work: outcomes.Work, candidate: Candidate, settings: RoutingSettings) -> float:
+    uncached_tokens = max(work.prompt_tokens - candidate.cached_prefix_tokens, 0)
+    return uncached_tokens / settings.prefill_tokens_per_s
 
 
-def _way_s(candidate: Candidate, settings: RoutingSettings) -> float:
-    way_s = 0.0 if candidate.local else settings.remote_s
+def _network_cost_s(candidate: Candidate, settings: RoutingSettings) -> float:
+    network_s = 0.0 if candidate.local else settings.remote_s
     if candidate.failure_domain != settings.failure_domain:
-        way_s += settings.other_domain_s
-    return way_s
+        network_s += settings.other_domain_s
+    return network_s
--- a/hornbeamglade/routing/choice.py
+++ b/hornbeamglade/routing/choice.py
@@ -1,18 +1,19 @@
-"""Which replica gets a request.
+"""Choice of the replica for a request.
 
 Explanation
 ===========
 
-Replicas with a fresh report (those that this node owns) are compared in full.
-Of those known by an older report only a random few are compared [1]_, together
-with the one that holds most of the prompt's prefix: were all compared, every
-node would send its next requests to the replica that looked emptiest in the
-same report, and overrun it.
+All replicas with a fresh report (those that this node owns) are compared. Of
+those with an older report only a small random sample is compared [1]_, plus the
+one that caches the longest prefix of the prompt. If all of them were compared,
+every node would send its next requests to the replica that looked emptiest in
+the same report, and overload it.
 
-What was weighed: *least outstanding* ignores memory, and answers grow;
-*rendezvous by prefix alone* overruns the replica of a large team; *full
-comparison of old reports* herds. A cost in seconds of stall lets the terms be
-traded against each other, and a measured one replace a guess.
+Rejected alternatives: *least outstanding requests* ignores memory, although
+answers grow; *rendezvous hashing by prefix alone* overloads the replica of a
+large team; *full comparison of old reports* causes herding. Expressing the cost
+as seconds of stall makes its terms comparable, and lets a measured term replace
+an estimated one.
 
 References
 ==========
@@ -34,7 +35,7 @@
     """The replica chosen for a request.
 
     :param candidate: the replica.
-    :param cost_s: the expected seconds of stall there.
+    :param cost_s: the expected stall there in seconds.
     """
 
     candidate: candidatelib.Candidate
@@ -43,10 +44,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoCandidate:
-    """No replica may take new work.
+    """The result when no replica accepts new work.
 
-    :param leaving: how many are leaving.
-    :param ejected: how many outlier detection has taken out.
+    :param leaving: number of leaving replicas.
+    :param ejected: number of replicas ejected by outlier detection.
     """
 
     leaving: int
@@ -61,7 +62,7 @@
 ) -> Choice | NoCandidate:
     """Choose a replica for ``work``.
 
-    :param candidates: what is known, own placements added
+    :param candidates: the known state of replicas, including this node's own placements
         (:class:`hornbeamglade.routing.placements.Placements`).
 
     Examples
@@ -79,8 +80,8 @@
         leaving = sum(candidate.leaving for candidate in candidates)
         ejected = sum(candidate.ejected for candidate in candidates)
         return NoCandidate(leaving, ejected)
-    compared = _compared(usable, rng, settings)
-    return min(_costed(work, compared, settings), key=lambda choice: choice.cost_s)
+    compared = _select_compared(usable, rng, settings)
+    return min(_with_costs(work, compared, settings), key=lambda choice: choice.cost_s)
 
 
 def rank(
@@ -89,53 +90,57 @@
     rng: random.Random,
     settings: candidatelib.RoutingSettings,
 ) -> tuple[Choice, ...]:
-    """Return the choice followed by its fall-backs, best first; empty when there is none.
+    """Return the choice followed by its fallbacks, best first; empty if there are no candidates.
 
-    A fall-back in the failure domain of the first choice costs more: what made the
-    first unreachable is likely to hold there too.
+    A fallback in the failure domain of the first choice costs more, since whatever made
+    the first choice unreachable probably affects it too.
     """
-    first = choose(work, candidates, rng, settings)
-    if isinstance(first, NoCandidate):
+    best = choose(work, candidates, rng, settings)
+    if isinstance(best, NoCandidate):
         return ()
 
     def fallback_cost_s(choice: Choice) -> float:
-        if choice.candidate.failure_domain == first.candidate.failure_domain:
+        if choice.candidate.failure_domain == best.candidate.failure_domain:
             return choice.cost_s + settings.same_domain_s
         return choice.cost_s
 
     rest = [
         choice
-        for choice in _costed(work, _usable(candidates, settings), settings)
-        if choice.candidate.replica != first.candidate.replica
+        for choice in _with_costs(work, _usable(candidates, settings), settings)
+        if choice.candidate.replica != best.candidate.replica
     ]
-    return (first, *sorted(rest, key=fallback_cost_s))
+    return (best, *sorted(rest, key=fallback_cost_s))
 
 
 def _usable(
     candidates: collections.abc.Sequence[candidatelib.Candidate],
     settings: candidatelib.RoutingSettings,
 ) -> list[candidatelib.Candidate]:
-    able = [each for each in candidates if not each.leaving and not each.ejected]
-    known = [each for each in able if each.report_age_s <= settings.usable_s]
-    return known or able
+    eligible = [each for each in candidates if not each.leaving and not each.ejected]
+    recent = [each for each in eligible if each.report_age_s <= settings.usable_s]
+    return recent or eligible
 
 
-def _compared(
+def _select_compared(
     usable: list[candidatelib.Candidate],
     rng: random.Random,
     settings: candidatelib.RoutingSettings,
 ) -> list[candidatelib.Candidate]:
     fresh = [each for each in usable if each.report_age_s <= settings.fresh_s]
-    old = [each for each in usable if each.report_age_s > settings.fresh_s]
-    compared = fresh + rng.sample(old, min(settings.samples, len(old)))
-    holder = max(old, key=lambda each: each.prefix_tokens_held, default=None)
-    if holder is not None and holder.prefix_tokens_held and holder not in compared:
-        compared.append(holder)
+    stale = [each for each in usable if each.report_age_s > settings.fresh_s]
+    compared = fresh + rng.sample(stale, min(settings.samples, len(stale)))
+    prefix_holder = max(stale, key=lambda each: each.cached_prefix_tokens, default=None)
+    if (
+        prefix_holder is not None
+        and prefix_holder.cached_prefix_tokens
+        and prefix_holder not in compared
+    ):
+        compared.append(prefix_holder)
     rng.shuffle(compared)
     return compared
 
 
-def _costed(
+def _with_costs(
     work: outcomes.Work,
     candidates: list[candidatelib.Candidate],
     settings: candidatelib.RoutingSettings,
--- a/hornbeamglade/routing/outliers.py
+++ b/hornbeamglade/routing/outliers.py
@@ -1,4 +1,4 @@
-"""Taking replicas that fail or lag behind their pool out of use for a while."""
+"""Outlier detection: temporary ejection of replicas that fail or are slower than their pool."""
 
 import collections.abc
 import dataclasses
@@ -12,13 +12,13 @@
 class OutlierSettings:
     """When a replica is ejected, and for how long.
 
-    :param failures: consecutive failures that eject.
-    :param slow_factor: latency over the pool's median that ejects.
-    :param min_samples: latencies needed before a replica counts as slow.
-    :param base_s: seconds of the first ejection; each further one doubles it.
-    :param max_s: the longest ejection.
-    :param max_share: the part of a pool that may be ejected at once, 0 to 1.
-    :param probe_timeout_s: seconds after which an unanswered probe counts as lost.
+    :param failures: consecutive failures that cause an ejection.
+    :param slow_factor: ratio of latency to the pool's median that causes an ejection.
+    :param min_samples: latency samples needed before a replica can count as slow.
+    :param base_s: duration of the first ejection in seconds; each further one doubles it.
+    :param max_s: longest ejection in seconds.
+    :param max_share: share of a pool that may be ejected at the same time, 0 to 1.
+    :param probe_timeout_s: seconds after which an unanswered probe is considered lost.
     """
 
     failures: int = 3
@@ -30,8 +30,8 @@
     probe_timeout_s: float = 30.0
 
 
-class Standing(enum.Enum):
-    """Whether a replica gets work."""
+class EjectionState(enum.Enum):
+    """Whether a replica gets requests."""
 
     IN_USE = "in_use"
     EJECTED = "ejected"
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Record:
-    standing: Standing = Standing.IN_USE
+    state: EjectionState = EjectionState.IN_USE
     failures: int = 0
     ejections: int = 0
     until: float = 0.0
@@ -49,19 +49,18 @@
 
 
 class OutlierDetector:
-    """The standing of each replica of one pool, as an aggregate.
+    """The ejection state of each replica of one pool.
 
     Explanation
     ===========
 
     A replica is ejected after consecutive failures, or when its smoothed latency
-    is a multiple of the median of the pool. After the ejection one request probes
-    it (half-open): its success brings the replica back, its failure doubles the
-    next ejection.
+    exceeds the median of the pool by a factor. After the ejection one request probes
+    it (half-open): success readmits the replica, failure doubles the next ejection.
 
-    Guard: at most ``max_share`` of the pool is ejected. When the fault is this
-    node's own link, every replica looks dead; without the floor the node would
-    take the whole pool out and refuse everything after the link is back.
+    At most ``max_share`` of the pool is ejected. If this node's own link fails, every
+    replica seems to fail; without the limit the node would eject the whole pool and
+    refuse all requests even after the link is back.
 
     :param settings: thresholds and times.
 
@@ -83,61 +82,61 @@
         self._record_by_replica: dict[str, _Record] = {}
 
     def watch(self, replicas: collections.abc.Collection[str]) -> None:
-        """Take over the pool's members; what is known of those that stay is kept."""
-        for gone in self._record_by_replica.keys() - set(replicas):
-            del self._record_by_replica[gone]
+        """Set the members of the pool; the records of remaining members are kept."""
+        for removed in self._record_by_replica.keys() - set(replicas):
+            del self._record_by_replica[removed]
         for replica in replicas:
             self._record_by_replica.setdefault(replica, _Record())
 
     def succeeded(self, replica: str, latency_s: float, now: float) -> None:
-        """Note an answer.
+        """Record a successful response.
 
-        :param latency_s: what is compared in the pool, such as the mean time between
-            tokens; 0 when there is none.
+        :param latency_s: the latency that is compared within the pool, such as the mean
+            time between tokens; 0 if there is none.
         """
         record = self._record_by_replica.get(replica)
         if record is None:
             return
         record.failures = 0
-        if record.standing is Standing.PROBED:
-            self._restore(record)
-        elif record.standing is Standing.IN_USE:
+        if record.state is EjectionState.PROBED:
+            self._readmit(record)
+        elif record.state is EjectionState.IN_USE:
             self._smooth(record, latency_s)
             if self._is_slow(replica):
                 self._eject(record, now)
 
     def failed(self, replica: str, now: float) -> None:
-        """Note a failure of the replica itself, not of the request."""
+        """Record a failure caused by the replica, not by the request."""
         record = self._record_by_replica.get(replica)
         if record is None:
             return
         record.failures += 1
-        is_probe = record.standing is Standing.PROBED
-        is_due = record.failures >= self._settings.failures
-        if is_probe or (record.standing is Standing.IN_USE and is_due):
+        is_probe = record.state is EjectionState.PROBED
+        has_reached_limit = record.failures >= self._settings.failures
+        if is_probe or (record.state is EjectionState.IN_USE and has_reached_limit):
             self._eject(record, now)
 
     def is_ejected(self, replica: str) -> bool:
-        """Return whether the replica gets no work but probes."""
+        """Return whether the replica gets no requests except probes."""
         record = self._record_by_replica.get(replica)
-        return record is not None and record.standing is not Standing.IN_USE
+        return record is not None and record.state is not EjectionState.IN_USE
 
     def probe_due(self, now: float) -> str | None:
-        """Return a replica that the next idempotent request is to probe, if any.
+        """Return a replica that the next idempotent request should probe, or None.
 
-        The probe is granted once; it is granted again when no answer to it is
-        noted within ``probe_timeout_s``.
+        A probe is assigned once, and again if no result is recorded within
+        ``probe_timeout_s``.
         """
         for replica, record in self._record_by_replica.items():
-            if record.standing is Standing.IN_USE or now < record.until:
+            if record.state is EjectionState.IN_USE or now < record.until:
                 continue
-            record.standing = Standing.PROBED
+            record.state = EjectionState.PROBED
             record.until = now + self._settings.probe_timeout_s
             return replica
         return None
 
     def slow_factor(self, replica: str) -> float:
-        """Return the replica's latency over the pool's median, at least 1."""
+        """Return the ratio of the replica's latency to the pool's median, at least 1."""
         record = self._record_by_replica.get(replica)
         median_s = self._median_s()
         if record is None or not median_s or record.samples < self._settings.min_samples:
@@ -157,28 +156,28 @@
             for record in self._record_by_replica.values()
             if record.samples >= self._settings.min_samples
         ]
-        # The low median: of two replicas the slow one must not set the measure.
+        # The low median, so that the slower of two replicas does not set the reference.
         return statistics.median_low(known) if len(known) > 1 else 0.0
 
     def _is_slow(self, replica: str) -> bool:
         return self.slow_factor(replica) >= self._settings.slow_factor
 
     def _eject(self, record: _Record, now: float) -> None:
-        if record.standing is Standing.IN_USE and not self._may_eject():
+        if record.state is EjectionState.IN_USE and not self._may_eject():
             return
-        if record.standing is Standing.IN_USE and now - record.until > self._settings.max_s:
+        if record.state is EjectionState.IN_USE and now - record.until > self._settings.max_s:
             record.ejections = 0
         seconds = self._settings.base_s * 2.0**record.ejections
-        record.standing = Standing.EJECTED
+        record.state = EjectionState.EJECTED
         record.until = now + min(seconds, self._settings.max_s)
         record.ejections = min(record.ejections + 1, 32)
 
     def _may_eject(self) -> bool:
         records = self._record_by_replica.values()
-        ejected = sum(record.standing is not Standing.IN_USE for record in records)
+        ejected = sum(record.state is not EjectionState.IN_USE for record in records)
         return ejected + 1 <= self._settings.max_share * len(records)
 
-    def _restore(self, record: _Record) -> None:
-        record.standing = Standing.IN_USE
+    def _readmit(self, record: _Record) -> None:
+        record.state = EjectionState.IN_USE
         record.latency_s = 0.0
         record.samples = 0
--- a/hornbeamglade/routing/placements.py
+++ b/hornbeamglade/routing/placements.py
@@ -1,4 +1,4 @@
-"""A node's own placements that no load report shows yet."""
+"""A node's own placements that are not yet included in load reports."""
 
 import collections
 import collections.abc
@@ -19,14 +19,14 @@
     Explanation
     ===========
 
-    Guard: load reports lag by seconds. Without this, all requests that a node
-    takes in between go to the replica that the report shows as emptiest: users
-    see a burst of stalls there while others idle, then the burst moves on.
-    Adding the node's own placements made after the report was true makes each
-    of them count at once.
+    Load reports lag by seconds. Based on them alone, a node would send all requests
+    between two reports to the replica that the report shows as emptiest: users see a
+    burst of stalls there while other replicas idle, then the burst moves to the next
+    replica. Adding the node's own placements made since the report takes each of them
+    into account at once.
 
-    :param settings: rates of the routing choice.
-    :param keep_s: placements older than this count as reported.
+    :param settings: rates and costs of the routing choice.
+    :param retention_s: placements older than this are assumed to be in the reports.
 
     Examples
     ========
@@ -38,38 +38,42 @@
     600
     """
 
-    def __init__(self, settings: candidatelib.RoutingSettings, *, keep_s: float = 10.0) -> None:
+    def __init__(
+        self, settings: candidatelib.RoutingSettings, *, retention_s: float = 10.0
+    ) -> None:
         self._settings = settings
-        self._keep_s = keep_s
+        self._retention_s = retention_s
         self._recent_by_replica: dict[str, collections.deque[_Placement]] = {}
 
     def placed(self, replica: str, tokens: int, now: float) -> None:
-        """Note that a request of ``tokens`` expected tokens was sent to ``replica``."""
+        """Record that a request of ``tokens`` expected tokens was sent to ``replica``."""
         recent = self._recent_by_replica.setdefault(replica, collections.deque())
         recent.append(_Placement(now, tokens))
 
     def applied(
         self, candidates: collections.abc.Iterable[candidatelib.Candidate], now: float
     ) -> list[candidatelib.Candidate]:
-        """Return the candidates with the placements that their reports lack."""
-        self._forget_before(now - self._keep_s)
-        return [self._apply(candidate, now) for candidate in candidates]
+        """Return the candidates, adjusted for placements that their reports do not include."""
+        self._drop_before(now - self._retention_s)
+        return [self._with_unreported(candidate, now) for candidate in candidates]
 
-    def _apply(self, candidate: candidatelib.Candidate, now: float) -> candidatelib.Candidate:
+    def _with_unreported(
+        self, candidate: candidatelib.Candidate, now: float
+    ) -> candidatelib.Candidate:
         reported_at = now - candidate.report_age_s
         recent = self._recent_by_replica.get(candidate.replica, ())
-        missing = [each for each in recent if each.at > reported_at]
-        if not missing:
+        unreported = [each for each in recent if each.at > reported_at]
+        if not unreported:
             return candidate
-        wait_s = len(missing) * self._settings.placement_s
+        wait_s = len(unreported) * self._settings.placement_s
         return dataclasses.replace(
             candidate,
-            room_tokens=candidate.room_tokens - sum(each.tokens for each in missing),
-            queued=candidate.queued + len(missing),
+            room_tokens=candidate.room_tokens - sum(each.tokens for each in unreported),
+            queued=candidate.queued + len(unreported),
             expected_wait_s=candidate.expected_wait_s + wait_s,
         )
 
-    def _forget_before(self, oldest: float) -> None:
+    def _drop_before(self, oldest: float) -> None:
         for replica, recent in list(self._recent_by_replica.items()):
             while recent and recent[0].at < oldest:
                 recent.popleft()
