--- a/hornbeamglade/retries/__init__.py
+++ b/hornbeamglade/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Trying again: what may be retried, and how much."""
+"""Retry budgets: which requests may be retried, and how many."""
 
 from hornbeamglade.retries.budget import RetryBudget, RetrySettings
 
--- a/hornbeamglade/retries/budget.py
+++ b/hornbeamglade/retries/budget.py
@@ -1,4 +1,4 @@
-"""How many retries a service may cause, as a share of its requests."""
+"""Retry budget of a service, as a share of its requests."""
 
 import dataclasses
 
@@ -7,8 +7,9 @@
 class RetrySettings:
     """Bounds of a retry budget.
 
-    :param share: retries that each first attempt earns.
-    :param burst: retries that may be saved up, so that a quiet service can retry too.
+    :param share: retries that each first attempt adds to the budget.
+    :param burst: largest budget, and the initial one, so that a service with few requests
+        can also retry.
     """
 
     share: float = 0.1
@@ -16,19 +17,19 @@
 
 
 class RetryBudget:
-    """Retries of one service, bounded to a share of its requests.
+    """Retries of one service, limited to a share of its requests.
 
     Explanation
     ===========
 
-    Guard: when a pool fails, each request that is retried r times puts r + 1 times
-    the load on what is left of it, which then fails too, and callers see an outage
-    long after its cause is gone. With the budget the extra load is at most
-    ``share`` of the first attempts, beside one burst.
+    When a pool fails partially and each request is retried r times, the remaining
+    replicas get r + 1 times the load and fail too, so the outage lasts long after its
+    cause is gone. With the budget the extra load is at most ``share`` of the first
+    attempts, plus one burst.
 
-    What was weighed: *a fixed number of retries per request* multiplies the load
-    just when there is least room for it; *a circuit breaker per service* stops all
-    work for the fault of a few replicas, which outlier detection handles.
+    Rejected alternatives: *a fixed number of retries per request* multiplies the load
+    when capacity is lowest; *a circuit breaker per service* stops all requests because
+    of a few failing replicas, which outlier detection handles.
 
     Examples
     ========
@@ -44,20 +45,20 @@
 
     def __init__(self, settings: RetrySettings) -> None:
         self._settings = settings
-        self._saved = settings.burst
+        self._balance = settings.burst
 
     def record_request(self) -> None:
-        """Note the first attempt of a request."""
-        self._saved = min(self._saved + self._settings.share, self._settings.burst)
+        """Record the first attempt of a request."""
+        self._balance = min(self._balance + self._settings.share, self._settings.burst)
 
     def spend(self, *, repeatable: bool) -> bool:
-        """Return whether a request may be tried again, and take that from the budget.
+        """Return whether a request may be retried; if so, take the retry from the budget.
 
-        :param repeatable: whether the request is idempotent, or was refused as not
-            run by the backend server. Anything else is never tried again: the first
-            attempt may have run, and a second one would run it twice.
+        :param repeatable: whether the request is idempotent, or was refused by the
+            backend server without being run. Any other request is never retried: its
+            first attempt may have run, and a second one would run it twice.
         """
-        if not repeatable or self._saved < 1.0:
+        if not repeatable or self._balance < 1.0:
             return False
-        self._saved -= 1.0
+        self._balance -= 1.0
         return True
--- a/hornbeamglade/streams/__init__.py
+++ b/hornbeamglade/streams/__init__.py
@@ -1,4 +1,4 @@
-"""One generation's way to its caller: each token once, in order, from one generation."""
+"""Delivery of a generation to its caller: each token once, in order, from one generation."""
 
 from hornbeamglade.streams.generationstream import (
     AfterLoss,
--- a/hornbeamglade/streams/generationstream.py
+++ b/hornbeamglade/streams/generationstream.py
@@ -1,16 +1,16 @@
-"""The aggregate that decides which tokens reach a caller.
+"""Decides which generated tokens are delivered to a caller.
 
 Explanation
 ===========
 
-A request may be dispatched several times (engines die, links stall), but the
-caller must see one generation, each token once and in order, and exactly one
-final answer. The aggregate holds the current generation's id and the next
-offset that may be delivered. A token of any other generation, or at any other
-offset, is not delivered. A new generation may begin only while nothing was
-delivered; afterwards only the same generation may be resumed.
+A request may be dispatched several times (engines crash, links stall), but the
+caller must receive one generation, each token once and in order, and exactly one
+final response. The stream stores the id of the current generation and the next
+offset to deliver. A token of any other generation, or at any other offset, is
+rejected. A new generation may begin only while no token has been delivered;
+afterwards only the same generation may be resumed.
 
-The same rules are checked in ``spec/stream.prism``.
+The model ``spec/stream.prism`` checks the same rules.
 """
 
 import enum
@@ -19,7 +19,7 @@
 
 
 class Phase(enum.Enum):
-    """Where a request stands on its way to its final answer."""
+    """Progress of a request towards its final response."""
 
     WAITING = "waiting"
     DISPATCHED = "dispatched"
@@ -28,10 +28,10 @@
 
 
 class AfterLoss(enum.Enum):
-    """What may follow when a generation's connection was lost.
+    """The action to take after the connection of a generation was lost.
 
     ``RUN_AGAIN`` starts another generation; ``RESUME`` continues the same one
-    after the last delivered offset; ``END`` gives the caller its final answer.
+    after the last delivered offset; ``END`` sends the caller its final response.
     """
 
     RUN_AGAIN = "run_again"
@@ -40,10 +40,10 @@
 
 
 class GenerationStream:
-    """Deliver one generation to one caller.
+    """Delivery of one generation to one caller.
 
     :param repeatable: whether the request may be run more than once.
-    :param resumable: whether the engine offers to resume a stream.
+    :param resumable: whether the engine supports resuming a stream.
 
     Examples
     ========
@@ -69,12 +69,12 @@
         self.phase = Phase.WAITING
 
     def begin(self, generation: str) -> None:
-        """Dispatch a generation; tokens of earlier ones are dropped from now on.
+        """Start a generation; tokens of earlier generations are rejected from now on.
 
-        :param generation: unique for each attempt.
-        :raises InvariantError: when a token was delivered already, since a second
-            generation would then be spliced onto the first, or when a request that
-            is not repeatable would run a second time.
+        :param generation: id of the generation, unique for each attempt.
+        :raises InvariantError: if a token has already been delivered, since a second
+            generation would be spliced onto the first, or if a request that is not
+            repeatable would run a second time.
         """
         if self._generation is not None and not self._repeatable:
             raise codederrors.InvariantError(
@@ -89,10 +89,10 @@
         self.phase = Phase.DISPATCHED
 
     def accept(self, generation: str, offset: int) -> bool:
-        """Say whether this token is the next one for the caller, and count it.
+        """Return whether a token is the next one to deliver; if so, advance the offset.
 
-        Guards against late tokens of an abandoned generation (they carry its id)
-        and against an engine that repeats or skips offsets after a resume.
+        Rejects late tokens of an abandoned generation, which carry its id, and
+        offsets that an engine repeats or skips after a resume.
         """
         if offset != self.next_offset or generation != self._generation:
             return False
@@ -103,7 +103,7 @@
         return True
 
     def lost(self, generation: str) -> AfterLoss:
-        """Decide what may follow the loss of a generation's connection."""
+        """Return the action to take after the connection of a generation was lost."""
         if generation != self._generation or self.phase is Phase.ENDED:
             return AfterLoss.END
         if self.next_offset == 0 and self._repeatable:
@@ -111,7 +111,7 @@
         return AfterLoss.RESUME if self._resumable else AfterLoss.END
 
     def end(self) -> bool:
-        """Claim the right to give the final answer; true exactly once."""
+        """Claim the right to send the final response; return True exactly once."""
         if self.phase is Phase.ENDED:
             return False
         self.phase = Phase.ENDED
--- a/tests/streams/test_generationstream.py
+++ b/tests/streams/test_generationstream.py
@@ -105,10 +105,10 @@
 TestDelivery = DeliveryMachine.TestCase
 
 
-def test_a_request_that_is_not_repeatable_has_one_generation():
-    """A hold's connection is lost before the first token.
+def test_non_repeatable_request_has_one_generation():
+    """The connection of a reservation request is lost before the first token.
 
-    A second generation would hold the unit twice, though nothing was delivered.
+    A second generation would reserve the unit twice, although nothing was delivered.
     """
     stream = generationstream.GenerationStream(repeatable=False, resumable=False)
     stream.begin("g1")
@@ -117,8 +117,8 @@
         stream.begin("g2")
 
 
-def test_a_late_token_of_a_former_generation_is_not_delivered():
-    """A link stalls, the request runs again elsewhere, and then the link comes back."""
+def test_late_token_of_an_earlier_generation_is_not_delivered():
+    """A link stalls, the request runs again elsewhere, and then the link recovers."""
     stream = generationstream.GenerationStream(repeatable=True, resumable=False)
     stream.begin("g1")
     assert stream.lost("g1") is AfterLoss.RUN_AGAIN
@@ -127,8 +127,8 @@
     assert stream.accept("g2", 0)
 
 
-def test_a_token_after_the_end_is_not_delivered():
-    """A deadline ends a request; its engine's tokens go on coming."""
+def test_token_after_the_end_is_not_delivered():
+    """A deadline ends a request while its engine continues to send tokens."""
     stream = generationstream.GenerationStream(repeatable=True, resumable=True)
     stream.begin("g1")
     assert stream.accept("g1", 0)
