--- a/hornbeamglade/admission/__init__.py
+++ b/hornbeamglade/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Which work a replica takes on, so that its memory seldom overflows."""
+"""Admission control for replicas: which requests to admit so that memory rarely overflows."""
 
 from hornbeamglade.admission.margincontrol import MarginController, MarginSettings
 from hornbeamglade.admission.policies import AdmissionPolicy, FixedReserve, PresentMemory
--- a/hornbeamglade/admission/margincontrol.py
+++ b/hornbeamglade/admission/margincontrol.py
@@ -1,4 +1,4 @@
-"""Widens the margin when preemptions are seen and narrows it when they are not."""
+"""Control of the safety margin: preemptions widen it, and their absence narrows it."""
 
 import dataclasses
 import math
@@ -6,14 +6,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MarginSettings:
-    """The control of the margin.
+    """Parameters of the margin control.
 
-    :param initial: deviations at first.
+    :param initial: margin at the start, in standard deviations.
     :param minimum: lower bound.
     :param maximum: upper bound.
-    :param target: preemptions for each finished request at which the margin rests.
+    :param target: preemptions per finished request at which the margin stays constant.
     :param step: factor by which one preemption widens the margin.
-    :param most_steps: bound on the steps taken for one report.
+    :param max_steps: limit on the steps taken for one report.
     """
 
     initial: float = 1.5
@@ -21,7 +21,7 @@
     maximum: float = 4.0
     target: float = 0.05
     step: float = 1.02
-    most_steps: int = 3
+    max_steps: int = 3
 
 
 class MarginController:
@@ -30,12 +30,13 @@
     Explanation
     ===========
 
-    The probability of overflow rests on lengths learned in the past. When
-    lengths drift, it is wrong, and its error shows as preemptions. Each one
-    multiplies the margin by ``step``, each request that finishes while others are
-    held back divides it by ``step ** target``: the margin rests where preemptions
-    per request meet the target. The step is small: with a step of 1.1 the margin
-    swung, and the same goodput cost nearly twice the preemptions.
+    The overflow probability is computed from lengths learned in the past. When the
+    lengths drift, it is wrong, and the error becomes visible as preemptions. Each
+    preemption multiplies the margin by ``step``, and each request that finishes while
+    others are held back divides it by ``step ** target``. The margin thus converges to the
+    point where the preemptions per request equal the target. The step is small: with a
+    step of 1.1 the margin oscillated, and the same goodput cost nearly twice as many
+    preemptions.
 
     Examples
     ========
@@ -52,12 +53,12 @@
         self.deviations = self._settings.initial
 
     def preempted(self, count: int) -> None:
-        """Widen for ``count`` preemptions seen since the last call."""
+        """Widen the margin for ``count`` preemptions since the last call."""
         settings = self._settings
-        # One crowded moment preempts many at once; that is one error, not many.
-        widened = self.deviations * math.pow(settings.step, min(count, settings.most_steps))
+        # A single overflow preempts many requests at once; that is one error, not many.
+        widened = self.deviations * math.pow(settings.step, min(count, settings.max_steps))
         self.deviations = min(settings.maximum, widened)
 
     def finished(self) -> None:
-        """Narrow a little for a request that came to its end."""
+        """Narrow the margin slightly for a finished request."""
         self.deviations = max(self._settings.minimum, self.deviations * self._decay)
--- a/hornbeamglade/admission/policies.py
+++ b/hornbeamglade/admission/policies.py
@@ -1,4 +1,4 @@
-"""The contract of admission to one replica, and the plain policies."""
+"""The interface of admission policies for one replica, and the simple policies."""
 
 import abc
 
@@ -7,18 +7,18 @@
 
 
 class AdmissionPolicy(abc.ABC):
-    """Decides whether one replica takes on a request.
+    """Decides whether one replica admits a request.
 
     Explanation
     ===========
 
     The owner calls ``admit`` after ``fits``, ``progress`` as tokens arrive,
-    ``finish`` whichever way the request ended, and ``report`` for each load
-    report. All but ``fits`` and ``headroom`` are the same for the plain policies.
+    ``finish`` when the request ends for any reason, and ``report`` for each load
+    report. The simple policies differ only in ``fits`` and ``headroom``.
 
-    :param capacity_tokens: the replica's memory, until a report tells it.
-    :param max_running: bound on requests at once, or None.
-    :param settings: how own knowledge and reports are put together.
+    :param capacity_tokens: the replica's memory, until a load report contains it.
+    :param max_running: limit on concurrent requests, or None.
+    :param settings: how local accounting and load reports are combined.
     """
 
     def __init__(
@@ -32,10 +32,10 @@
 
     @abc.abstractmethod
     def headroom(self, now: float) -> float:
-        """Return the tokens that may still be taken on; below 0 when overfull."""
+        """Return the tokens that may still be admitted; negative if memory is overcommitted."""
 
     def fits(self, work: outcomes.Work, now: float) -> bool:
-        """Tell whether the replica should take on ``work`` now."""
+        """Tell whether the replica should admit ``work`` now."""
         if self.is_idle():
             return self.can_ever_fit(work)
         if self.is_at_limit():
@@ -43,19 +43,19 @@
         return self.ledger.footprint(work.prompt_tokens) <= self.headroom(now)
 
     def admit(self, work: outcomes.Work, now: float) -> None:
-        """Count ``work`` in."""
+        """Account for an admitted request."""
         self.ledger.admit(work, now)
 
     def progress(self, request_id: str, produced: int, now: float) -> None:
-        """Note that a request has ``produced`` tokens so far."""
+        """Record that a request has ``produced`` tokens so far."""
         self.ledger.progress(request_id, produced, now)
 
     def finish(self, request_id: str, now: float) -> None:
-        """Count a request out."""
+        """Remove a request that has ended."""
         self.ledger.finish(request_id, now)
 
     def report(self, view: tokenledger.LoadView, now: float) -> None:
-        """Take in a load report."""
+        """Apply a load report."""
         self.ledger.report(view, now)
 
     def can_ever_fit(self, work: outcomes.Work) -> bool:
@@ -63,18 +63,18 @@
         return self.ledger.footprint(work.prompt_tokens) < self.ledger.capacity
 
     def is_idle(self) -> bool:
-        """Tell whether nothing is known to run; a margin must not starve an idle replica."""
-        return not self.ledger.stream_by_id and not self.ledger.others
+        """Tell whether no request is known to run; a margin must not starve an idle replica."""
+        return not self.ledger.stream_by_id and not self.ledger.other_tokens
 
     def is_at_limit(self) -> bool:
-        """Tell whether as many requests run as may."""
+        """Tell whether the limit on concurrent requests is reached."""
         if self._max_running is None:
             return False
         return len(self.ledger.stream_by_id) >= self._max_running
 
 
 class PresentMemory(AdmissionPolicy):
-    """Admits while the present use leaves room for the prompt.
+    """Admits a request if its prompt fits beside the memory that is used now.
 
     Examples
     ========
@@ -86,14 +86,14 @@
     """
 
     def headroom(self, now: float) -> float:
-        """Return capacity less present use."""
-        return self.ledger.capacity - self.ledger.own - self.ledger.others
+        """Return the capacity minus the memory that is used now."""
+        return self.ledger.capacity - self.ledger.own_tokens - self.ledger.other_tokens
 
 
 class FixedReserve(AdmissionPolicy):
-    """Keeps a fixed number of tokens free for each running request's growth.
+    """Reserves a fixed number of tokens for the growth of each running request.
 
-    :param reserve_tokens: tokens kept free for each request, beyond what it holds.
+    :param reserve_tokens: tokens reserved for each request in addition to those that it holds.
     """
 
     def __init__(
@@ -107,16 +107,16 @@
         self._reserve_tokens = reserve_tokens
 
     def headroom(self, now: float) -> float:
-        """Return capacity less present use and the reserves, the next request's too."""
+        """Return the capacity minus the usage and all reserves, including a new request's."""
         running = len(self.ledger.stream_by_id) + 1
-        used = self.ledger.own + self.ledger.others
+        used = self.ledger.own_tokens + self.ledger.other_tokens
         return self.ledger.capacity - used - running * self._reserve_tokens
 
 
 class LeastOutstanding(AdmissionPolicy):
-    """Admits everything; its room only ranks replicas by how little they run.
+    """Admits everything; its headroom only ranks replicas by their number of running requests.
 
-    The common baseline without admission control, kept to be compared with.
+    The common baseline without admission control, kept for comparison.
 
     Examples
     ========
@@ -128,9 +128,9 @@
     """
 
     def fits(self, work: outcomes.Work, now: float) -> bool:
-        """Take on whatever an empty replica could hold."""
+        """Admit every request whose prompt an empty replica could hold."""
         return self.can_ever_fit(work)
 
     def headroom(self, now: float) -> float:
-        """Return the capacity, shared among what runs and one more."""
+        """Return the capacity divided by the number of running requests plus one."""
         return self.ledger.capacity / (1 + len(self.ledger.stream_by_id))
--- a/hornbeamglade/admission/promptbacklog.py
+++ b/hornbeamglade/admission/promptbacklog.py
@@ -1,32 +1,32 @@
-"""How long an engine takes to read the prompts that it was given, by a fluid estimate."""
+"""A fluid estimate of how long an engine takes to process (prefill) its queued prompts."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromptSettings:
-    """The speed at which an engine reads prompts.
+    """The rate at which an engine processes prompts.
 
-    :param tokens_per_s: while it also decodes.
+    :param tokens_per_s: the prefill rate while it also decodes.
     """
 
     tokens_per_s: float = 7000.0
-    """Engines read 14 tokens of a prompt in a millisecond, in pieces between the steps of
-    running requests, which take about as long."""
+    """Engines prefill 14 tokens in a millisecond, in chunks between the decode steps of running
+    requests. The decode steps take about as much time as the chunks."""
 
 
 class PromptBacklog:
-    """Prompt tokens that wait to be read at one engine.
+    """Prompt tokens that wait to be processed by one engine.
 
     Explanation
     ===========
 
-    Memory says little of how soon a request starts: an engine may have room and still
-    ten prompts to read before this one. Reports show that half a second late, when the
-    prompts of that half second have all gone to the engine that looked free. So each
-    prompt is counted as it is granted, and runs off at the engine's speed.
+    Free memory does not show how soon a request starts: an engine may have headroom and
+    still process ten prompts before this one. Load reports show the backlog half a second
+    late, when all prompts of that time have been sent to the engine that seemed free. So
+    each prompt is added when it is granted, and the backlog drains at the engine's rate.
 
-    :param settings: the engine's speed.
+    :param settings: the engine's rate.
 
     Examples
     ========
@@ -43,19 +43,19 @@
     def __init__(self, settings: PromptSettings | None = None) -> None:
         self._settings = settings or PromptSettings()
         self._tokens = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def add(self, tokens: int, now: float) -> None:
-        """Count a prompt that was just granted."""
-        self._run_off(now)
+        """Add the prompt of a request that was just granted."""
+        self._drain(now)
         self._tokens += tokens
 
     def wait_s(self, now: float) -> float:
-        """Return the seconds until all prompts so far are read."""
-        self._run_off(now)
+        """Return the seconds until all prompts so far are processed."""
+        self._drain(now)
         return self._tokens / self._settings.tokens_per_s
 
-    def _run_off(self, now: float) -> None:
-        read = (now - self._at) * self._settings.tokens_per_s
-        self._tokens = max(0.0, self._tokens - read)
-        self._at = now
+    def _drain(self, now: float) -> None:
+        processed = (now - self._updated_at) * self._settings.tokens_per_s
+        self._tokens = max(0.0, self._tokens - processed)
+        self._updated_at = now
--- a/hornbeamglade/admission/replicaadmission.py
+++ b/hornbeamglade/admission/replicaadmission.py
@@ -1,20 +1,20 @@
-"""Admission to one replica by a bounded probability that its memory overflows.
+"""Admission to one replica that limits the probability of a memory overflow.
 
 Explanation
 ===========
 
-At each of several horizons the memory held then is a sum over streams that
-still run by then: each holds its prompt, its tokens so far and the horizon,
-with the probability that it outlasts the horizon, else nothing. Mean and
-variance of the sum are kept as running totals, so that a decision costs a few
-operations for each horizon however many streams run. A request fits when mean
-plus so many deviations stay under the capacity at every horizon. How many
-deviations is corrected by the preemptions seen
-(:mod:`hornbeamglade.admission.margincontrol`).
-
-With few long streams the sum is far from normal: mean plus deviations passes
-what is held when none of them ends, which no course of events can pass. That
-worst case bounds the demand at each horizon.
+The memory that will be held at each of several horizons is a sum over the streams
+that are still running then. With the probability that it outlasts the horizon, a
+stream holds its prompt, its tokens so far and the tokens up to the horizon;
+otherwise it holds nothing. The mean and variance of the sum are kept as running
+totals, so a decision costs a few operations per horizon, however many streams run.
+A request fits if the mean plus a margin stays below the capacity at every horizon.
+The margin is a number of standard deviations, which is corrected by the observed
+preemptions (:mod:`hornbeamglade.admission.margincontrol`).
+
+With few long streams, the sum is far from normally distributed: the mean plus the
+margin may exceed the memory that is held if none of the streams ends, which is an
+upper bound. This worst case limits the demand at each horizon.
 """
 
 import dataclasses
@@ -24,19 +24,19 @@
 from hornbeamglade.core import outcomes
 from hornbeamglade.lengths import lengthmodel
 
-# Float totals pick up rounding errors with each change; summed anew now and then.
-_RESUM_EVERY = 4096
+# Running totals accumulate rounding errors with each change, so they are recomputed regularly.
+_RECOMPUTE_EVERY = 4096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmissionSettings:
     """Settings of probabilistic admission.
 
-    :param horizons: tokens ahead at which the memory must suffice, ascending.
-    :param max_running: bound on requests at once, or None.
-    :param stride: tokens of progress after which a stream's share is computed anew.
-    :param margin: the control of the margin.
-    :param ledger: how own knowledge and reports are put together.
+    :param horizons: tokens ahead of now at which the memory must suffice, ascending.
+    :param max_running: limit on concurrent requests, or None.
+    :param stride: tokens of progress after which a stream's demand is recomputed.
+    :param margin: parameters of the margin control.
+    :param ledger: how local accounting and load reports are combined.
     """
 
     horizons: tuple[int, ...] = (0, 50, 100)
@@ -47,10 +47,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Share:
-    """What one stream adds to the totals, by horizon; taken out again as it was."""
+class _Demand:
+    """The contribution of one stream to the totals at each horizon.
 
-    due: int
+    It is subtracted unchanged when the stream ends or its demand is recomputed.
+    """
+
+    valid_until: int
     means: tuple[float, ...]
     variances: tuple[float, ...]
     worst: tuple[float, ...]
@@ -59,9 +62,9 @@
 class ReplicaAdmission(policies.AdmissionPolicy):
     """Probabilistic admission to one replica.
 
-    :param capacity_tokens: the replica's memory, until a report tells it.
-    :param lengths: what was learned of the lengths of answers.
-    :param settings: horizons, bounds and margins.
+    :param capacity_tokens: the replica's memory, until a load report contains it.
+    :param lengths: the learned distribution of answer lengths.
+    :param settings: horizons, limits and margins.
 
     Examples
     ========
@@ -85,7 +88,7 @@
         super().__init__(capacity_tokens, self._settings.max_running, self._settings.ledger)
         self.margin = margincontrol.MarginController(self._settings.margin)
         self._lengths = lengths
-        self._share_by_id: dict[str, _Share] = {}
+        self._demand_by_id: dict[str, _Demand] = {}
         self._means = [0.0] * len(self._settings.horizons)
         self._variances = [0.0] * len(self._settings.horizons)
         self._worst = [0.0] * len(self._settings.horizons)
@@ -94,81 +97,81 @@
         self._held_back = False
 
     def fits(self, work: outcomes.Work, now: float) -> bool:
-        """Tell whether memory suffices at every horizon with ``work`` taken on too."""
+        """Tell whether memory suffices at every horizon with ``work`` included."""
         if self.is_idle():
             return self.can_ever_fit(work)
         if self.is_at_limit():
             return False
-        share = self._share(work, 0)
-        does_fit = self._least_room(share, now) >= 0.0
+        demand = self._demand(work, 0)
+        does_fit = self._min_headroom(demand, now) >= 0.0
         self._held_back = self._held_back or not does_fit
         return does_fit
 
     def headroom(self, now: float) -> float:
-        """Return the tokens left at the fullest horizon, margin taken off."""
-        nothing = (0.0,) * len(self._means)
-        return self._least_room(_Share(0, nothing, nothing, nothing), now)
+        """Return the tokens that are free at the fullest horizon after subtracting the margin."""
+        zeros = (0.0,) * len(self._means)
+        return self._min_headroom(_Demand(0, zeros, zeros, zeros), now)
 
     def admit(self, work: outcomes.Work, now: float) -> None:
-        """Count ``work`` in."""
+        """Account for an admitted request."""
         if self.ledger.admit(work, now):
-            self._set_share(work, 0)
+            self._set_demand(work, 0)
 
     def progress(self, request_id: str, produced: int, now: float) -> None:
-        """Note progress; cheap for most tokens, the share is redone each stride."""
+        """Record progress; the demand is recomputed only once per stride."""
         stream = self.ledger.progress(request_id, produced, now)
-        if stream is not None and produced >= self._share_by_id[request_id].due:
-            self._set_share(stream.work, produced)
+        if stream is not None and produced >= self._demand_by_id[request_id].valid_until:
+            self._set_demand(stream.work, produced)
 
     def finish(self, request_id: str, now: float) -> None:
-        """Count a request out; narrow the margin a little if it held anyone back."""
+        """Remove a request that has ended; narrow the margin if it held back a request."""
         if self.ledger.finish(request_id, now) is None:
             return
-        self._drop_share(request_id)
-        # While nobody is held back, the margin is not tried: a quiet hour must not
-        # narrow it to nothing before the next crowd.
+        self._drop_demand(request_id)
+        # The margin has an effect only while requests are held back. An hour of low load must
+        # not narrow it to the minimum before the next overload.
         if self._held_back:
             self.margin.finished()
             self._held_back = False
 
     def report(self, view: tokenledger.LoadView, now: float) -> None:
-        """Take in a load report, and widen the margin by the preemptions in it."""
+        """Apply a load report, and widen the margin for the preemptions in it."""
         if not self.ledger.report(view, now):
             return
-        before = self._preemptions
+        previous = self._preemptions
         self._preemptions = view.preemptions
-        # A smaller count than before is that of an engine that started anew.
-        if before is not None and view.preemptions > before:
-            self.margin.preempted(view.preemptions - before)
+        # A lower count than before comes from an engine that has restarted.
+        if previous is not None and view.preemptions > previous:
+            self.margin.preempted(view.preemptions - previous)
 
-    def _least_room(self, more: _Share, now: float) -> float:
+    def _min_headroom(self, extra: _Demand, now: float) -> float:
         deviations = self.margin.deviations
         others_deviation = self.ledger.deviation(now)
-        free = self.ledger.capacity - self.ledger.others - deviations * others_deviation
-        least = math.inf
+        free = self.ledger.capacity - self.ledger.other_tokens - deviations * others_deviation
+        lowest = math.inf
         for i, mean in enumerate(self._means):
-            variance = max(0.0, self._variances[i]) + more.variances[i]
-            likely = mean + more.means[i] + deviations * math.sqrt(variance)
-            worst = self._worst[i] + more.worst[i]
-            least = min(least, free - min(likely, worst))
-        return least
+            variance = max(0.0, self._variances[i]) + extra.variances[i]
+            likely = mean + extra.means[i] + deviations * math.sqrt(variance)
+            worst = self._worst[i] + extra.worst[i]
+            lowest = min(lowest, free - min(likely, worst))
+        return lowest
 
-    def _share(self, work: outcomes.Work, produced: int) -> _Share:
-        """Return a stream's mean and variance of held tokens at each horizon.
+    def _demand(self, work: outcomes.Work, produced: int) -> _Demand:
+        """Return the mean and variance of the tokens that a stream holds at each horizon.
 
-        The share stays for a stride of tokens, so it is taken at the middle of it.
+        The demand is used for a stride of tokens, so it is computed for the middle of it.
         """
         settings = self._settings
         middle = produced + settings.stride // 2
         held = self.ledger.footprint(work.prompt_tokens) + middle
         table = self._lengths.table(work.service, work.team)
-        present = table.survival(produced)
+        survival_now = table.survival(produced)
         bound = math.inf if work.max_tokens is None else work.max_tokens
         means = []
         variances = []
         worst = []
         for horizon in settings.horizons:
-            outlasts = table.survival(produced + horizon) / present
+            outlasts = table.survival(produced + horizon) / survival_now
             if horizon and produced + horizon >= bound:
                 outlasts = 0.0
             then = held + horizon
@@ -176,32 +179,32 @@
             means.append(mean)
             variances.append(mean * (then - mean))
             worst.append(then if outlasts else 0.0)
-        return _Share(produced + settings.stride, tuple(means), tuple(variances), tuple(worst))
+        return _Demand(produced + settings.stride, tuple(means), tuple(variances), tuple(worst))
 
-    def _set_share(self, work: outcomes.Work, produced: int) -> None:
-        self._drop_share(work.request_id)
-        share = self._share(work, produced)
-        self._share_by_id[work.request_id] = share
-        for i, mean in enumerate(share.means):
+    def _set_demand(self, work: outcomes.Work, produced: int) -> None:
+        self._drop_demand(work.request_id)
+        demand = self._demand(work, produced)
+        self._demand_by_id[work.request_id] = demand
+        for i, mean in enumerate(demand.means):
             self._means[i] += mean
-            self._variances[i] += share.variances[i]
-            self._worst[i] += share.worst[i]
+            self._variances[i] += demand.variances[i]
+            self._worst[i] += demand.worst[i]
         self._changes += 1
-        if self._changes % _RESUM_EVERY == 0:
-            self._resum()
+        if self._changes % _RECOMPUTE_EVERY == 0:
+            self._recompute_totals()
 
-    def _drop_share(self, request_id: str) -> None:
-        share = self._share_by_id.pop(request_id, None)
-        if share is None:
+    def _drop_demand(self, request_id: str) -> None:
+        demand = self._demand_by_id.pop(request_id, None)
+        if demand is None:
             return
-        for i, mean in enumerate(share.means):
+        for i, mean in enumerate(demand.means):
             self._means[i] -= mean
-            self._variances[i] -= share.variances[i]
-            self._worst[i] -= share.worst[i]
+            self._variances[i] -= demand.variances[i]
+            self._worst[i] -= demand.worst[i]
 
-    def _resum(self) -> None:
-        shares = self._share_by_id.values()
+    def _recompute_totals(self) -> None:
+        demands = self._demand_by_id.values()
         for i in range(len(self._means)):
-            self._means[i] = math.fsum(share.means[i] for share in shares)
-            self._variances[i] = math.fsum(share.variances[i] for share in shares)
-            self._worst[i] = math.fsum(share.worst[i] for share in shares)
+            self._means[i] = math.fsum(demand.means[i] for demand in demands)
+            self._variances[i] = math.fsum(demand.variances[i] for demand in demands)
+            self._worst[i] = math.fsum(demand.worst[i] for demand in demands)
--- a/hornbeamglade/admission/tokenledger.py
+++ b/hornbeamglade/admission/tokenledger.py
@@ -1,4 +1,4 @@
-"""What one replica's memory holds, from own knowledge and late load reports."""
+"""Accounting of one replica's memory, from local knowledge and delayed load reports."""
 
 import collections
 import dataclasses
@@ -10,11 +10,11 @@
 class LoadView:
     """One load report of an engine.
 
-    :param sequence: grows with each report.
-    :param age_s: how old the state was when the report arrived, in seconds.
+    :param sequence: increases with each report.
+    :param age_s: age of the state when the report arrived, in seconds.
     :param capacity_tokens: memory of the engine, in tokens.
-    :param used_tokens: tokens held.
-    :param preemptions: count since the engine's start.
+    :param used_tokens: tokens that are held.
+    :param preemptions: number of preemptions since the engine's start.
     """
 
     sequence: int
@@ -26,23 +26,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LedgerSettings:
-    """How own knowledge and reports are put together.
+    """How local accounting and load reports are combined.
 
     :param block_tokens: tokens of an engine's memory block.
-    :param unseen_tokens: tokens of a stream since its last call of progress, in the mean.
-    :param sample_s: spacing of the remembered own use, in seconds.
-    :param kept_s: how far back own use is remembered, in seconds.
-    :param release: share by which a lower report lowers the use of others.
-    :param drift_per_s: relative deviation of the use of others, per second of age.
-    :param max_drift: bound on that deviation.
-    :param unreported_share: share of the capacity kept free before the first report.
+    :param unreported_tokens: mean number of tokens of a stream since its last progress report.
+    :param sample_interval_s: interval between samples of the own usage, in seconds.
+    :param history_s: how long samples of the own usage are kept, in seconds.
+    :param decrease_share: part of a decrease of the usage of others that a report applies.
+    :param drift_per_s: relative deviation of the usage of others, per second of report age.
+    :param max_drift: upper limit of that deviation.
+    :param unreported_share: share of the capacity that is kept free before the first report.
     """
 
     block_tokens: int = 16
-    unseen_tokens: int = 20
-    sample_s: float = 0.1
-    kept_s: float = 15.0
-    release: float = 0.3
+    unreported_tokens: int = 20
+    sample_interval_s: float = 0.1
+    history_s: float = 15.0
+    decrease_share: float = 0.3
     drift_per_s: float = 0.05
     max_drift: float = 0.5
     unreported_share: float = 0.05
@@ -62,16 +62,16 @@
     Explanation
     ===========
 
-    Own streams are known token by token, so reports serve only to find what
-    others (a second admitting node, an operator's test) hold: the reported use
-    less the own use at the time that the report speaks of. Failure guarded
-    against: a report that is late or lost shows an empty engine, the gate opens,
-    and a crowd is admitted into memory that is long full. Own streams are always
-    counted in full, a higher report counts at once and a lower one by a share,
-    and with the age of the newest report the uncertainty of the rest grows.
+    The usage of the own streams is known token by token. Load reports only serve to find
+    the usage of others (a second admitting node, an operator's test): the reported usage
+    minus the own usage at the time of the reported state. A late or lost report may show an
+    empty engine, and without protection many requests would be admitted into memory that
+    is already full. Therefore own streams are always counted in full, an increase of the
+    others' usage applies at once and a decrease only by a share, and the uncertainty
+    of the others' usage grows with the age of the newest report.
 
-    :param capacity_tokens: the replica's memory, until a report tells it.
-    :param settings: how knowledge is put together.
+    :param capacity_tokens: the replica's memory, until a load report contains it.
+    :param settings: how local accounting and load reports are combined.
 
     Examples
     ========
@@ -81,14 +81,14 @@
     True
     >>> ledger.report(LoadView(1, 0.0, 10_000, 600), 1.0)
     True
-    >>> ledger.held, ledger.own, ledger.others
+    >>> ledger.held_tokens, ledger.own_tokens, ledger.other_tokens
     (108, 128, 472)
     """
 
     def __init__(self, capacity_tokens: int, settings: LedgerSettings | None = None) -> None:
         self.capacity = capacity_tokens
-        self.held = 0
-        self.others = 0.0
+        self.held_tokens = 0
+        self.other_tokens = 0.0
         self.stream_by_id: dict[str, Stream] = {}
         self._settings = settings or LedgerSettings()
         self._rounding = self._settings.block_tokens // 2
@@ -97,49 +97,49 @@
         self._samples: collections.deque[tuple[float, int]] = collections.deque()
 
     @property
-    def own(self) -> int:
-        """The tokens that own streams hold, unseen progress included in the mean."""
-        return self.held + len(self.stream_by_id) * self._settings.unseen_tokens
+    def own_tokens(self) -> int:
+        """The tokens that own streams hold, including the mean of the unreported progress."""
+        return self.held_tokens + len(self.stream_by_id) * self._settings.unreported_tokens
 
     def footprint(self, prompt_tokens: int) -> int:
-        """Return the tokens held with a prompt, rounding to blocks in the mean."""
+        """Return the tokens that a prompt holds, including the mean of the rounding to blocks."""
         return prompt_tokens + self._rounding
 
     def admit(self, work: outcomes.Work, now: float) -> bool:
-        """Count a request in.
+        """Account for an admitted request.
 
-        :returns: False when it is counted already, which changes nothing.
+        :returns: False if the request is already known, which changes nothing.
         """
         if work.request_id in self.stream_by_id:
             return False
         self.stream_by_id[work.request_id] = Stream(work)
-        self.held += self.footprint(work.prompt_tokens)
+        self.held_tokens += self.footprint(work.prompt_tokens)
         self._sample(now)
         return True
 
     def progress(self, request_id: str, produced: int, now: float) -> Stream | None:
-        """Note the tokens produced so far; an unknown or late call changes nothing."""
+        """Record the tokens produced so far; an unknown request or a late call changes nothing."""
         stream = self.stream_by_id.get(request_id)
         if stream is None or produced <= stream.produced:
             return None
-        self.held += produced - stream.produced
+        self.held_tokens += produced - stream.produced
         stream.produced = produced
         self._sample(now)
         return stream
 
     def finish(self, request_id: str, now: float) -> Stream | None:
-        """Count a request out, whichever way it ended."""
+        """Remove a request that has ended for any reason."""
         stream = self.stream_by_id.pop(request_id, None)
         if stream is None:
             return None
-        self.held -= self.footprint(stream.work.prompt_tokens) + stream.produced
+        self.held_tokens -= self.footprint(stream.work.prompt_tokens) + stream.produced
         self._sample(now)
         return stream
 
     def report(self, view: LoadView, now: float) -> bool:
-        """Take in a load report.
+        """Apply a load report.
 
-        :returns: False for one older than the newest, which changes nothing.
+        :returns: False for a report older than the newest one, which changes nothing.
         """
         taken_at = now - view.age_s
         if view.sequence <= self._sequence and not self._restarted(taken_at):
@@ -148,39 +148,41 @@
         self._reported_at = taken_at
         if view.capacity_tokens > 0:
             self.capacity = view.capacity_tokens
-        others = max(0.0, view.used_tokens - self._own_at(taken_at))
-        if others < self.others:
-            others = self.others + self._settings.release * (others - self.others)
-        self.others = others
+        others = max(0.0, view.used_tokens - self._own_tokens_at(taken_at))
+        if others < self.other_tokens:
+            others = self.other_tokens + self._settings.decrease_share * (
+                others - self.other_tokens
+            )
+        self.other_tokens = others
         return True
 
     def deviation(self, now: float) -> float:
-        """Return the standard deviation, in tokens, of what others hold by now."""
+        """Return the standard deviation of the tokens that others hold now."""
         settings = self._settings
         if self._reported_at is None:
             return settings.unreported_share * self.capacity
         age_s = now - self._reported_at
-        return self.others * min(settings.max_drift, settings.drift_per_s * age_s)
+        return self.other_tokens * min(settings.max_drift, settings.drift_per_s * age_s)
 
     def _restarted(self, taken_at: float) -> bool:
-        # An engine that starts anew counts from the beginning; its reports are
-        # younger all the same and would else be taken for late ones for ever.
+        # A restarted engine numbers its reports from the beginning. Without this check,
+        # all its reports would be rejected as late although they are newer.
         reported_at = self._reported_at
-        return reported_at is not None and taken_at > reported_at + self._settings.kept_s
+        return reported_at is not None and taken_at > reported_at + self._settings.history_s
 
     def _sample(self, now: float) -> None:
         samples = self._samples
-        if samples and now - samples[-1][0] < self._settings.sample_s:
-            # The newest value stands for its whole span: were the first one kept, a
-            # burst of admissions would be taken for the use of others.
-            samples[-1] = (samples[-1][0], self.own)
+        if samples and now - samples[-1][0] < self._settings.sample_interval_s:
+            # The newest value represents the whole interval. If the first one were kept, a
+            # burst of admissions would be mistaken for usage of others.
+            samples[-1] = (samples[-1][0], self.own_tokens)
             return
-        samples.append((now, self.own))
-        while now - samples[0][0] > self._settings.kept_s:
+        samples.append((now, self.own_tokens))
+        while now - samples[0][0] > self._settings.history_s:
             samples.popleft()
 
-    def _own_at(self, then: float) -> int:
+    def _own_tokens_at(self, time: float) -> int:
         for at, own in reversed(self._samples):
-            if at <= then:
+            if at <= time:
                 return own
         return self._samples[0][1] if self._samples else 0
--- a/hornbeamglade/grants/replicascheduler.py
+++ b/hornbeamglade/grants/replicascheduler.py
@@ -192,7 +192,7 @@
             return closed
         ledger = self.admission.ledger
         needed = ledger.footprint(work.prompt_tokens) + produced
-        held = ledger.own + ledger.others
+        held = ledger.own_tokens + ledger.other_tokens
         if held + needed > ledger.capacity * MIGRATION_FILL_SHARE or self.admission.is_at_limit():
             return _no_room(self.replica)
         self.adopt(work, produced, now)
--- a/tests/admission/test_replicaadmission.py
+++ b/tests/admission/test_replicaadmission.py
@@ -33,7 +33,7 @@
     return admission.ReplicaAdmission(12_000, MODEL, settings)
 
 
-def _filled(policy, now=0.0):
+def _fill(policy, now=0.0):
     count = 0
     while policy.fits(_work(count), now):
         policy.admit(_work(count), now)
@@ -41,33 +41,33 @@
     return count
 
 
-def _grown(policy, max_tokens=None):
+def _headroom_after_growth(policy, max_tokens=None):
     for number in range(15):
         policy.admit(_work(number, max_tokens=max_tokens), 0.0)
         policy.progress(f"r{number}", 400, 0.0)
     return policy.headroom(0.0)
 
 
-def test_room_is_left_for_the_growth_of_long_streams():
+def test_headroom_is_kept_for_the_growth_of_long_streams():
     assert (
-        _grown(_policy(horizons=LONG_HORIZONS))
-        < _grown(admission.PresentMemory(12_000)) - 15 * 100
+        _headroom_after_growth(_policy(horizons=LONG_HORIZONS))
+        < _headroom_after_growth(admission.PresentMemory(12_000)) - 15 * 100
     )
 
 
-def test_a_bound_on_tokens_bounds_the_growth():
-    bounded = _grown(_policy(horizons=LONG_HORIZONS), max_tokens=410)
-    assert bounded > _grown(_policy(horizons=LONG_HORIZONS)) + 500
+def test_a_limit_on_tokens_limits_the_growth():
+    bounded = _headroom_after_growth(_policy(horizons=LONG_HORIZONS), max_tokens=410)
+    assert bounded > _headroom_after_growth(_policy(horizons=LONG_HORIZONS)) + 500
 
 
-def test_no_more_run_than_the_bound_says():
+def test_no_more_requests_run_than_the_limit():
     policy = admission.ReplicaAdmission(10**6, MODEL, admission.AdmissionSettings(max_running=7))
-    assert _filled(policy) == 7
+    assert _fill(policy) == 7
 
 
 def test_an_idle_replica_is_never_starved_by_the_margin():
-    # A prompt of nine tenths of the memory never fits beside a margin: its caller
-    # would wait until the queue's bound on each attempt, though the engine is idle.
+    # A prompt that needs nine tenths of the memory never fits beside a margin. Its request
+    # would wait until the queue's timeout on each attempt, although the engine is idle.
     policy = admission.ReplicaAdmission(1000, MODEL)
     assert policy.fits(_work(1, prompt=900), 0.0)
     assert not policy.fits(_work(1, prompt=1000), 0.0)
@@ -75,19 +75,19 @@
     assert not policy.fits(_work(1, prompt=900), 0.0)
 
 
-def test_a_late_report_of_an_empty_engine_does_not_open_the_gate():
-    # The engine reports every few seconds. A crowd is admitted, then a report from
-    # before the crowd arrives and shows an empty engine: were it believed, the next
-    # crowd would be admitted into full memory and most of it preempted.
+def test_a_late_report_of_an_empty_engine_does_not_cause_overcommitment():
+    # The engine reports every few seconds. Many requests are admitted, then a report from
+    # before their admission arrives and shows an empty engine. If it were believed, more
+    # requests would be admitted into full memory, and most of them would be preempted.
     policy = _policy(ledger=admission.LedgerSettings(unreported_share=0.0))
-    _filled(policy, now=10.0)
-    room = policy.headroom(10.0)
+    _fill(policy, now=10.0)
+    headroom = policy.headroom(10.0)
     policy.report(admission.LoadView(1, 5.0, 12_000, 0), 11.0)
     policy.report(admission.LoadView(2, 0.0, 12_000, 0), 12.0)
-    assert policy.headroom(12.0) == pytest.approx(room, abs=1e-6)
+    assert policy.headroom(12.0) == pytest.approx(headroom, abs=1e-6)
 
 
-def test_the_use_of_others_is_counted_and_grows_uncertain_with_age():
+def test_usage_of_others_is_counted_and_becomes_uncertain_with_age():
     policy = _policy()
     alone = policy.headroom(0.0)
     policy.report(admission.LoadView(1, 0.0, 12_000, 6000), 1.0)
@@ -99,67 +99,67 @@
     policy = _policy()
     policy.report(admission.LoadView(2, 0.0, 12_000, 6000), 1.0)
     policy.report(admission.LoadView(1, 0.5, 12_000, 0), 1.1)
-    assert policy.ledger.others == 6000
+    assert policy.ledger.other_tokens == 6000
 
 
-def test_reports_of_an_engine_that_started_anew_count_again():
+def test_reports_of_a_restarted_engine_are_accepted():
     policy = _policy()
     policy.report(admission.LoadView(900, 0.0, 12_000, 6000, 50), 1.0)
     for second in range(1, 40):
         policy.report(admission.LoadView(second, 0.0, 8000, 0), 30.0 + second)
-    assert policy.ledger.others < 10
+    assert policy.ledger.other_tokens < 10
     assert policy.ledger.capacity == 8000
 
 
-def _preempted(policy, reports):
+def _report_preemptions(policy, reports):
     for second in range(reports):
         policy.report(admission.LoadView(second, 0.0, 12_000, 0, 2 * second), float(second))
 
 
-def _served(policy, count, next_prompt):
+def _serve(policy, count, next_prompt):
     for number in range(1000, 1000 + count):
         policy.admit(_work(number), 10.0)
         policy.fits(_work(number + 1, prompt=next_prompt), 10.0)
         policy.finish(f"r{number}", 10.0)
 
 
-def test_preemptions_widen_the_margin_and_a_crowd_without_them_narrows_it():
+def test_preemptions_widen_the_margin_and_overload_without_them_narrows_it():
     policy = _policy(margin=admission.MarginSettings(step=1.1))
     start = policy.margin.deviations
-    _preempted(policy, reports=5)
+    _report_preemptions(policy, reports=5)
     assert policy.margin.deviations > 1.5 * start
-    _served(policy, count=4000, next_prompt=11_900)
+    _serve(policy, count=4000, next_prompt=11_900)
     assert policy.margin.deviations < start
 
 
-def test_a_quiet_hour_does_not_narrow_the_margin():
-    # For an hour nobody waits and nothing is preempted, whatever the margin. Were
-    # that taken for a margin that is too wide, the first crowd of the morning would
-    # meet none at all, and the drafts of the whole front desk would stall at once.
+def test_an_hour_of_low_load_does_not_narrow_the_margin():
+    # For an hour no request waits and nothing is preempted, whatever the margin. If that
+    # narrowed the margin, the first overload of the morning would meet hardly any margin, and
+    # many streams would stall at once.
     policy = _policy()
-    _preempted(policy, reports=5)
+    _report_preemptions(policy, reports=5)
     widened = policy.margin.deviations
-    _served(policy, count=4000, next_prompt=100)
+    _serve(policy, count=4000, next_prompt=100)
     assert policy.margin.deviations == widened
 
 
-def test_progress_that_is_not_seen_yet_is_not_taken_for_the_use_of_others():
-    # Progress comes each second, so the engine holds up to 38 tokens of each stream
-    # that the ledger has not heard of. Counted as a stranger's and again as growth,
-    # they would keep room empty on every replica.
+def test_unreported_progress_is_not_counted_as_usage_of_others():
+    # Progress is reported each second, so the engine holds up to 38 tokens of each stream
+    # that the ledger does not know of yet. If they were counted as usage of others and again
+    # as growth, memory would stay unused on every replica.
     policy = _policy()
     for number in range(30):
         policy.admit(_work(number), 0.0)
     policy.report(admission.LoadView(1, 0.0, 12_000, 30 * (108 + 20)), 1.0)
-    assert policy.ledger.others == 0
+    assert policy.ledger.other_tokens == 0
 
 
 def test_calls_for_unknown_requests_change_nothing():
     policy = _policy()
-    room = policy.headroom(0.0)
+    headroom = policy.headroom(0.0)
     policy.progress("gone", 500, 0.0)
     policy.finish("gone", 0.0)
-    assert policy.headroom(0.0) == room
+    assert policy.headroom(0.0) == headroom
 
 
 @SETTINGS
@@ -181,7 +181,7 @@
         else:
             policy.finish(name, 0.0)
             produced_by_id.pop(name, None)
-    assert policy.ledger.held == sum(108 + n for n in produced_by_id.values())
+    assert policy.ledger.held_tokens == sum(108 + n for n in produced_by_id.values())
     fresh = _policy(margin=admission.MarginSettings(initial=policy.margin.deviations))
     for name, produced in produced_by_id.items():
         fresh.admit(_work(name[1:]), 0.0)
@@ -189,10 +189,10 @@
     assert policy.headroom(0.0) == pytest.approx(fresh.headroom(0.0), abs=200)
 
 
-def test_no_more_is_kept_free_than_all_streams_could_take():
-    # Three long streams hold a quarter of the memory. By mean and deviations they
-    # might take more than if all three went on, so short requests would wait for
-    # room that nothing can fill.
+def test_no_more_is_reserved_than_all_streams_could_use():
+    # Three long streams hold a quarter of the memory. By mean and deviations alone they would
+    # be expected to use more than if all three continued, so short requests would wait for
+    # memory that nothing can use.
     policy = _policy(
         horizons=(0, 100),
         margin=admission.MarginSettings(initial=4.0),
