--- a/hornbeamglade/quarantine/__init__.py
+++ b/hornbeamglade/quarantine/__init__.py
@@ -1,11 +1,11 @@
-"""Requests that crash the replicas that run them.
+"""Quarantine of requests that crash the replicas that run them.
 
-- :mod:`hornbeamglade.quarantine.fingerprints`: what makes two requests the same
+- :mod:`hornbeamglade.quarantine.fingerprints`: hashes that identify equal requests
 - :mod:`hornbeamglade.quarantine.crashdetector`: which lost runs were ended by a crash
-- :mod:`hornbeamglade.quarantine.lostruns`: runs that were lost, as values
+- :mod:`hornbeamglade.quarantine.lostruns`: lost runs, as values
 - :mod:`hornbeamglade.quarantine.crashledger`: how many replicas each request has crashed
-- :mod:`hornbeamglade.quarantine.completions`: requests that were lately run to their end
-- :mod:`hornbeamglade.quarantine.quarantinelist`: the requests that are not run any more
+- :mod:`hornbeamglade.quarantine.completions`: requests that were completed recently
+- :mod:`hornbeamglade.quarantine.quarantinelist`: the requests in quarantine
 - :mod:`hornbeamglade.quarantine.quarantinerows`: their rows in the store
 - :mod:`hornbeamglade.quarantine.quarantinewriter`: writes these rows
 - :mod:`hornbeamglade.quarantine.retransmissions`: what is sent a few times
--- a/hornbeamglade/quarantine/completions.py
+++ b/hornbeamglade/quarantine/completions.py
@@ -1,13 +1,13 @@
-"""Requests that were lately run to their end, which proves that they crash nothing."""
+"""Requests that were completed recently, which shows that they do not crash replicas."""
 
 import collections
 
-LIFE_S = 60.0
-MOST = 4096
+RETENTION_S = 60.0
+MAX_ENTRIES = 4096
 
 
 class Completions:
-    """Fingerprints of requests that ended well, bounded; not thread-safe.
+    """A bounded set of fingerprints of completed requests; not thread-safe.
 
     Examples
     ========
@@ -22,13 +22,13 @@
         self._at_by_fingerprint: collections.OrderedDict[int, float] = collections.OrderedDict()
 
     def add(self, fingerprint: int, now: float) -> None:
-        """Note that a request was run to its end."""
+        """Record that a request was completed."""
         self._at_by_fingerprint[fingerprint] = now
         self._at_by_fingerprint.move_to_end(fingerprint)
-        if len(self._at_by_fingerprint) > MOST:
+        if len(self._at_by_fingerprint) > MAX_ENTRIES:
             self._at_by_fingerprint.popitem(last=False)
 
     def has(self, fingerprint: int, now: float) -> bool:
-        """Tell whether a request was run to its end within :data:`LIFE_S`."""
+        """Return whether a request was completed within the last :data:`RETENTION_S`."""
         at = self._at_by_fingerprint.get(fingerprint)
-        return at is not None and now - at < LIFE_S
+        return at is not None and now - at < RETENTION_S
--- a/hornbeamglade/quarantine/crashdetector.py
+++ b/hornbeamglade/quarantine/crashdetector.py
@@ -1,20 +1,21 @@
-"""Which lost runs were ended by a crash of their replica.
+"""Detection of crashes of replicas from lost runs.
 
 Explanation
 ===========
 
-A run is lost when its connection ends before its answer does. That may be a crash of the
-replica, a reset of the connection, or an answer that the replica broke off; a replica that
-stops as planned ends what is left there as well. Only a crash is evidence against the requests
-that ran there. It is taken for one when the replica was listed, had not announced its stop, and
+A run is lost when its connection ends before its response does. The cause may be a crash of the
+replica, a reset of the connection, or a response that the replica aborted; a planned stop of the
+replica also ends the remaining runs there. Only a crash is evidence against the requests that
+ran there. A lost run is attributed to a crash if the replica was listed, had not announced its
+stop, and
 
-- nothing listens at its address any more, which is asked once for all runs lost there, or
-- it is taken from the list, or listed as started anew, within :data:`UNLISTED_WITHIN_S`. So a
-  crash is found also where the machine falls silent and no connection is refused.
+- no server listens at its address any more, which is probed once for all runs lost there, or
+- it is removed from the list, or listed as restarted, within :data:`UNLISTED_TIMEOUT_S`. This
+  also detects a crash where the machine is unreachable and no connection is refused.
 
-A replica may be taken from the list without an announcement, and serve on for some seconds. A
-connection that it closes after that is a planned end; a run that had no answer from it by then,
-on a connection that stands, is one that its crash ended.
+A replica may be removed from the list without an announcement and continue to serve for some
+seconds. A connection that it closes after its removal is a planned end. A run that has received
+no response by then, on a connection that is still open, was ended by a crash.
 """
 
 import asyncio
@@ -26,19 +27,19 @@
 from hornbeamglade.quarantine import lostruns
 from hornbeamglade.replicas import models, replicalist
 
-UNLISTED_WITHIN_S = 6.0
-"""An entry lapses after three missed heartbeats, some four seconds after a crash."""
+UNLISTED_TIMEOUT_S = 6.0
+"""An entry expires after three missed heartbeats, some four seconds after a crash."""
 
-MOST_RUNS = 64
-"""Lost runs that are remembered of one replica; it runs no more at once."""
+MAX_LOST_RUNS = 64
+"""The maximum number of lost runs stored per replica, which runs no more than these at once."""
 
-Crashed = collections.abc.Callable[[models.Replica, tuple[lostruns.LostRun, ...]], None]
-Listens = collections.abc.Callable[[str], collections.abc.Awaitable[bool | None]]
+CrashCallback = collections.abc.Callable[[models.Replica, tuple[lostruns.LostRun, ...]], None]
+ListenProbe = collections.abc.Callable[[str], collections.abc.Awaitable[bool | None]]
 
 
 @dataclasses.dataclass(slots=True)
-class _LostRuns:
-    """Runs lost at one replica, of which it is not known yet what ended them."""
+class _LostRunGroup:
+    """Runs lost at one replica for a cause that is not known yet."""
 
     replica: models.Replica
     since: float
@@ -47,21 +48,21 @@
 
 
 class CrashDetector:
-    """Tells crashes of replicas from other ends of runs; to be used on an event loop.
+    """Distinguishes crashes of replicas from other ends of runs; for use on an event loop.
 
-    :param replicas: the list.
-    :param listens: tells whether a server listens at an address; None without an answer.
-    :param reported_stop: tells whether a replica's own reports announced its stop.
-    :param crashed: called with a replica that has crashed, and with the runs that it ended.
-    :param clock: monotonic time.
+    :param replicas: the list of replicas.
+    :param listens: returns whether a server listens at an address; None if there is no response.
+    :param reported_stop: returns whether a replica announced its stop in its own reports.
+    :param crashed: called with each crashed replica and the runs that the crash ended.
+    :param clock: the source of monotonic time.
     """
 
     def __init__(
         self,
         replicas: replicalist.ReplicaList,
-        listens: Listens,
+        listens: ListenProbe,
         reported_stop: collections.abc.Callable[[str], bool],
-        crashed: Crashed,
+        crashed: CrashCallback,
         clock: clocks.Clock,
     ) -> None:
         self._replicas = replicas
@@ -69,39 +70,39 @@
         self._reported_stop = reported_stop
         self._crashed = crashed
         self._clock = clock
-        self._lost_by_replica: dict[str, _LostRuns] = {}
+        self._lost_by_replica: dict[str, _LostRunGroup] = {}
         self._crashed_at_by_replica: dict[str, float] = {}
         self._probes: set[asyncio.Task[None]] = set()
 
-    def run_lost(self, fingerprint: int, replica: models.Replica, began_at: float) -> None:
-        """Take a run whose connection ended before its answer did.
+    def run_lost(self, fingerprint: int, replica: models.Replica, sent_at: float) -> None:
+        """Record a run whose connection ended before its response did.
 
-        :param began_at: monotonic seconds at which it was sent there.
+        :param sent_at: monotonic seconds at which it was sent to the replica.
         """
-        run = lostruns.LostRun(fingerprint, began_at, self._clock.now())
-        if self._is_explained(run, replica) or replica.id not in self._replicas.by_id:
+        run = lostruns.LostRun(fingerprint, sent_at, self._clock.now())
+        if self._handle_known_cause(run, replica) or replica.id not in self._replicas.by_id:
             return
-        lost = self._note(run, replica)
+        lost = self._record(run, replica)
         if not lost.is_probed:
             lost.is_probed = True
             probe = asyncio.ensure_future(self._probe(lost))
             self._probes.add(probe)
             probe.add_done_callback(self._probes.discard)
 
-    def run_unanswered(self, fingerprint: int, replica: models.Replica, began_at: float) -> None:
-        """Take a run that was given up without an answer, on a connection that stands.
+    def run_unanswered(self, fingerprint: int, replica: models.Replica, sent_at: float) -> None:
+        """Record a run that was abandoned without a response, on a connection that is still open.
 
-        :param began_at: monotonic seconds at which it was sent there.
+        :param sent_at: monotonic seconds at which it was sent to the replica.
         """
-        run = lostruns.LostRun(fingerprint, began_at, self._clock.now())
-        if self._is_explained(run, replica):
+        run = lostruns.LostRun(fingerprint, sent_at, self._clock.now())
+        if self._handle_known_cause(run, replica):
             return
-        lost = self._note(run, replica)
+        lost = self._record(run, replica)
         if replica.id in self._replicas.departed_by_id:
             self._confirm(lost, "gone")
 
     def list_changed(self, changes: collections.abc.Iterable[replicalist.ListChange]) -> None:
-        """Take changes of the list of replicas."""
+        """Process changes of the list of replicas."""
         for change in changes:
             replica = change.replica
             lost = self._lost_by_replica.get(replica.id)
@@ -110,12 +111,12 @@
             elif lost is not None and change.kind in ("gone", "restarted"):
                 self._confirm(lost, change.kind)
             elif change.kind == "restarted" and not self._has_announced_stop(replica):
-                # Its runs here are given up next.
+                # Its runs at this node are abandoned next.
                 self._crashed_at_by_replica[replica.id] = self._clock.now()
 
     def forget_old(self) -> None:
-        """Forget runs whose replica is still listed after so long, and crashes of long ago."""
-        since = self._clock.now() - UNLISTED_WITHIN_S
+        """Forget lost runs whose replica is still listed after the timeout, and old crashes."""
+        since = self._clock.now() - UNLISTED_TIMEOUT_S
         for replica_id, lost in tuple(self._lost_by_replica.items()):
             if lost.since < since:
                 del self._lost_by_replica[replica_id]
@@ -123,8 +124,8 @@
             if at < since:
                 del self._crashed_at_by_replica[replica_id]
 
-    def _is_explained(self, run: lostruns.LostRun, replica: models.Replica) -> bool:
-        """Tell whether it is known what ended a run, and pass on a crash that is."""
+    def _handle_known_cause(self, run: lostruns.LostRun, replica: models.Replica) -> bool:
+        """Return whether the end of a run has a known cause; report the run if it is a crash."""
         if replica.id in self._crashed_at_by_replica:
             self._crashed(replica, (run,))
             return True
@@ -134,15 +135,15 @@
     def _has_announced_stop(self, replica: models.Replica) -> bool:
         return replica.is_leaving or self._reported_stop(replica.id)
 
-    def _note(self, run: lostruns.LostRun, replica: models.Replica) -> _LostRuns:
+    def _record(self, run: lostruns.LostRun, replica: models.Replica) -> _LostRunGroup:
         lost = self._lost_by_replica.get(replica.id)
         if lost is None:
-            lost = self._lost_by_replica[replica.id] = _LostRuns(replica, self._clock.now())
-        if len(lost.run_by_fingerprint) < MOST_RUNS:
+            lost = self._lost_by_replica[replica.id] = _LostRunGroup(replica, self._clock.now())
+        if len(lost.run_by_fingerprint) < MAX_LOST_RUNS:
             lost.run_by_fingerprint[run.fingerprint] = run
         return lost
 
-    async def _probe(self, lost: _LostRuns) -> None:
+    async def _probe(self, lost: _LostRunGroup) -> None:
         listens = await self._listens(lost.replica.address)
         if self._lost_by_replica.get(lost.replica.id) is not lost:
             return
@@ -151,7 +152,7 @@
         elif listens:
             del self._lost_by_replica[lost.replica.id]
 
-    def _confirm(self, lost: _LostRuns, reason: str) -> None:
+    def _confirm(self, lost: _LostRunGroup, reason: str) -> None:
         replica = lost.replica
         del self._lost_by_replica[replica.id]
         self._crashed_at_by_replica[replica.id] = self._clock.now()
--- a/hornbeamglade/quarantine/crashledger.py
+++ b/hornbeamglade/quarantine/crashledger.py
@@ -1,49 +1,52 @@
-"""How many replicas each request has crashed, as far as one node was told.
+"""The number of replicas that each request has crashed, from the reports received by a node.
 
 Explanation
 ===========
 
-A crash ends every run of its replica, so most requests that were lost with one are innocent.
-Evidence against a request adds up over crashes in a row:
+A crash ends every run of its replica, so most requests whose runs were lost in a crash did not
+cause it. Evidence against a request is accumulated over several crashes:
 
-- Crashes of different replicas count once each, however many nodes report them.
-- A crash counts when its run began after the one counted before, or when it came more than
-  :data:`TOGETHER_S` after that. So replicas of a failure domain that loses power count as one,
-  though a request that is asked for often ran at each of them.
-- Evidence is forgotten after :data:`EVIDENCE_LIFE_S`.
+- The crash of each replica counts once, however many nodes report it.
+- A crash counts if its run was sent after the previously counted crash, or if it happened more
+  than :data:`CORRELATION_WINDOW_S` after that. Replicas of a failure domain that loses power
+  therefore count as one, although a frequent request was running at each of them.
+- Evidence expires after :data:`EVIDENCE_TTL_S`.
 
-An innocent request is asked for again a few times, and each of its runs would have to meet a
-crash of its own. What is remembered is bounded; the least recently reported goes first.
+A request that causes no crashes is retried only a few times, and each of its runs would have to
+coincide with another crash. The number of stored requests is bounded; the least recently reported
+one is removed first.
 """
 
 import collections
 import collections.abc
 import dataclasses
 
-CRASHES = 3
-"""Crashes after which a request is held for their cause."""
+CRASH_THRESHOLD = 3
+"""The number of crashes after which a request is considered their cause."""
 
-TOGETHER_S = 0.05
+CORRELATION_WINDOW_S = 0.05
 CLOCK_ERROR_S = 0.005
-"""Times that another node reports are off by as much as its message took."""
+"""Times reported by another node are wrong by the transmission time of its message."""
 
-EVIDENCE_LIFE_S = 3600.0
-MOST_SUSPECTS = 4096
-MOST_CRASHES = 8
-"""Crashes that are remembered of one request: those told together may count as one."""
+EVIDENCE_TTL_S = 3600.0
+MAX_SUSPECTS = 4096
+MAX_CRASHES_PER_REQUEST = 8
+"""The number of crashes stored per request; more than the threshold, since several crashes that
+are reported together may count as one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """A replica's crash under a run of a request.
+    """A crash of a replica during a run of a request.
 
-    :param replica: :func:`key_hash <hornbeamglade.exchange.messages.key_hash>` of its id.
-    :param began_at: monotonic seconds at which the run was sent there.
-    :param at: monotonic seconds at which it ended.
+    :param replica: :func:`key_hash <hornbeamglade.exchange.messages.key_hash>` of the replica's
+        id.
+    :param sent_at: monotonic seconds at which the run was sent to the replica.
+    :param at: monotonic seconds at which the run ended.
     """
 
     replica: int
-    began_at: float
+    sent_at: float
     at: float
 
 
@@ -68,14 +71,14 @@
         self._crashes_by_fingerprint = collections.OrderedDict()
 
     def add(self, fingerprint: int, crashes: collections.abc.Iterable[Crash], now: float) -> int:
-        """Take evidence; return how many crashes count against the request."""
+        """Add evidence; return how many crashes count against the request."""
         by_replica = self._crashes_by_fingerprint.pop(fingerprint, {})
         for crash in crashes:
             by_replica.setdefault(crash.replica, crash)
-        recent = [each for each in by_replica.values() if now - each.at < EVIDENCE_LIFE_S]
-        recent = sorted(recent, key=lambda each: each.at)[-MOST_CRASHES:]
+        recent = [each for each in by_replica.values() if now - each.at < EVIDENCE_TTL_S]
+        recent = sorted(recent, key=lambda each: each.at)[-MAX_CRASHES_PER_REQUEST:]
         self._crashes_by_fingerprint[fingerprint] = {each.replica: each for each in recent}
-        if len(self._crashes_by_fingerprint) > MOST_SUSPECTS:
+        if len(self._crashes_by_fingerprint) > MAX_SUSPECTS:
             self._crashes_by_fingerprint.popitem(last=False)
         return _count(recent)
 
@@ -84,7 +87,7 @@
         return tuple(self._crashes_by_fingerprint.get(fingerprint, {}).values())
 
     def clear(self, fingerprint: int) -> None:
-        """Forget the evidence against a request: a replica has run it to its end."""
+        """Delete the evidence against a request after a replica has completed it."""
         self._crashes_by_fingerprint.pop(fingerprint, None)
 
     @property
@@ -94,12 +97,12 @@
 
 
 def _count(crashes: list[Crash]) -> int:
-    """Return how many of some crashes, in order, count beside the one counted before."""
+    """Return how many crashes count, given the crashes of one request in order of time."""
     counted = 0
     last = float("-inf")
     for crash in crashes:
-        is_later_run = crash.began_at >= last - CLOCK_ERROR_S
-        if is_later_run or crash.at - last >= TOGETHER_S:
+        is_later_run = crash.sent_at >= last - CLOCK_ERROR_S
+        if is_later_run or crash.at - last >= CORRELATION_WINDOW_S:
             counted += 1
             last = crash.at
     return counted
--- a/hornbeamglade/quarantine/fingerprints.py
+++ b/hornbeamglade/quarantine/fingerprints.py
@@ -1,11 +1,11 @@
-"""What makes two requests the same, whatever their ids.
+"""Fingerprints that identify equal requests regardless of their ids.
 
 Explanation
 ===========
 
-A caller that asks again does so under a new id, at any instance. Requests are the same when
-they have the same method, host, target, caller and body. Each part is hashed with its length,
-so that no two different requests are one sequence of bytes.
+A caller retries a request with a new id, at any instance. Requests are considered equal if they
+have the same method, host, target, caller and body. Each part is hashed together with its length,
+so that different requests are never hashed as the same sequence of bytes.
 """
 
 import hashlib
@@ -14,10 +14,10 @@
 
 
 def fingerprint(method: bytes, host: str, target: bytes, caller: str, body: bytes) -> int:
-    """Return a 64-bit hash by which a request is known again.
+    """Return a 64-bit hash that identifies a request.
 
-    :param host: in any case of letters.
-    :param caller: the team, or an empty text where no key is needed.
+    :param host: the host, in upper or lower case.
+    :param caller: the team, or an empty string if no key is required.
 
     Examples
     ========
@@ -36,7 +36,7 @@
 
 
 def to_hex(value: int) -> str:
-    """Return a fingerprint as log lines show it.
+    """Return a fingerprint in hexadecimal form, as used in log lines.
 
     Examples
     ========
--- a/hornbeamglade/quarantine/lostruns.py
+++ b/hornbeamglade/quarantine/lostruns.py
@@ -1,4 +1,4 @@
-"""Runs whose connection ended before their answer did, as immutable values."""
+"""Runs whose connection ended before their response did, as immutable values."""
 
 import dataclasses
 
@@ -7,11 +7,11 @@
 class LostRun:
     """One lost run.
 
-    :param fingerprint: of its request.
-    :param began_at: monotonic seconds at which it was sent to its replica.
+    :param fingerprint: the fingerprint of its request.
+    :param sent_at: monotonic seconds at which it was sent to its replica.
     :param ended_at: monotonic seconds at which it was lost.
     """
 
     fingerprint: int
-    began_at: float
+    sent_at: float
     ended_at: float
--- a/hornbeamglade/quarantine/quarantinelist.py
+++ b/hornbeamglade/quarantine/quarantinelist.py
@@ -1,23 +1,24 @@
-"""The requests that are not run any more, as one node knows them."""
+"""The requests in quarantine, as known to one node."""
 
 import collections
 import dataclasses
 
-LASTS_S = 3600.0
-"""Time for which a request is refused. After it the servers may run another version, on which
-the request does no harm."""
+DURATION_S = 3600.0
+"""The time for which a request is refused. After it the servers may run another version, which the
+request does not crash."""
 
-MOST = 4096
-ENDING_S = 2.0
-"""An entry of another node that ends so soon is not taken: it may have ended here already."""
+MAX_ENTRIES = 4096
+MIN_REMAINING_S = 2.0
+"""The minimum remaining time of an entry from another node: a shorter one is not added, since it
+may have ended here already."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """A request that is not run any more.
+    """A request in quarantine.
 
-    :param fingerprint: of the request.
-    :param ends_at: monotonic seconds.
+    :param fingerprint: the fingerprint of the request.
+    :param ends_at: monotonic seconds until which the request is refused.
     """
 
     fingerprint: int
@@ -25,15 +26,17 @@
 
 
 class QuarantineList:
-    """Requests in quarantine, bounded; the oldest goes first. Not thread-safe.
+    """A bounded list of requests in quarantine, which drops the oldest first; not thread-safe.
 
     Examples
     ========
 
-    >>> held = QuarantineList()
-    >>> held.add(Entry(7, ends_at=100.0), now=0.0), held.add(Entry(7, ends_at=200.0), now=0.0)
-    (True, False)
-    >>> held.left_s(7, now=60.0), held.left_s(8, now=60.0)
+    >>> entries = QuarantineList()
+    >>> entries.add(Entry(7, ends_at=100.0), now=0.0)
+    True
+    >>> entries.add(Entry(7, ends_at=200.0), now=0.0)
+    False
+    >>> entries.remaining_s(7, now=60.0), entries.remaining_s(8, now=60.0)
     (40.0, 0.0)
     """
 
@@ -44,23 +47,23 @@
         self._cursor = 0
 
     def add(self, entry: Entry, now: float) -> bool:
-        """Take an entry; return whether it is new. The end of a known one stays as it is."""
+        """Add an entry; return whether it is new. The end of a known one is not changed."""
         is_known = entry.fingerprint in self._ends_at_by_fingerprint
-        if is_known or entry.ends_at - now < ENDING_S:
+        if is_known or entry.ends_at - now < MIN_REMAINING_S:
             return False
         self._ends_at_by_fingerprint[entry.fingerprint] = entry.ends_at
         self._digest ^= entry.fingerprint
-        if len(self._ends_at_by_fingerprint) > MOST:
+        if len(self._ends_at_by_fingerprint) > MAX_ENTRIES:
             self._remove(next(iter(self._ends_at_by_fingerprint)))
         return True
 
-    def left_s(self, fingerprint: int, now: float) -> float:
-        """Return for how long a request is still refused; 0 for one that is not."""
+    def remaining_s(self, fingerprint: int, now: float) -> float:
+        """Return the seconds for which a request is still refused; 0 if it is not refused."""
         ends_at = self._ends_at_by_fingerprint.get(fingerprint)
         return 0.0 if ends_at is None else max(0.0, ends_at - now)
 
     def forget_ended(self, now: float) -> tuple[int, ...]:
-        """Forget the entries that have ended; return their fingerprints."""
+        """Remove the entries that have ended; return their fingerprints."""
         ended = tuple(
             fingerprint
             for fingerprint, ends_at in self._ends_at_by_fingerprint.items()
@@ -71,7 +74,7 @@
         return ended
 
     def page(self, size: int) -> tuple[Entry, ...]:
-        """Return some entries; one call after the other goes through all of them."""
+        """Return the next ``size`` entries; successive calls cycle through all of them."""
         entries = self.entries()
         if len(entries) <= size:
             return entries
@@ -80,12 +83,12 @@
         return (entries + entries)[begin : begin + size]
 
     def entries(self) -> tuple[Entry, ...]:
-        """Return all entries, the oldest first."""
+        """Return all entries, oldest first."""
         return tuple(Entry(*item) for item in self._ends_at_by_fingerprint.items())
 
     @property
     def digest(self) -> int:
-        """Equal at nodes that have the same entries; 0 without any."""
+        """A digest that is equal for nodes with the same entries; 0 without entries."""
         return self._digest
 
     def __len__(self) -> int:
--- a/hornbeamglade/quarantine/quarantinerows.py
+++ b/hornbeamglade/quarantine/quarantinerows.py
@@ -1,4 +1,4 @@
-"""Requests in quarantine as rows of the instances' own table in the store."""
+"""Rows of requests in quarantine, in the table of the instances in the store."""
 
 import dataclasses
 
@@ -13,10 +13,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredRequest:
-    """A request that is not run any more, as the store keeps it.
+    """A request in quarantine, as stored in a row.
 
-    :param fingerprint: of the request.
-    :param until: Unix seconds up to which it is refused.
+    :param fingerprint: the fingerprint of the request.
+    :param until: Unix seconds until which it is refused.
     """
 
     fingerprint: int
@@ -42,17 +42,17 @@
 
 
 def put(stored: StoredRequest) -> contract.Put:
-    """Return what writes a request's row."""
+    """Return the write of a request's row."""
     return contract.Put(key(stored.fingerprint), _Body(until=stored.until).model_dump_json())
 
 
 def decode(rows: tuple[contract.Row, ...]) -> tuple[StoredRequest, ...]:
-    """Read the rows of requests; others, and those that cannot be read, are left out."""
-    found = (_stored(row) for row in rows if row.key.startswith(_PREFIX))
-    return tuple(stored for stored in found if stored is not None)
+    """Parse the rows of requests; other rows and malformed ones are skipped."""
+    parsed = (_parse(row) for row in rows if row.key.startswith(_PREFIX))
+    return tuple(stored for stored in parsed if stored is not None)
 
 
-def _stored(row: contract.Row) -> StoredRequest | None:
+def _parse(row: contract.Row) -> StoredRequest | None:
     try:
         fingerprint = int(row.key.removeprefix(_PREFIX), 16)
         return StoredRequest(fingerprint, _Body.model_validate_json(row.value).until)
--- a/hornbeamglade/quarantine/quarantinewriter.py
+++ b/hornbeamglade/quarantine/quarantinewriter.py
@@ -1,4 +1,4 @@
-"""Writes requests in quarantine to the store, on a thread of its own."""
+"""Writes the rows of requests in quarantine to the store, in a separate thread."""
 
 import queue
 import threading
@@ -7,35 +7,36 @@
 from hornbeamglade.observability import logs
 from hornbeamglade.store import contract
 
-MOST_PENDING = 256
-MOST_AT_ONCE = 50
-TRIES = 5
+MAX_PENDING = 256
+MAX_BATCH_SIZE = 50
+MAX_ATTEMPTS = 5
 RETRY_S = 2.0
 
 _Write = contract.Put | contract.Delete
 
 
 class QuarantineWriter:
-    """Carries out writes in order; any thread may add some.
+    """Performs writes in order; any thread may add writes.
 
     Explanation
     ===========
 
-    Each write stands by itself and may be done twice, so one without an answer is made again. One
-    that is given up is not lost for good: whoever reads the rows next finds out what is missing.
+    The writes are independent of one another and idempotent, so a write without a response is
+    retried. A write that is dropped is not lost permanently: the next node that reads the rows
+    detects which ones are missing.
 
     :param table: the store.
-    :param clock: lets pauses pass.
+    :param clock: the clock for delays between attempts.
     """
 
     def __init__(self, table: contract.Table, clock: clocks.Clock) -> None:
         self._table = table
         self._clock = clock
-        self._pending: queue.Queue[_Write] = queue.Queue(MOST_PENDING)
+        self._pending: queue.Queue[_Write] = queue.Queue(MAX_PENDING)
         self._thread: threading.Thread | None = None
 
     def add(self, write: _Write) -> None:
-        """Have a row written or deleted."""
+        """Enqueue a write or deletion of a row."""
         try:
             self._pending.put_nowait(write)
         except queue.Full:
@@ -46,11 +47,11 @@
             self._thread.start()
 
     def step(self) -> None:
-        """Wait for writes, and carry out those that are pending."""
+        """Wait for writes, and perform the pending ones."""
         writes = [self._pending.get()]
-        while len(writes) < MOST_AT_ONCE and not self._pending.empty():
+        while len(writes) < MAX_BATCH_SIZE and not self._pending.empty():
             writes.append(self._pending.get_nowait())
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             outcome = self._table.transact((), tuple(writes))
             if isinstance(outcome, contract.Committed):
                 return
--- a/hornbeamglade/quarantine/requestquarantine.py
+++ b/hornbeamglade/quarantine/requestquarantine.py
@@ -1,35 +1,39 @@
-"""Which requests an instance refuses since they crash the replicas that run them.
+"""Refusal of requests that crash the replicas that run them.
 
 Explanation
 ===========
 
-A request that crashes its replica comes again under another id, at any instance. Instances
-therefore share what they see:
-
-1. Whoever loses a run to a crash reports its fingerprint and the replica to the request's
-   *homes*: the :data:`HOMES` live instances that rendezvous hashing prefers for it. Evidence on
-   one request so adds up in one place, at a cost that does not grow with the instances.
-2. A home that counts :data:`CRASHES <hornbeamglade.quarantine.crashledger.CRASHES>` crashes
-   tells all instances, which refuse the request from then on. Few requests come so far, so this
-   may be sent to everyone.
-3. Heartbeats carry a digest of what their sender refuses. Where it differs from the
-   recipient's, the recipient sends what it has. So an instance that starts, or returns after
-   having been cut off, learns of it with the first heartbeats.
-
-Every instance also counts what it sees itself, and acts on it without the homes.
-
-What is refused is also kept in the store, in the table of the instances, which each reads at its
-start and now and then. So it outlives a loss of all instances, and reaches one that is cut off
-from the others only. Whoever counts the third crash writes a row; the first home restores a row
-that is missing when it reads the table, and removes one whose time is over.
-
-Weighed against *counting at each instance alone*: with ``n`` instances ``n`` times as many
-replicas are lost. Against *telling all instances of each lost run*: a crash ends dozens of them,
-nearly all innocent. Against *a row in the store for each*: the store may be away, and each
-instance would have to follow another table.
-
-A request that was run to its end within the last minute is not reported, and not refused where
-that was seen.
+A request that crashes its replica is retried with another id, at any instance. Instances
+therefore share their observations:
+
+1. An instance that loses a run in a crash reports the fingerprint of the request and the replica
+   to the request's *home instances*: the :data:`HOME_COUNT` live instances with the highest
+   scores for it by rendezvous hashing. The evidence on a request is thus collected in one place,
+   at a cost that does not grow with the number of instances.
+2. A home instance that counts
+   :data:`CRASH_THRESHOLD <hornbeamglade.quarantine.crashledger.CRASH_THRESHOLD>` crashes notifies
+   all instances, which refuse the request from then on. Few requests reach this number, so the
+   notice can be sent to all.
+3. Heartbeats contain a digest of the requests that their sender refuses. If it differs from that
+   of the recipient, the recipient sends its entries. An instance that starts, or is reachable
+   again after a partition, learns of the refused requests with the first heartbeats.
+
+Every instance also counts the crashes that it observes itself, and acts on them without the home
+instances.
+
+The refused requests are also stored in the table of the instances in the store, which each
+instance reads when it starts and periodically. They therefore outlive a full outage, and reach an
+instance that is partitioned only from the other instances. An instance that counts the third
+crash writes a row. The first home instance restores a missing row when it reads the table, and
+deletes an expired one.
+
+Alternatives considered: *counting at each instance alone* (with ``n`` instances, ``n`` times as
+many replicas are lost); *notifying all instances of each lost run* (a crash ends dozens of runs,
+nearly all of which did not cause it); *a row in the store for each lost run* (the store may be
+unavailable, and each instance would have to follow another table).
+
+A request that was completed within the last minute is not reported, and is not refused by an
+instance that observed its completion.
 """
 
 import collections.abc
@@ -52,15 +56,16 @@
 )
 from hornbeamglade.store import contract
 
-HOMES = 3
-"""Some may be cut off, or die with what they have counted."""
+HOME_COUNT = 3
+"""More than one, since a home instance may be partitioned, or fail and lose its counts."""
 
 QUARANTINED = "request_quarantined"
-PAGE_EVERY_S = 1.0
+PAGE_INTERVAL_S = 1.0
 MILLISECONDS = 1000
 
-MOST_STORED = 400
-"""Rows of requests in the store; a list of nodes with them is still one answer."""
+MAX_STORED_ROWS = 400
+"""The maximum number of rows of requests in the store, with which the list of nodes still fits
+into one response."""
 
 OWN = "own"
 PEER = "peer"
@@ -75,7 +80,7 @@
 
 
 def _locked(method: _Method) -> _Method:
-    """Let one thread at a time into any method that is so marked."""
+    """Decorate a method to run while holding the lock of its object."""
 
     @functools.wraps(method)
     def locked(self: "RequestQuarantine", *arguments: typing.Any) -> typing.Any:
@@ -86,16 +91,16 @@
 
 
 class RequestQuarantine:
-    """One instance's part; safe to use from several threads.
+    """The quarantine of requests at one instance; thread-safe.
 
     :param name: this instance's name.
-    :param live: returns the names of the instances that live.
-    :param present: returns the names of those that may take callers, the suspected and
-        the leaving ones included.
+    :param live: returns the names of the live instances.
+    :param present: returns the names of the instances that may serve callers, including
+        suspected and leaving ones.
     :param send: sends a message to an instance.
-    :param clock: monotonic and wall time.
+    :param clock: monotonic and wall-clock time.
 
-    :meth:`set_store_writer` has it write to the store.
+    Rows are written to the store only after :meth:`set_store_writer`.
     """
 
     def __init__(
@@ -107,45 +112,47 @@
         self._present = present
         self._send = send
         self._clock = clock
-        self._write: Write | None = None
+        self._store_writer: Write | None = None
         self._stored_count = 0
-        self._ledger = crashledger.CrashLedger()
-        self._held = quarantinelist.QuarantineList()
+        self._evidence = crashledger.CrashLedger()
+        self._entries = quarantinelist.QuarantineList()
         self._completions = completions.Completions()
         self._reports = retransmissions.Retransmissions()
         self._notices = retransmissions.Retransmissions()
         self._page_sent_at_by_node: dict[str, float] = {}
 
     def set_store_writer(self, write: Write) -> None:
-        """Take what writes to the store."""
-        self._write = write
+        """Set the function that writes rows to the store."""
+        self._store_writer = write
 
     @_locked
     def refusal(self, fingerprint: int) -> outcomes.Refusal | None:
-        """Return the refusal of a request that is not run any more, or None."""
+        """Return the refusal of a request in quarantine, or None."""
         now = self._clock.now()
-        left_s = self._held.left_s(fingerprint, now)
-        if left_s <= 0.0 or self._completions.has(fingerprint, now):
+        remaining_s = self._entries.remaining_s(fingerprint, now)
+        if remaining_s <= 0.0 or self._completions.has(fingerprint, now):
             return None
         detail = "each server that ran this request has crashed; it is not run again"
-        return outcomes.Refusal(QUARANTINED, 503, detail, retry_after_s=left_s, is_lasting=True)
+        return outcomes.Refusal(
+            QUARANTINED, 503, detail, retry_after_s=remaining_s, is_lasting=True
+        )
 
     @_locked
     def completed(self, fingerprint: int) -> None:
-        """Take note that a request was run to its end."""
+        """Record that a request was completed."""
         self._completions.add(fingerprint, self._clock.now())
-        self._ledger.clear(fingerprint)
+        self._evidence.clear(fingerprint)
 
     @_locked
     def crashed(self, replica_id: str, lost: collections.abc.Iterable[lostruns.LostRun]) -> None:
-        """Take the runs that ended with a crash of their replica."""
+        """Record the runs that ended with a crash of their replica."""
         now = self._clock.now()
         replica = messages.key_hash(replica_id)
         for run in lost:
             fingerprint = run.fingerprint
-            crash = crashledger.Crash(replica, run.began_at, run.ended_at)
-            is_innocent = self._completions.has(fingerprint, now)
-            count = 0 if is_innocent else self._count(fingerprint, (crash,), now)
+            crash = crashledger.Crash(replica, run.sent_at, run.ended_at)
+            was_completed = self._completions.has(fingerprint, now)
+            count = 0 if was_completed else self._count(fingerprint, (crash,), now)
             logs.state_changed(
                 "run",
                 "running",
@@ -154,78 +161,86 @@
                 fingerprint=fingerprints.to_hex(fingerprint),
                 count=count,
             )
-            if not is_innocent:
+            if not was_completed:
                 self._reports.add(fingerprint, now)
         self.tick()
 
     @_locked
     def on_report(self, sender: str, report: messages.CrashReport) -> None:
-        """Take evidence that another instance has seen."""
+        """Process evidence from another instance."""
         now = self._clock.now()
         known = []
-        for told in report.crashes:
-            if self._held.left_s(told.fingerprint, now):
-                known.append(told.fingerprint)
+        for reported in report.crashes:
+            if self._entries.remaining_s(reported.fingerprint, now):
+                known.append(reported.fingerprint)
                 continue
-            at = now - told.age_ms / MILLISECONDS
-            crash = crashledger.Crash(told.replica, at - told.ran_ms / MILLISECONDS, at)
-            self._count(told.fingerprint, (crash,), now)
+            at = now - reported.age_ms / MILLISECONDS
+            crash = crashledger.Crash(reported.replica, at - reported.ran_ms / MILLISECONDS, at)
+            self._count(reported.fingerprint, (crash,), now)
         if known:
             self._send(sender, self._notice(known, now))
         self.tick()
 
     @_locked
     def on_notice(self, notice: messages.QuarantineNotice) -> None:
-        """Take requests that another instance refuses."""
+        """Add requests that another instance refuses."""
         now = self._clock.now()
-        for told in notice.requests:
-            self._hold(quarantinelist.Entry(told.fingerprint, now + told.left_s), PEER, now)
+        for request in notice.requests:
+            self._quarantine(
+                quarantinelist.Entry(request.fingerprint, now + request.left_s), PEER, now
+            )
 
     @_locked
     def on_rows(self, rows: tuple[contract.Row, ...]) -> None:
-        """Take the instances' table as it was read from the store."""
+        """Process the instances' table as read from the store."""
         now, wall = self._clock.now(), self._clock.wall()
         stored = quarantinerows.decode(rows)
         self._stored_count = len(stored)
         for request in stored:
-            left_s = min(request.until - wall, quarantinelist.LASTS_S)
-            self._hold(quarantinelist.Entry(request.fingerprint, now + left_s), STORE, now)
-            if left_s <= 0.0 and self._is_first_home(request.fingerprint):
+            remaining_s = min(request.until - wall, quarantinelist.DURATION_S)
+            self._quarantine(
+                quarantinelist.Entry(request.fingerprint, now + remaining_s), STORE, now
+            )
+            if remaining_s <= 0.0 and self._is_first_home(request.fingerprint):
                 self._write_row(contract.Delete(quarantinerows.key(request.fingerprint)))
         known = {request.fingerprint for request in stored}
-        for entry in self._held.entries():
+        for entry in self._entries.entries():
             if entry.fingerprint not in known and self._is_first_home(entry.fingerprint):
                 self._store(entry, now)
 
     @_locked
     def on_digest(self, sender: str, digest: int) -> None:
-        """Send what is refused here to an instance that refuses something else."""
+        """Send the entries of this instance to one whose digest differs."""
         now = self._clock.now()
         sent_at = self._page_sent_at_by_node.get(sender, float("-inf"))
-        if digest == self._held.digest or not len(self._held) or now - sent_at < PAGE_EVERY_S:
+        if (
+            digest == self._entries.digest
+            or not len(self._entries)
+            or now - sent_at < PAGE_INTERVAL_S
+        ):
             return
         self._page_sent_at_by_node[sender] = now
-        page = [entry.fingerprint for entry in self._held.page(messages.MAX_QUARANTINED)]
+        page = [entry.fingerprint for entry in self._entries.page(messages.MAX_QUARANTINED)]
         self._send(sender, self._notice(page, now))
 
     @property
     def digest(self) -> int:
-        """Of the requests that are refused here, for heartbeats."""
-        return self._held.digest
+        """The digest of the requests refused here, for heartbeats."""
+        return self._entries.digest
 
     @property
     def quarantined_count(self) -> int:
         """How many requests are refused here."""
-        return len(self._held)
+        return len(self._entries)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is to be sent within a tick."""
+        """Whether no message is pending."""
         return self._reports.is_empty and self._notices.is_empty
 
     @_locked
     def tick(self) -> None:
-        """Send what is due."""
+        """Send the messages that are due."""
         if self.is_idle:
             return
         now = self._clock.now()
@@ -239,9 +254,9 @@
 
     @_locked
     def expire(self) -> None:
-        """Forget what is over; every second or so."""
-        for fingerprint in self._held.forget_ended(self._clock.now()):
-            self._ledger.clear(fingerprint)
+        """Remove expired entries; to be called about every second."""
+        for fingerprint in self._entries.forget_ended(self._clock.now()):
+            self._evidence.clear(fingerprint)
             logs.state_changed(
                 "request", "quarantined", "allowed", fingerprint=fingerprints.to_hex(fingerprint)
             )
@@ -252,17 +267,17 @@
     def _count(
         self, fingerprint: int, crashes: collections.abc.Iterable[crashledger.Crash], now: float
     ) -> int:
-        """Add evidence up; refuse the request once there is enough."""
-        count = self._ledger.add(fingerprint, crashes, now)
-        if count >= crashledger.CRASHES:
-            entry = quarantinelist.Entry(fingerprint, now + quarantinelist.LASTS_S)
-            if self._hold(entry, OWN, now):
+        """Add evidence; quarantine the request if it reaches the threshold."""
+        count = self._evidence.add(fingerprint, crashes, now)
+        if count >= crashledger.CRASH_THRESHOLD:
+            entry = quarantinelist.Entry(fingerprint, now + quarantinelist.DURATION_S)
+            if self._quarantine(entry, OWN, now):
                 self._notices.add(fingerprint, now)
                 self._store(entry, now)
         return count
 
-    def _hold(self, entry: quarantinelist.Entry, source: str, now: float) -> bool:
-        is_new = self._held.add(entry, now)
+    def _quarantine(self, entry: quarantinelist.Entry, source: str, now: float) -> bool:
+        is_new = self._entries.add(entry, now)
         if is_new:
             logs.state_changed(
                 "request",
@@ -279,11 +294,11 @@
 
     def _homes(self, fingerprint: int) -> list[str]:
         nodes = {*self._live(), self._name}
-        return rendezvous.best(fingerprints.to_hex(fingerprint), nodes, HOMES)
+        return rendezvous.best(fingerprints.to_hex(fingerprint), nodes, HOME_COUNT)
 
     def _store(self, entry: quarantinelist.Entry, now: float) -> None:
-        """Have a request kept in the store, unless there are too many."""
-        if self._stored_count < MOST_STORED and entry.ends_at > now:
+        """Write a request to the store, unless there are too many rows."""
+        if self._stored_count < MAX_STORED_ROWS and entry.ends_at > now:
             self._stored_count += 1
             until = self._clock.wall() + entry.ends_at - now
             self._write_row(
@@ -291,25 +306,25 @@
             )
 
     def _write_row(self, write: contract.Put | contract.Delete) -> None:
-        if self._write is not None:
-            self._write(write)
+        if self._store_writer is not None:
+            self._store_writer(write)
 
     def _send_reports(self, now: float) -> None:
-        """Send the evidence that is due to the homes of its requests."""
+        """Send the evidence that is due to the home instances of the requests."""
         crashes_by_home: dict[str, list[messages.ReportedCrash]] = {}
         for fingerprint in self._reports.due(now, messages.MAX_REPORTED_CRASHES):
-            told = [
+            reported = [
                 messages.ReportedCrash(
                     fingerprint,
                     crash.replica,
                     int((now - crash.at) * MILLISECONDS),
-                    int((crash.at - crash.began_at) * MILLISECONDS),
+                    int((crash.at - crash.sent_at) * MILLISECONDS),
                 )
-                for crash in self._ledger.crashes(fingerprint)
+                for crash in self._evidence.crashes(fingerprint)
             ]
             for home in self._homes(fingerprint):
                 if home != self._name:
-                    crashes_by_home.setdefault(home, []).extend(told)
+                    crashes_by_home.setdefault(home, []).extend(reported)
         size = messages.MAX_REPORTED_CRASHES
         for home, crashes in crashes_by_home.items():
             for start in range(0, len(crashes), size):
@@ -320,7 +335,7 @@
     ) -> messages.QuarantineNotice:
         return messages.QuarantineNotice(
             tuple(
-                messages.QuarantinedRequest(each, int(self._held.left_s(each, now)))
+                messages.QuarantinedRequest(each, int(self._entries.remaining_s(each, now)))
                 for each in listed
             )
         )
--- a/tests/quarantine/test_crashdetector.py
+++ b/tests/quarantine/test_crashdetector.py
@@ -11,8 +11,8 @@
 REPLICA = models.Replica("e1", "llm", "10.0.0.1:80", "a", 8)
 
 
-class Detected:
-    """A detector whose probes are answered as told."""
+class DetectorHarness:
+    """A detector with a configurable result of its probes."""
 
     def __init__(self, listens=False):
         self.clock = clocks.ManualClock()
@@ -49,104 +49,104 @@
 
 def play(test, **more):
     async def main():
-        detected = Detected(**more)
-        await test(detected)
+        harness = DetectorHarness(**more)
+        await test(harness)
         await settled()
-        return detected
+        return harness
 
     return eventloop.run(main())
 
 
-async def lose_two(detected):
-    detected.detector.run_lost(7, REPLICA, 0.0)
-    detected.detector.run_lost(8, REPLICA, 0.0)
+async def lose_two(harness):
+    harness.detector.run_lost(7, REPLICA, 0.0)
+    harness.detector.run_lost(8, REPLICA, 0.0)
 
 
-def test_a_replica_that_refuses_connections_has_crashed_and_is_asked_once():
-    detected = play(lose_two)
-    assert detected.crashes == [("e1", [7, 8])]
-    assert detected.probed == [REPLICA.address]
+def test_a_replica_that_refuses_connections_has_crashed_and_is_probed_once():
+    harness = play(lose_two)
+    assert harness.crashes == [("e1", [7, 8])]
+    assert harness.probed == [REPLICA.address]
 
 
-def test_a_run_that_is_lost_after_its_replicas_crash_was_found_is_told_too():
-    async def test(detected):
-        await lose_two(detected)
+def test_a_run_lost_after_the_crash_of_its_replica_was_detected_is_reported_too():
+    async def test(harness):
+        await lose_two(harness)
         await settled()
-        detected.detector.run_lost(9, REPLICA, 0.0)
+        harness.detector.run_lost(9, REPLICA, 0.0)
 
     assert play(test).crashes == [("e1", [7, 8]), ("e1", [9])]
 
 
-def test_an_answer_broken_off_by_a_replica_that_lives_is_no_crash():
-    """Guards innocent requests against blame for resets and torn answers."""
+def test_a_response_aborted_by_a_live_replica_is_no_crash():
+    """Guards requests against false evidence from connection resets and truncated responses."""
 
-    async def test(detected):
-        await lose_two(detected)
+    async def test(harness):
+        await lose_two(harness)
         await settled()
-        detected.take(gone=["e1"])
+        harness.take(gone=["e1"])
 
     assert play(test, listens=True).crashes == []
 
 
-def test_a_machine_that_falls_silent_has_crashed_when_its_entry_lapses():
-    """Guards against crashes that refuse no connection."""
+def test_an_unreachable_machine_has_crashed_when_its_entry_expires():
+    """Guards against missing a crash after which no connection is refused."""
 
-    async def test(detected):
-        await lose_two(detected)
+    async def test(harness):
+        await lose_two(harness)
         await settled()
-        detected.clock.advance(4.0)
-        detected.take(gone=["e1"])
+        harness.clock.advance(4.0)
+        harness.take(gone=["e1"])
 
     assert play(test, listens=None).crashes == [("e1", [7, 8])]
 
 
-def test_a_run_without_an_answer_at_a_replica_whose_entry_has_lapsed_was_ended_by_a_crash():
-    async def test(detected):
-        detected.take(gone=["e1"])
-        detected.detector.run_unanswered(7, REPLICA, 0.0)
+def test_a_run_without_response_at_a_replica_with_an_expired_entry_was_ended_by_a_crash():
+    async def test(harness):
+        harness.take(gone=["e1"])
+        harness.detector.run_unanswered(7, REPLICA, 0.0)
 
     assert play(test).crashes == [("e1", [7])]
 
 
-def test_a_replica_that_was_unlisted_before_its_connections_closed_stopped_as_planned():
-    async def test(detected):
-        detected.take(gone=["e1"])
-        detected.detector.run_lost(7, REPLICA, 0.0)
+def test_a_replica_that_was_removed_before_its_connections_closed_stopped_as_planned():
+    async def test(harness):
+        harness.take(gone=["e1"])
+        harness.detector.run_lost(7, REPLICA, 0.0)
 
     assert play(test).crashes == []
 
 
 @pytest.mark.parametrize("by_report", [True, False])
 def test_a_reclaimed_engine_is_no_crash(by_report):
-    """Guards innocent requests against blame for engines that are taken away."""
+    """Guards requests against false evidence from engines that are reclaimed."""
 
-    async def test(detected):
+    async def test(harness):
         if by_report:
-            detected.reported.add("e1")
+            harness.reported.add("e1")
         else:
-            detected.take(dataclasses.replace(REPLICA, is_leaving=True))
-        await lose_two(detected)
+            harness.take(dataclasses.replace(REPLICA, is_leaving=True))
+        await lose_two(harness)
         await settled()
-        detected.take(gone=["e1"])
-        detected.detector.run_unanswered(9, REPLICA, 0.0)
+        harness.take(gone=["e1"])
+        harness.detector.run_unanswered(9, REPLICA, 0.0)
 
     assert play(test).crashes == []
 
 
-def test_a_server_that_starts_again_under_its_name_has_crashed():
-    async def test(detected):
-        detected.take(dataclasses.replace(REPLICA, id="e1@5", name="e1", started_ms=5))
-        detected.detector.run_lost(7, REPLICA, 0.0)
+def test_a_server_that_restarts_with_the_same_name_has_crashed():
+    async def test(harness):
+        harness.take(dataclasses.replace(REPLICA, id="e1@5", name="e1", started_ms=5))
+        harness.detector.run_lost(7, REPLICA, 0.0)
 
     assert play(test).crashes == [("e1", [7])]
 
 
-def test_a_replica_that_stays_listed_is_forgotten():
-    async def test(detected):
-        await lose_two(detected)
+def test_lost_runs_of_a_replica_that_remains_listed_are_forgotten():
+    async def test(harness):
+        await lose_two(harness)
         await settled()
-        detected.clock.advance(crashdetector.UNLISTED_WITHIN_S + 1.0)
-        detected.detector.forget_old()
-        detected.take(gone=["e1"])
+        harness.clock.advance(crashdetector.UNLISTED_TIMEOUT_S + 1.0)
+        harness.detector.forget_old()
+        harness.take(gone=["e1"])
 
     assert play(test, listens=None).crashes == []
--- a/tests/quarantine/test_quarantinewriter.py
+++ b/tests/quarantine/test_quarantinewriter.py
@@ -7,15 +7,15 @@
 PUT = contract.Put("instances/quarantine:07", "{}")
 
 
-class Keeper(quarantinewriter.QuarantineWriter):
-    """Carries its writes out when asked."""
+class Writer(quarantinewriter.QuarantineWriter):
+    """Performs writes only in explicit calls of ``step``."""
 
     def _run(self):
         pass
 
 
-@pytest.mark.parametrize("times_down", [0, 2, quarantinewriter.TRIES])
-def test_a_write_is_made_again_while_the_store_is_away_and_then_given_up(times_down):
+@pytest.mark.parametrize("times_down", [0, 2, quarantinewriter.MAX_ATTEMPTS])
+def test_a_write_is_retried_while_the_store_is_unavailable_and_then_dropped(times_down):
     class Table(memory.MemoryPlatform):
         calls = 0
 
@@ -26,16 +26,16 @@
             return super().transact(conditions, writes)
 
     table = Table(clocks.ManualClock())
-    keeper = Keeper(table, clocks.ManualClock())
-    keeper.add(PUT)
-    keeper.step()
-    assert table.calls == min(times_down + 1, quarantinewriter.TRIES)
+    writer = Writer(table, clocks.ManualClock())
+    writer.add(PUT)
+    writer.step()
+    assert table.calls == min(times_down + 1, quarantinewriter.MAX_ATTEMPTS)
     is_written = isinstance(table.read(PUT.key), contract.Found)
-    assert is_written is (times_down < quarantinewriter.TRIES)
+    assert is_written is (times_down < quarantinewriter.MAX_ATTEMPTS)
 
 
 def test_pending_writes_are_bounded():
-    keeper = Keeper(memory.MemoryPlatform(), clocks.ManualClock())
-    for _ in range(2 * quarantinewriter.MOST_PENDING):
-        keeper.add(PUT)
-    assert keeper._pending.qsize() == quarantinewriter.MOST_PENDING
+    writer = Writer(memory.MemoryPlatform(), clocks.ManualClock())
+    for _ in range(2 * quarantinewriter.MAX_PENDING):
+        writer.add(PUT)
+    assert writer._pending.qsize() == quarantinewriter.MAX_PENDING
--- a/tests/quarantine/test_requestquarantine.py
+++ b/tests/quarantine/test_requestquarantine.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of requests that crash replicas, in virtual time."""
+"""Exchange between instances about requests that crash replicas, in virtual time."""
 
 import random
 
@@ -16,19 +16,21 @@
 from tests.exchange import lossynetwork
 
 CONTACT_S = 3.0
-GUILTY = 7
+FATAL = 7
+"""The fingerprint of the request that crashes replicas."""
+
 RUN_S = 0.5
-"""From a run's sending to the crash that ends it."""
+"""The time between the sending of a run and the crash that ends it."""
 
 STEP_S = 0.05
-HEARTBEATS_S = 0.5
-SAMPLED = 2
-NOTICED_S = 7.0
-"""An instance that is cut off is held for dead after so long at a large site."""
+HEARTBEAT_PERIOD_S = 0.5
+SAMPLED_PEERS = 2
+DETECTION_S = 7.0
+"""The time after which a partitioned instance counts as dead at a large site."""
 
 
 class Site:
-    """Instances whose datagrams may be lost; heartbeats carry digests to sampled peers."""
+    """Instances with a lossy network, whose heartbeats carry digests to sampled peers."""
 
     def __init__(self, nodes, lose=0.03):
         self.rng = random.Random(nodes)
@@ -36,8 +38,8 @@
         self.network = lossynetwork.LossyNetwork(self.rng, faults)
         self.names = [f"n{number}" for number in range(nodes)]
         self.dead = set()
-        self.cut = set()
-        self.cut_at = 0.0
+        self.partitioned = set()
+        self.partitioned_at = 0.0
         self.sent = []
         self.quarantine_by_name = {}
         for name in self.names:
@@ -48,8 +50,8 @@
         return self.network.clock
 
     def start(self, name):
-        """Start an instance, or start it anew."""
-        port = self.network.attach(name, lambda *told: self._take(name, *told))
+        """Start or restart an instance."""
+        port = self.network.attach(name, lambda *received: self._receive(name, *received))
 
         def send(node, message):
             self.sent.append(message)
@@ -63,16 +65,20 @@
             self.clock,
         )
 
-    def cut_off(self, names):
-        self.cut, self.cut_at = set(names), self.clock.now()
+    def partition(self, names):
+        self.partitioned, self.partitioned_at = set(names), self.clock.now()
 
     def _live(self, name):
-        is_noticed = self.clock.now() - self.cut_at > NOTICED_S
-        own_side = [each for each in self.names if (each in self.cut) == (name in self.cut)]
-        return [each for each in (own_side if is_noticed else self.names) if each not in self.dead]
-
-    def _take(self, name, message, origin, _source):
-        if name in self.dead or (name in self.cut) != (origin.name in self.cut):
+        is_detected = self.clock.now() - self.partitioned_at > DETECTION_S
+        own_side = [
+            each for each in self.names if (each in self.partitioned) == (name in self.partitioned)
+        ]
+        return [
+            each for each in (own_side if is_detected else self.names) if each not in self.dead
+        ]
+
+    def _receive(self, name, message, origin, _source):
+        if name in self.dead or (name in self.partitioned) != (origin.name in self.partitioned):
             return
         quarantine = self.quarantine_by_name[name]
         if isinstance(message, messages.CrashReport):
@@ -87,23 +93,23 @@
             for name in self.names:
                 if name not in self.dead:
                     self.quarantine_by_name[name].tick()
-            if step % round(HEARTBEATS_S / STEP_S) == 0:
-                self._tell_digests()
+            if step % round(HEARTBEAT_PERIOD_S / STEP_S) == 0:
+                self._exchange_digests()
 
-    def _tell_digests(self):
+    def _exchange_digests(self):
         for name in self.names:
-            for peer in self.rng.sample(self.names, min(SAMPLED, len(self.names))):
-                is_severed = (name in self.cut) != (peer in self.cut)
-                if not is_severed and not {name, peer} & self.dead:
+            for peer in self.rng.sample(self.names, min(SAMPLED_PEERS, len(self.names))):
+                is_separated = (name in self.partitioned) != (peer in self.partitioned)
+                if not is_separated and not {name, peer} & self.dead:
                     digest = self.quarantine_by_name[name].digest
                     self.quarantine_by_name[peer].on_digest(name, digest)
 
-    def crash(self, name, replica, lost=(GUILTY,)):
+    def crash(self, name, replica, lost=(FATAL,)):
         now = self.clock.now()
         runs = [lostruns.LostRun(each, now - RUN_S, now) for each in lost]
         self.quarantine_by_name[name].crashed(replica, runs)
 
-    def refusing(self, fingerprint=GUILTY):
+    def refusing(self, fingerprint=FATAL):
         return {
             name
             for name in self.names
@@ -112,67 +118,67 @@
 
 
 @pytest.mark.parametrize("nodes", [6, 64, 195])
-def test_all_in_touch_refuse_within_the_bound_on_contact(nodes):
-    """Guards replicas against instances that saw no crash, while a third is cut off."""
+def test_all_connected_instances_refuse_within_the_time_bound(nodes):
+    """Guards replicas against instances that observed no crash, while a third is partitioned."""
     site = Site(nodes)
-    site.cut_off(site.names[: nodes // 3])
-    site.run(2 * NOTICED_S)
-    in_touch = [name for name in site.names if name not in site.cut]
-    for number in range(crashledger.CRASHES):
+    site.partition(site.names[: nodes // 3])
+    site.run(2 * DETECTION_S)
+    connected = [name for name in site.names if name not in site.partitioned]
+    for number in range(crashledger.CRASH_THRESHOLD):
         site.run(0.3)
-        site.crash(in_touch[number], f"e{number}")
+        site.crash(connected[number], f"e{number}")
     site.run(CONTACT_S)
-    assert site.refusing() >= set(in_touch)
+    assert site.refusing() >= set(connected)
 
 
 @pytest.mark.parametrize("trial", range(10))
-def test_evidence_reaches_others_when_its_homes_are_just_cut_off(trial):
-    """Guards against reports that go only to instances which nobody knows to be cut off."""
+def test_evidence_reaches_others_when_its_home_instances_were_just_partitioned(trial):
+    """Guards against reports that are sent only to instances not yet known to be unreachable."""
     site = Site(64)
-    site.cut_off(site.rng.sample(site.names, 21))
-    in_touch = [name for name in site.names if name not in site.cut]
-    for number in range(crashledger.CRASHES):
+    site.partition(site.rng.sample(site.names, 21))
+    connected = [name for name in site.names if name not in site.partitioned]
+    for number in range(crashledger.CRASH_THRESHOLD):
         site.run(0.3)
-        site.crash(in_touch[number], f"e{number}", (trial,))
-    site.run(NOTICED_S + CONTACT_S)
-    assert site.refusing(trial) >= set(in_touch)
+        site.crash(connected[number], f"e{number}", (trial,))
+    site.run(DETECTION_S + CONTACT_S)
+    assert site.refusing(trial) >= set(connected)
 
 
 @pytest.mark.parametrize("nodes", [6, 64])
-def test_an_instance_that_was_cut_off_or_started_anew_refuses_soon(nodes):
+def test_an_instance_refuses_soon_after_a_partition_or_restart(nodes):
     site = Site(nodes)
-    site.cut_off({"n5"})
-    for number in range(crashledger.CRASHES):
+    site.partition({"n5"})
+    for number in range(crashledger.CRASH_THRESHOLD):
         site.run(0.3)
         site.crash("n1", f"e{number}")
     site.run(10.0)
     assert "n5" not in site.refusing()
-    site.cut_off(())
+    site.partition(())
     site.start("n4")
     site.run(CONTACT_S)
     assert site.refusing() == set(site.names)
 
 
-def test_crashes_seen_by_different_instances_at_nearly_one_time_add_up():
+def test_nearly_simultaneous_crashes_at_different_instances_add_up():
     site = Site(6)
     site.crash("n0", "e0")
     site.run(0.1)
     site.crash("n1", "e1")
-    site.clock.advance(1.1 * crashledger.TOGETHER_S)
+    site.clock.advance(1.1 * crashledger.CORRELATION_WINDOW_S)
     site.crash("n2", "e2")
     site.run(1.0)
     assert site.refusing() == set(site.names)
 
 
 @pytest.mark.parametrize("home", [0, 1])
-def test_evidence_outlives_one_of_its_homes(home):
-    """Guards against a count that is lost with the instance that kept it."""
+def test_evidence_outlives_one_of_its_home_instances(home):
+    """Guards against the loss of a count with the only instance that stores it."""
     site = Site(6, lose=0.0)
     homes = requestquarantine.rendezvous.best(
-        requestquarantine.fingerprints.to_hex(GUILTY), site.names, requestquarantine.HOMES
+        requestquarantine.fingerprints.to_hex(FATAL), site.names, requestquarantine.HOME_COUNT
     )
     others = [name for name in site.names if name not in homes]
-    for number in range(crashledger.CRASHES - 1):
+    for number in range(crashledger.CRASH_THRESHOLD - 1):
         site.crash(others[number], f"e{number}")
         site.run(0.5)
     site.dead = {homes[home]}
@@ -181,8 +187,8 @@
     assert site.refusing() >= set(site.names) - site.dead
 
 
-def test_replicas_that_fail_together_are_one_crash():
-    """Guards requests that ran everywhere when a failure domain lost power."""
+def test_replicas_that_fail_together_count_as_one_crash():
+    """Guards a request that was running at every replica of a domain that lost power."""
     site = Site(6)
     for number in range(5):
         site.crash(site.names[number], f"e{number}")
@@ -190,18 +196,18 @@
     assert site.refusing() == set()
 
 
-def test_runs_that_follow_one_another_count_however_soon():
-    """Guards replicas that a request crashes at once, sent on to the next each time."""
+def test_crashes_of_successive_runs_count_however_soon_they_follow():
+    """Guards replicas against a request that crashes each one at once and is then retried."""
     site = Site(6)
     now = site.clock.now()
-    for number in range(crashledger.CRASHES):
-        run = lostruns.LostRun(GUILTY, now + number * 0.01, now + number * 0.01 + 0.009)
+    for number in range(crashledger.CRASH_THRESHOLD):
+        run = lostruns.LostRun(FATAL, now + number * 0.01, now + number * 0.01 + 0.009)
         site.quarantine_by_name["n0"].crashed(f"e{number}", (run,))
     site.run(1.0)
     assert site.refusing() == set(site.names)
 
 
-def test_one_crash_seen_by_many_counts_once():
+def test_one_crash_observed_by_many_instances_counts_once():
     site = Site(6)
     for name in site.names:
         site.run(0.2)
@@ -210,19 +216,19 @@
     assert site.refusing() == set()
 
 
-def test_a_popular_request_is_not_refused_on_a_day_with_many_crashes():
-    """Guards a request that is asked for all the time against crashes that others cause."""
+def test_a_frequent_request_is_not_refused_because_of_unrelated_crashes():
+    """Guards a request that runs all the time against evidence from crashes of other causes."""
     site = Site(6)
     for number in range(40):
         for name in site.names:
-            site.quarantine_by_name[name].completed(GUILTY)
+            site.quarantine_by_name[name].completed(FATAL)
         site.run(0.5)
         site.crash(site.rng.choice(site.names), f"e{number}")
     assert site.refusing() == set()
 
 
-def test_innocent_requests_are_not_refused_when_each_run_may_meet_a_crash():
-    """Guards callers on a day with crashes: four runs a request, one in ten ended by a crash."""
+def test_few_requests_are_refused_when_runs_end_by_unrelated_crashes():
+    """Guards callers while there are many crashes: four runs per request, one in ten lost."""
     site = Site(6)
     refused = 0
     for fingerprint in range(1, 3000):
@@ -238,34 +244,34 @@
             site.crash(name, f"e{fingerprint}-{run}", (fingerprint,))
             site.run(STEP_S)
             site.run(STEP_S)
-    # A request meets three crashes one after the other in one case of a thousand.
+    # One request in a thousand has three crashes in a row.
     assert refused <= 9
 
 
-def test_a_refusal_lasts_and_ends():
+def test_a_refusal_ends_after_its_duration():
     site = Site(1)
-    for number in range(crashledger.CRASHES):
+    for number in range(crashledger.CRASH_THRESHOLD):
         site.run(0.1)
         site.crash("n0", f"e{number}")
-    refusal = site.quarantine_by_name["n0"].refusal(GUILTY)
+    refusal = site.quarantine_by_name["n0"].refusal(FATAL)
     assert (refusal.http_status, refusal.code) == (503, requestquarantine.QUARANTINED)
-    assert refusal.retry_after_s == pytest.approx(quarantinelist.LASTS_S)
-    site.clock.advance(quarantinelist.LASTS_S)
+    assert refusal.retry_after_s == pytest.approx(quarantinelist.DURATION_S)
+    site.clock.advance(quarantinelist.DURATION_S)
     site.quarantine_by_name["n0"].expire()
     assert site.refusing() == set()
     assert site.quarantine_by_name["n0"].quarantined_count == 0
 
 
-def test_memory_and_messages_stay_bounded_against_a_million_guilty_requests():
+def test_memory_and_message_sizes_are_bounded_with_many_fatal_requests():
     site = Site(2, lose=0.0)
     quarantine = site.quarantine_by_name["n0"]
     for fingerprint in range(1, 4301):
-        for number in range(crashledger.CRASHES):
+        for number in range(crashledger.CRASH_THRESHOLD):
             site.clock.advance(0.06)
             site.crash("n0", f"e{fingerprint}-{number}", (fingerprint,))
         if fingerprint % 500 == 0:
             site.network.deliver()
-    assert quarantine.quarantined_count == quarantinelist.MOST
+    assert quarantine.quarantined_count == quarantinelist.MAX_ENTRIES
     for message in site.sent[-1000:]:
         assert framesizes.packet_bytes(message) < 1400
 
@@ -280,8 +286,8 @@
     assert framesizes.packet_bytes(notice) < 1400
 
 
-class Stored(Site):
-    """A site whose instances keep what they refuse in a store."""
+class StoredSite(Site):
+    """A site whose instances write the requests that they refuse to a store."""
 
     def __init__(self, nodes):
         self.store = memory.MemoryPlatform()
@@ -302,18 +308,18 @@
     def rows(self):
         return quarantinerows.decode(self.store.scan("instances/"))
 
-    def find_out(self, *names):
-        for number in range(crashledger.CRASHES):
+    def crash_until_refused(self, *names):
+        for number in range(crashledger.CRASH_THRESHOLD):
             self.run(0.3)
             self.crash(names[number % len(names)], f"e{number}")
         self.run(0.3)
 
 
-def test_what_is_refused_outlives_a_loss_of_all_instances():
-    """Guards replicas against a request that comes back after all instances lost power."""
-    site = Stored(6)
-    site.find_out("n0", "n1", "n2")
-    assert [each.fingerprint for each in site.rows()] == [GUILTY]
+def test_refused_requests_outlive_a_full_outage():
+    """Guards replicas against a request that is retried after all instances lost power."""
+    site = StoredSite(6)
+    site.crash_until_refused("n0", "n1", "n2")
+    assert [each.fingerprint for each in site.rows()] == [FATAL]
     for name in site.names:
         site.start(name)
     assert site.refusing() == set()
@@ -321,22 +327,22 @@
     assert site.refusing() == {"n3"}
 
 
-def test_an_instance_that_is_cut_off_from_the_others_only_learns_from_the_store():
-    site = Stored(6)
-    site.cut_off({"n5"})
-    site.find_out("n0", "n1", "n2")
+def test_an_instance_partitioned_only_from_the_others_learns_from_the_store():
+    site = StoredSite(6)
+    site.partition({"n5"})
+    site.crash_until_refused("n0", "n1", "n2")
     site.read("n5")
     assert "n5" in site.refusing()
 
 
-def test_a_row_that_the_store_has_lost_is_written_again_and_one_that_is_over_removed():
-    """Guards what is refused against a store that comes back from an older copy."""
-    site = Stored(6)
-    site.find_out("n0", "n1", "n2")
-    site.write((contract.Delete(quarantinerows.key(GUILTY)),))
+def test_a_row_lost_by_the_store_is_restored_and_an_expired_one_is_deleted():
+    """Guards the refused requests against a store that is restored from an older backup."""
+    site = StoredSite(6)
+    site.crash_until_refused("n0", "n1", "n2")
+    site.write((contract.Delete(quarantinerows.key(FATAL)),))
     site.read()
-    assert [each.fingerprint for each in site.rows()] == [GUILTY]
-    site.clock.advance(quarantinelist.LASTS_S + 1.0)
+    assert [each.fingerprint for each in site.rows()] == [FATAL]
+    site.clock.advance(quarantinelist.DURATION_S + 1.0)
     for quarantine in site.quarantine_by_name.values():
         quarantine.expire()
     site.read()
@@ -344,10 +350,10 @@
     assert site.refusing() == set()
 
 
-def test_a_row_that_cannot_be_read_changes_nothing():
-    site = Stored(1)
+def test_a_malformed_row_is_ignored():
+    site = StoredSite(1)
     for value in ("", "{}", '{"until": "never"}', '{"until": 1e400}'):
-        site.write((contract.Put(quarantinerows.key(GUILTY), value),))
+        site.write((contract.Put(quarantinerows.key(FATAL), value),))
         site.read()
     site.write((contract.Put("instances/quarantine:none", '{"until": 9e9}'),))
     site.read()
