--- a/hornbeamglade/routed/callrouter.py
+++ b/hornbeamglade/routed/callrouter.py
@@ -45,9 +45,11 @@
 
         The intersection of the route's and the team's regions.
         """
-        of_team = None if self.team is None else self.team.allowed_regions
-        bounds = [each for each in (self.route.allowed_regions, of_team) if each is not None]
-        return frozenset.intersection(*bounds) if bounds else None
+        team_regions = None if self.team is None else self.team.allowed_regions
+        region_sets = [
+            each for each in (self.route.allowed_regions, team_regions) if each is not None
+        ]
+        return frozenset.intersection(*region_sets) if region_sets else None
 
     @property
     def ends_at(self) -> float:
@@ -65,14 +67,18 @@
         return outcomes.Refusal(
             NO_CONFIGURATION, 503, detail, retry_after_s=NO_CONFIGURATION_RETRY_S
         )
-    found = view.table.find(call.host, call.target.decode("latin-1"))
-    if found is None:
+    matched_route = view.table.find(call.host, call.target.decode("latin-1"))
+    if matched_route is None:
         return outcomes.Refusal("no_route", 404, "no route begins this host and path")
     team = view.keys.identify(call.authorization)
-    if team is None and view.keys.is_required and not found.is_public:
+    if team is None and view.keys.is_required and not matched_route.is_public:
         return outcomes.Refusal("key_unknown", 401, "no team holds this key")
-    service = view.configuration.service_by_name[splits.choose_service(found, call.request_id)]
-    return RoutedRequest(call, found, service, team, view.revision, _fingerprint(call, team))
+    service = view.configuration.service_by_name[
+        splits.choose_service(matched_route, call.request_id)
+    ]
+    return RoutedRequest(
+        call, matched_route, service, team, view.revision, _fingerprint(call, team)
+    )
 
 
 def _fingerprint(call: calls.Call, team: models.Team | None) -> int:
--- a/hornbeamglade/routed/enginecatalog.py
+++ b/hornbeamglade/routed/enginecatalog.py
@@ -89,25 +89,27 @@
         :param sample_offset: position at which the sample begins; the same for all lookups of
             one request.
         """
-        # A scheduler remains after its replica has changed owners. It reports a full engine, so
-        # requests would avoid the replica.
+        # Only schedulers of owned engines are used: a scheduler remains after its replica has
+        # changed owners and then reports a full engine, so requests would avoid the replica.
         owned = self._owned()
         state_by_replica = self._schedulers.states_of(owned)
         usable = self._available.usable(service, regions)
         if len(usable) > MAX_CANDIDATES:
             own = (replica for replica in usable if replica.id in owned)
-            begin = sample_offset % len(usable)
-            others = itertools.chain(usable[begin:], usable[:begin])
+            first = sample_offset % len(usable)
+            others = itertools.chain(usable[first:], usable[:first])
         else:
             own, others = usable, ()
-        fit = [replica for replica in own if self._is_candidate(replica, excluded)]
+        eligible = [replica for replica in own if self._is_candidate(replica, excluded)]
         others = (
             replica
             for replica in others
             if replica.id not in owned and self._is_candidate(replica, excluded)
         )
-        fit.extend(itertools.islice(others, MAX_CANDIDATES))
-        return tuple(self._candidate(replica, state_by_replica.get(replica.id)) for replica in fit)
+        eligible.extend(itertools.islice(others, MAX_CANDIDATES))
+        return tuple(
+            self._candidate(replica, state_by_replica.get(replica.id)) for replica in eligible
+        )
 
     def find(
         self,
--- a/hornbeamglade/routed/enginework.py
+++ b/hornbeamglade/routed/enginework.py
@@ -34,8 +34,8 @@
 def latest_start_at(routed: callrouter.RoutedRequest) -> float:
     """Return the latest monotonic time at which a request can start and meet its goal."""
     generation = routed.call.generation or NO_GENERATION
-    read_s = generation.prompt_tokens / promptbacklog.PromptSettings().tokens_per_s
-    return routed.call.arrived_at + routed.route.goal_s - read_s
+    prefill_s = generation.prompt_tokens / promptbacklog.PromptSettings().tokens_per_s
+    return routed.call.arrived_at + routed.route.goal_s - prefill_s
 
 
 def queue_deadline(routed: callrouter.RoutedRequest, now: float) -> float:
--- a/hornbeamglade/routed/eventrelay.py
+++ b/hornbeamglade/routed/eventrelay.py
@@ -100,12 +100,12 @@
             self.last_id = event.id
 
     def _is_repeated(self, event: eventsplit.Event) -> bool:
-        last, this = _sequence_number(self.last_id), _sequence_number(event.id)
-        return last is not None and this is not None and this <= last
+        last_number, number = _sequence_number(self.last_id), _sequence_number(event.id)
+        return last_number is not None and number is not None and number <= last_number
 
     def _is_after_gap(self, event: eventsplit.Event) -> bool:
-        last, this = _sequence_number(self.last_id), _sequence_number(event.id)
-        return last is not None and this is not None and this > last + 1
+        last_number, number = _sequence_number(self.last_id), _sequence_number(event.id)
+        return last_number is not None and number is not None and number > last_number + 1
 
 
 def _sequence_number(event_id: str | None) -> int | None:
--- a/hornbeamglade/routed/migration.py
+++ b/hornbeamglade/routed/migration.py
@@ -9,13 +9,13 @@
 pause would be as long as the whole copy, which exceeds the pause allowed in a steady stream.
 
 A run is stopped only after the first copy is complete, and only while it holds a migration
-slot (:mod:`hornbeamglade.grants.migrationslots`). Otherwise the final copy would wait
-behind copies of other runs while its own stream is stopped. The target is selected before the
-slot is acquired, so that no slot time is spent on the search. The target also receives one
-copy at a time: when several engines stop at once, their runs can choose the same target, and
-most streams that share a target's link with another copy pause for longer than a steady
-stream may. The arrival slot is only acquired while the departure slot is held, never in the
-opposite order, so no deadlock is possible.
+slot (:mod:`hornbeamglade.grants.migrationslots`). Otherwise the final copy would wait behind
+copies of other runs while its own stream is stopped. The target is selected before the slot
+is acquired, so that no slot time is spent on the search. The target also receives one copy at
+a time: when several engines stop at once, their runs can choose the same target, and most
+streams whose copies share the link of a target pause for longer than a steady stream may. The
+arrival slot is only acquired while the departure slot is held, never in the opposite order,
+so no deadlock is possible.
 
 A run may end, or its caller may disconnect, while it is copied. An engine continues a copy
 whose request was cancelled and keeps it for some ten seconds under a name that no one
@@ -146,7 +146,7 @@
         self._free_copy(destination.copy.name, destination.replica)
 
     def _free_copy(self, name: str, at: replicamodels.Replica) -> None:
-        """Free a copy at the source, or at the target if the source is gone."""
+        """Free a copy at both engines via the source, or at the target if the source is gone."""
         self._dependencies.free_copy(name, (self._source.address, at.address))
 
     async def _try_targets(
@@ -238,7 +238,7 @@
     async def _wait_for_target(
         self, placement: asyncgrantacquirer.PlacementRequest
     ) -> "_Target | None":
-        """Search for a target until one is found or the deadline has passed."""
+        """Search for a target until the deadline, by which the source engine must be gone."""
         while self._dependencies.clock.now() < placement.deadline:
             target = await self._find_target(placement)
             if target is not None:
--- a/hornbeamglade/routed/ratelimitqueue.py
+++ b/hornbeamglade/routed/ratelimitqueue.py
@@ -52,8 +52,8 @@
         limited = self._rate_limited_replicas(service, regions, excluded)
         queue = self._queue_by_service.setdefault(service, [])
         position = (urgency, next(self._arrival_numbers))
-        left_s = deadline - self._clock.now()
-        send_slots = sum(self._available.send_slots_within(each, left_s) for each in limited)
+        remaining_s = deadline - self._clock.now()
+        send_slots = sum(self._available.send_slots_within(each, remaining_s) for each in limited)
         if bisect.bisect(queue, position) >= send_slots:
             return False
         bisect.insort(queue, position)
--- a/hornbeamglade/routed/replicaload.py
+++ b/hornbeamglade/routed/replicaload.py
@@ -105,8 +105,8 @@
             record.reported = load
             record.reported_at = now
             record.own_when_reported = record.outstanding + 1
-        before = record.decayed_failure_rate(now)
-        record.failure_rate = before + SMOOTHING * (float(failed) - before)
+        previous = record.decayed_failure_rate(now)
+        record.failure_rate = previous + SMOOTHING * (float(failed) - previous)
         record.failure_rate_at = now
         _log_trust_change(replica_id, record)
 
@@ -135,7 +135,7 @@
     if is_distrusted is record.is_distrusted:
         return
     record.is_distrusted = is_distrusted
-    before, after = ("trusted", "doubted") if is_distrusted else ("doubted", "trusted")
+    previous, after = ("trusted", "doubted") if is_distrusted else ("doubted", "trusted")
     logs.state_changed(
-        "replica_trust", before, after, replica=replica_id, load=round(record.failure_rate, 3)
+        "replica_trust", previous, after, replica=replica_id, load=round(record.failure_rate, 3)
     )
--- a/hornbeamglade/routed/streamrun.py
+++ b/hornbeamglade/routed/streamrun.py
@@ -1,4 +1,4 @@
-"""One streamed response, across all replicas that its run is placed at."""
+"""One streamed response, across all replicas at which its run executes."""
 
 import asyncio
 import dataclasses
@@ -404,9 +404,9 @@
             tokens_per_event=self._routed.service.engine.tokens_per_event,
         )
         relay = self._relay
-        later = produced - produced // relay.event_count
+        tokens_after_first_event = produced - produced // relay.event_count
         self._dependencies.token_times.observe(
-            self._routed.service.name, later, relay.last_at - relay.first_at
+            self._routed.service.name, tokens_after_first_event, relay.last_at - relay.first_at
         )
 
 
--- a/hornbeamglade/routed/tokentimes.py
+++ b/hornbeamglade/routed/tokentimes.py
@@ -14,11 +14,11 @@
     Examples
     ========
 
-    >>> pace = TokenTimes()
-    >>> pace.observe("draft", tokens=100, seconds=2.2)
-    >>> round(pace.seconds_per_token("draft"), 4)
+    >>> token_times = TokenTimes()
+    >>> token_times.observe("draft", tokens=100, seconds=2.2)
+    >>> round(token_times.seconds_per_token("draft"), 4)
     0.013
-    >>> pace.seconds_per_token("other")
+    >>> token_times.seconds_per_token("other")
     0.012
     """
 
@@ -33,8 +33,8 @@
         """
         if tokens <= 0:
             return
-        before = self.seconds_per_token(service)
-        self._seconds_by_service[service] = before + SMOOTHING * (seconds / tokens - before)
+        previous = self.seconds_per_token(service)
+        self._seconds_by_service[service] = previous + SMOOTHING * (seconds / tokens - previous)
 
     def seconds_per_token(self, service: str) -> float:
         """Return the current estimate for a service."""
--- a/hornbeamglade/routing/choice.py
+++ b/hornbeamglade/routing/choice.py
@@ -104,12 +104,12 @@
             return choice.cost_s + settings.same_domain_s
         return choice.cost_s
 
-    rest = [
+    others = [
         choice
         for choice in _with_costs(work, _usable(candidates, settings), settings)
         if choice.candidate.replica != best.candidate.replica
     ]
-    return (best, *sorted(rest, key=fallback_cost_s))
+    return (best, *sorted(others, key=fallback_cost_s))
 
 
 def _usable(
