--- a/hornbeamglade/teams/__init__.py
+++ b/hornbeamglade/teams/__init__.py
@@ -1,4 +1,4 @@
-"""Teams: identity, limits, and the nodes that a team's callers are sent to."""
+"""Teams: identification by API key, and limits over several nodes."""
 
 from hornbeamglade.teams.identity import TeamDirectory, TeamKeys, hash_key
 from hornbeamglade.teams.limits import Admission, TeamLimits
--- a/hornbeamglade/teams/identity.py
+++ b/hornbeamglade/teams/identity.py
@@ -1,4 +1,4 @@
-"""Which team a caller's key belongs to."""
+"""Identification of a caller's team by its key."""
 
 import collections.abc
 import dataclasses
@@ -14,10 +14,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TeamKeys:
-    """The keys of one team, hashed.
+    """The hashed keys of one team.
 
     :param team: the team's name.
-    :param key_hashes: as made by :func:`hash_key`; several while keys are replaced.
+    :param key_hashes: hashes as returned by :func:`hash_key`; several during key rotation.
     """
 
     team: str
@@ -25,9 +25,9 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the form in which a configuration holds a key.
+    """Return the form in which a configuration contains a key.
 
-    Keys are long random strings, so a plain digest can't be reversed by guessing.
+    Keys are long random strings, so a plain digest cannot be reversed by guessing.
 
     Examples
     ========
@@ -44,21 +44,21 @@
     Explanation
     ===========
 
-    The digest of the presented key is looked up, never the key compared. How
-    long the lookup takes says at most something of the digest, from which no
-    key can be built.
+    The digest of the presented key is looked up, and the key itself is never
+    compared. The duration of the lookup reveals at most something about the
+    digest, from which no key can be derived.
 
     :param teams: the configured teams' keys.
-    :raises CodedError: when two teams have the same key.
+    :raises CodedError: if two teams have the same key.
     """
 
     def __init__(self, teams: collections.abc.Iterable[TeamKeys]) -> None:
         self._team_by_hash: dict[str, str] = {}
         for keys in teams:
             for key_hash in keys.key_hashes:
-                owner = self._team_by_hash.setdefault(key_hash, keys.team)
-                if owner != keys.team:
-                    detail = f"teams {owner} and {keys.team} have the same key"
+                team = self._team_by_hash.setdefault(key_hash, keys.team)
+                if team != keys.team:
+                    detail = f"teams {team} and {keys.team} have the same key"
                     raise codederrors.CodedError("key_shared", detail)
 
     def identify(self, authorization: str | None) -> str | outcomes.Refusal:
--- a/hornbeamglade/teams/limits.py
+++ b/hornbeamglade/teams/limits.py
@@ -1,7 +1,7 @@
-"""Requests and tokens in flight per team at one node, as an aggregate.
+"""Limits on requests and tokens in flight per team at one node, as an aggregate.
 
-How a team's limit is kept over several nodes is weighed in
-:mod:`hornbeamglade.teams.shares`.
+:mod:`hornbeamglade.teams.shares` describes how a team's limit is enforced over several
+nodes, and the alternatives.
 """
 
 import collections.abc
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admission:
-    """A request counts against its team's limit until it leaves.
+    """The admission of a request, which counts against its team's limit until released.
 
     :param team: the team's name.
     :param tokens: the expected tokens that were counted.
@@ -35,7 +35,7 @@
         self.refused_tokens = 0
 
     def used(self) -> float:
-        """Return the part of the limit that is in flight here, the tighter of the two."""
+        """Return the part of the limit in flight here, the larger of requests and tokens."""
         return self._part(self.requests, self.tokens)
 
     def demand(self) -> float:
@@ -49,10 +49,10 @@
 
 
 class TeamLimits:
-    """What each team has in flight at this node, against this node's share.
+    """The requests of each team in flight at this node, limited by this node's shares.
 
     :param node: this node's name.
-    :param settings: how shares move between nodes.
+    :param settings: settings for the adjustment of shares.
 
     Examples
     ========
@@ -76,7 +76,7 @@
         self._state_by_team: dict[str, _TeamState] = {}
 
     def configure(self, limits: collections.abc.Iterable[teamlimits.TeamLimit]) -> None:
-        """Take over the configured limits; what is in flight stays counted."""
+        """Set the configured limits; requests in flight remain counted."""
         limit_by_name = {limit.name: limit for limit in limits}
         for name, limit in limit_by_name.items():
             state = self._state_by_team.get(name)
@@ -90,7 +90,7 @@
                 del self._state_by_team[name]
 
     def set_shard(self, team: str, members: collections.abc.Collection[str]) -> None:
-        """Take over the nodes that the address answer gives the team's callers.
+        """Set the nodes of a team's shard, whose addresses are returned to its callers.
 
         :param members: see :func:`hornbeamglade.membership.addresses.shard_members`.
         """
@@ -99,10 +99,10 @@
     def admit(self, team: str, tokens: int) -> Admission | outcomes.Refusal:
         """Count a request against its team's limit, or refuse it.
 
-        :param tokens: its expected tokens, prompt and answer.
+        :param tokens: its expected tokens, of the prompt and the completion.
         """
         state = self._state(team)
-        if self._has_room(state, tokens):
+        if self._is_within_limit(state, tokens):
             state.requests += 1
             state.tokens += tokens
             return Admission(team, tokens)
@@ -111,59 +111,59 @@
         return outcomes.Refusal(
             "team_limit",
             429,
-            f"team {team} has as much in flight as its limit allows here",
+            f"team {team} has reached its limit of requests or tokens in flight at this node",
             outcomes.RunStatus.NOT_RUN,
             _MIN_RETRY_S,
         )
 
-    def release(self, entered: Admission) -> None:
-        """Count a request off; exactly once for each ``Admission``.
+    def release(self, admission: Admission) -> None:
+        """Stop counting a request; call this exactly once for each ``Admission``.
 
-        :raises InvariantError: when more leaves than has entered.
+        :raises InvariantError: if more requests or tokens are released than were admitted.
         """
-        state = self._state(entered.team)
-        if state.requests < 1 or state.tokens < entered.tokens:
-            raise codederrors.InvariantError("team_left_twice", entered.team)
+        state = self._state(admission.team)
+        if state.requests < 1 or state.tokens < admission.tokens:
+            raise codederrors.InvariantError("team_left_twice", admission.team)
         state.requests -= 1
-        state.tokens -= entered.tokens
+        state.tokens -= admission.tokens
 
     def in_flight(self, team: str) -> int:
         """Return how many requests of ``team`` are in flight at this node."""
         return self._state(team).requests
 
-    def record_peer_share(self, node: str, said: teamlimits.TeamShare) -> None:
-        """Take over what another node's heartbeat says of one team."""
-        state = self._state_by_team.get(said.team)
+    def record_peer_share(self, node: str, announced: teamlimits.TeamShare) -> None:
+        """Record the share of one team that another node's heartbeat announced."""
+        state = self._state_by_team.get(announced.team)
         if state is not None:
-            state.controller.record_peer_share(node, said)
+            state.controller.record_peer_share(node, announced)
 
-    def heartbeat(self, most: int | None = None) -> tuple[teamlimits.TeamShare, ...]:
-        """Move the shares by demand and return what to announce; once per heartbeat.
+    def heartbeat(self, max_teams: int | None = None) -> tuple[teamlimits.TeamShare, ...]:
+        """Adjust the shares by demand and return what to announce; call once per heartbeat.
 
-        :param most: how many teams can be announced; None for all. A share that is not
-            announced stays as it is, and always the same teams are announced: the
-            bound on the sum of shares rests on every move being heard of.
+        :param max_teams: how many teams can be announced; None for all. A share that is not
+            announced is not adjusted, and always the same teams are announced, since the
+            bound on the sum of shares requires that every adjustment is announced.
         """
-        said: list[teamlimits.TeamShare] = []
-        for name in sorted(self._state_by_team)[:most]:
+        announced: list[teamlimits.TeamShare] = []
+        for name in sorted(self._state_by_team)[:max_teams]:
             state = self._state_by_team[name]
-            said.append(state.controller.adjust(state.demand(), state.used()))
+            announced.append(state.controller.adjust(state.demand(), state.used()))
             state.refused_requests = 0
             state.refused_tokens = 0
-        return tuple(said)
+        return tuple(announced)
 
-    def share_by_team(self, most: int) -> dict[str, float]:
+    def share_by_team(self, max_teams: int) -> dict[str, float]:
         """Return this node's part of the limits of the teams that it announces.
 
-        :param most: as in :meth:`heartbeat`.
+        :param max_teams: as in :meth:`heartbeat`.
         """
-        names = sorted(self._state_by_team)[:most]
+        names = sorted(self._state_by_team)[:max_teams]
         return {name: self._state_by_team[name].controller.share for name in names}
 
-    def _has_room(self, state: _TeamState, tokens: int) -> bool:
+    def _is_within_limit(self, state: _TeamState, tokens: int) -> bool:
         share = state.controller.share
-        # One request may always be in flight: a limit split over nodes must not
-        # refuse a team that has nothing running here.
+        # One request is always allowed: a limit that is split over several nodes must not
+        # cause a refusal for a team that has no request in flight here.
         if state.requests == 0:
             return True
         requests_limit = state.limit.requests_in_flight * share
@@ -173,5 +173,5 @@
     def _state(self, team: str) -> _TeamState:
         state = self._state_by_team.get(team)
         if state is None:
-            raise codederrors.CodedError("team_unknown", f"no team is named {team}")
+            raise codederrors.CodedError("team_unknown", f"there is no team {team}")
         return state
--- a/hornbeamglade/teams/shares.py
+++ b/hornbeamglade/teams/shares.py
@@ -1,46 +1,46 @@
-"""A node's share of one team's limit, moved by demand without a write per request.
+"""A node's share of one team's limit, adjusted by demand without a write per request.
 
 Explanation
 ===========
 
-Every node of the team's shard announces in its heartbeat the share that it
-holds and the share that it would use. From what it has heard of the others a
-node
-
-- *gives* at once: it goes down to what it wants, which is its demand, with a
-  margin and an even part of what nobody demands, or its part in proportion to
-  demand when the demands exceed the limit;
-- *takes* slowly: at most the k-th part of the room that nobody has announced
-  (k nodes in the shard), and only when it has heard every other node lately,
-  and twice since its last raise. Two that raise at the same time fit into the
-  room together.
-
-Each node may always use a floor, ``floor_share / k`` of the limit, so that no
-node of the shard has to refuse everything; the floors of the others are kept
-free whether they were heard or not. A node outside the shard, which callers
-with an old answer still reach, uses a floor and no more.
-
-Bound: while heartbeats take less than one interval, however many are lost, the
-shares held sum to at most the limit; the state machine in the tests looks for
-more. Beyond that: heartbeats that are late by several intervals can let two
-nodes take the same room (a trial with delays of up to three intervals, out of
-order, saw 1.19 of the limit); a newcomer adds its floor until the others give,
-and so does each node that is still reached by an old answer; a node that was
-wrongly taken off the list adds its share; a node with nothing in flight takes
-one request in any case.
-
-What was weighed:
-
-- *A counter in the platform's table*: thousands of writes a second of several
-  hundred.
-- *Leased blocks of the limit from the table*: fewer writes, but an outage of
-  the store would stop all teams.
-- *One node per team that counts*: exact, but every request takes another hop,
-  and the team stops when that node does.
-- *An even split*: callers use the first address they were given, so one node
-  would refuse while the others' parts lie idle.
-- *Shares in proportion to demand, each computed alone*: views differ while
-  messages travel, and nothing bounds their sum under loss.
+Every node of the team's shard announces in its heartbeat its share of the limit and the
+share that it would use. Based on the announcements of the other nodes, a node
+
+- *lowers* its share at once to its target. The target is its demand with a margin, plus an
+  equal part of the limit that no node demands; or, if the demands exceed the limit, a part
+  in proportion to its demand;
+- *raises* its share slowly: by at most 1/k of the part of the limit that no node has
+  claimed in an announcement (where k is the number of nodes in the shard), and only if it
+  has recently received an announcement of every other node, and two since its last raise.
+  The raises of several nodes at the same time therefore fit into the unclaimed part
+  together.
+
+Each node may always use a floor, ``floor_share / k`` of the limit, so that no node of the
+shard must refuse all requests. The floors of the other nodes are reserved whether or not
+their announcements were received. A node outside the shard, which callers with an outdated
+address list still use, has the floor only.
+
+Bound: as long as heartbeats take less than one interval, and however many are lost, the
+shares sum to at most the limit; the state machine in the tests searches for violations.
+The bound does not hold in these cases: if heartbeats are late by several intervals, two
+nodes may claim the same part (a trial with delays of up to three intervals, out of order,
+reached 1.19 of the limit); a node that joins the shard adds its floor until the others
+have lowered their shares, and so does each node outside it that callers with an outdated
+address list still use; a node that was removed from the list by mistake adds its share; and
+a node without requests in flight accepts one in any case.
+
+Alternatives considered:
+
+- *A counter in the platform's table*: needs thousands of writes per second, while the table
+  can take several hundred.
+- *Leased blocks of the limit from the table*: fewer writes, but an outage of the store would
+  stop all teams.
+- *One counting node per team*: exact, but every request takes another hop, and the team
+  stops when that node does.
+- *An even split*: callers use the first address of their list, so one node would refuse
+  requests while the other nodes' parts are unused.
+- *Shares in proportion to demand, computed by each node alone*: views differ while messages
+  are in transit, and nothing bounds the sum of shares under message loss.
 """
 
 import collections.abc
@@ -50,26 +50,26 @@
 
 _DEMAND_MARGIN = 1.25
 _MIN_STEP = 0.001
-_RECENT_BEATS = 2
-_HEARD_BETWEEN_RAISES = 2
+_RECENT_ROUNDS = 2
+_ANNOUNCEMENTS_BETWEEN_RAISES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ShareSettings:
-    """How shares of a limit move between nodes.
+    """Settings for the adjustment of shares of a limit.
 
-    :param floor_share: the part of the limit that is split evenly for good, 0 to 1.
+    :param floor_share: the part of the limit that is always split evenly, 0 to 1.
     """
 
     floor_share: float = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Heard:
+class _PeerShare:
     share: float
     demand: float
-    beat: int
-    since_raise: int
+    round_number: int
+    count_since_raise: int
 
 
 class ShareController:
@@ -77,7 +77,7 @@
 
     :param team: the team's name.
     :param node: this node's name.
-    :param settings: how shares move.
+    :param settings: settings for the adjustment of the share.
 
     Examples
     ========
@@ -98,9 +98,9 @@
         self._node = node
         self._settings = settings
         self._others: frozenset[str] = frozenset()
-        self._heard_by_node: dict[str, _Heard] = {}
-        self._beat = 0
-        self._is_placed = False
+        self._peer_by_name: dict[str, _PeerShare] = {}
+        self._round = 0
+        self._has_shard = False
         self._is_member = False
         self._share = 0.0
 
@@ -110,96 +110,101 @@
         return self._share
 
     def set_shard(self, members: collections.abc.Collection[str]) -> None:
-        """Take over the team's shard; a node outside it uses a floor for late callers."""
+        """Set the team's shard; a node outside it gets the floor, for callers that use it late."""
         others = frozenset(members) - {self._node}
         is_member = self._node in members
-        if self._is_placed and others == self._others and is_member == self._is_member:
+        if self._has_shard and others == self._others and is_member == self._is_member:
             return
-        self._is_placed = True
+        self._has_shard = True
         self._is_member = is_member
         self._others = others
-        for gone in self._heard_by_node.keys() - others:
-            del self._heard_by_node[gone]
+        for gone in self._peer_by_name.keys() - others:
+            del self._peer_by_name[gone]
         if not is_member:
             self._share = self._floor()
         elif others:
             self._share = max(self._share, self._floor())
         else:
             self._share = 1.0
-        self._await_answers()
+        self._reset_announcement_counts()
 
-    def record_peer_share(self, node: str, said: teamlimits.TeamShare) -> None:
-        """Take over what another node of the shard announced.
+    def record_peer_share(self, node: str, announced: teamlimits.TeamShare) -> None:
+        """Record the share that another node of the shard announced.
 
-        The caller drops a heartbeat that is older than the last of the same node.
+        The caller must ignore a heartbeat that is older than the last one of the same node.
         """
         if node not in self._others:
             return
-        before = self._heard_by_node.get(node)
-        since_raise = 1 if before is None else before.since_raise + 1
-        self._heard_by_node[node] = _Heard(said.share, said.demand, self._beat, since_raise)
+        before = self._peer_by_name.get(node)
+        count_since_raise = 1 if before is None else before.count_since_raise + 1
+        self._peer_by_name[node] = _PeerShare(
+            announced.share, announced.demand, self._round, count_since_raise
+        )
 
     def adjust(self, demand: float, used: float) -> teamlimits.TeamShare:
-        """Move the share and return what to announce; call it once per heartbeat.
+        """Adjust the share and return what to announce; call this once per heartbeat.
 
-        :param demand: the part of the limit that this node would use if it could.
+        :param demand: the part of the limit that this node would use without a limit.
         :param used: the part that it uses now.
         """
-        self._beat += 1
+        self._round += 1
         if self._is_member:
-            self._move(demand)
-        # Guard: requests in flight are not cut off when the share goes down. Were only
-        # the share announced, others would raise into room that is still used, and the
-        # team would have more in flight than its limit for as long as answers last.
+            self._adjust(demand)
+        # Requests in flight are not aborted when the share is lowered. If only the share were
+        # announced, other nodes would claim a part that is still in use, and the team would
+        # exceed its limit until the requests end.
         return teamlimits.TeamShare(self._team, max(self._share, used), demand)
 
-    def _move(self, demand: float) -> None:
-        wanted = self._wanted(demand)
-        if wanted < self._share:
-            self._share = wanted
-        elif wanted > self._share and self._has_heard_all():
-            self._raise_towards(wanted)
+    def _adjust(self, demand: float) -> None:
+        target = self._target_share(demand)
+        if target < self._share:
+            self._share = target
+        elif target > self._share and self._may_raise():
+            self._raise_towards(target)
 
-    def _nodes(self) -> int:
+    def _shard_size(self) -> int:
         return len(self._others) + 1
 
     def _floor(self) -> float:
-        return self._settings.floor_share / self._nodes()
+        return self._settings.floor_share / self._shard_size()
 
-    def _wanted(self, demand: float) -> float:
-        mine = self._excess(demand)
-        theirs = sum(self._excess(heard.demand) for heard in self._heard_by_node.values())
-        movable = 1.0 - self._settings.floor_share
-        spare = movable - mine - theirs
+    def _target_share(self, demand: float) -> float:
+        own = self._demand_above_floor(demand)
+        others = sum(self._demand_above_floor(peer.demand) for peer in self._peer_by_name.values())
+        distributable = 1.0 - self._settings.floor_share
+        spare = distributable - own - others
         if spare >= 0:
-            return self._floor() + mine + spare / self._nodes()
-        return self._floor() + movable * mine / (mine + theirs)
+            return self._floor() + own + spare / self._shard_size()
+        return self._floor() + distributable * own / (own + others)
 
-    def _excess(self, demand: float) -> float:
+    def _demand_above_floor(self, demand: float) -> float:
         return max(demand * _DEMAND_MARGIN - self._floor(), 0.0)
 
-    def _has_heard_all(self) -> bool:
-        # Guard: a raise on an old view counts room that others have taken since; the
-        # team has more in flight than its limit, and other teams stall for it. A view is
-        # recent when each node was heard within the last beats, and shows what the others
-        # made of the last raise when each was heard twice after it. So each other node has
-        # at most one raise that is not in the view, and the room is split for just that.
-        heard = self._heard_by_node.values()
-        is_complete = len(heard) == len(self._others)
-        is_recent = all(self._beat - each.beat <= _RECENT_BEATS for each in heard)
-        is_answered = all(each.since_raise >= _HEARD_BETWEEN_RAISES for each in heard)
+    def _may_raise(self) -> bool:
+        # A raise based on an old view would claim a part that other nodes have claimed since.
+        # The team would exceed its limit, and other teams would be delayed. A view is recent if
+        # an announcement of each node was received within the last rounds. It includes the
+        # reactions to this node's last raise if two announcements of each node were received
+        # after it. Each other node then has at most one raise that is not in the view, for
+        # which the division of the unclaimed part is sufficient.
+        peers = self._peer_by_name.values()
+        is_complete = len(peers) == len(self._others)
+        is_recent = all(self._round - each.round_number <= _RECENT_ROUNDS for each in peers)
+        is_answered = all(
+            each.count_since_raise >= _ANNOUNCEMENTS_BETWEEN_RAISES for each in peers
+        )
         return is_complete and is_recent and is_answered
 
-    def _raise_towards(self, wanted: float) -> None:
+    def _raise_towards(self, target: float) -> None:
         floor = self._floor()
-        taken = sum(max(heard.share, floor) for heard in self._heard_by_node.values())
-        room = 1.0 - taken - self._share
-        step = min(wanted - self._share, room / self._nodes())
+        claimed = sum(max(peer.share, floor) for peer in self._peer_by_name.values())
+        unclaimed = 1.0 - claimed - self._share
+        step = min(target - self._share, unclaimed / self._shard_size())
         if step < _MIN_STEP:
             return
         self._share += step
-        self._await_answers()
+        self._reset_announcement_counts()
 
-    def _await_answers(self) -> None:
-        for node, heard in self._heard_by_node.items():
-            self._heard_by_node[node] = dataclasses.replace(heard, since_raise=0)
+    def _reset_announcement_counts(self) -> None:
+        for node, peer in self._peer_by_name.items():
+            self._peer_by_name[node] = dataclasses.replace(peer, count_since_raise=0)
--- a/hornbeamglade/teams/teamlimits.py
+++ b/hornbeamglade/teams/teamlimits.py
@@ -1,4 +1,4 @@
-"""What a team may hold in flight, as plain values."""
+"""Limits on a team's requests in flight, and a node's share of them, as plain values."""
 
 import dataclasses
 
@@ -8,10 +8,10 @@
     """The limits of one team over all nodes.
 
     :param name: the team's name in the configuration.
-    :param weight: its share of service against other teams, above 0.
+    :param weight: its weight relative to other teams in fair scheduling, above 0.
     :param priority: larger is more urgent; 0 is the lowest.
-    :param requests_in_flight: requests that may run or wait at once.
-    :param tokens_in_flight: expected tokens of these.
+    :param requests_in_flight: the maximum number of requests that run or wait at once.
+    :param tokens_in_flight: the maximum number of expected tokens of these requests.
     """
 
     name: str
@@ -23,11 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TeamShare:
-    """What a node says in its heartbeat of its share of one team's limit.
+    """A node's share of one team's limit, as announced in its heartbeats.
 
     :param team: the team's name.
     :param share: the part of the limit that the node may use, 0 to 1.
-    :param demand: the part that it would use if it could; may exceed 1.
+    :param demand: the part that it would use without a limit; may exceed 1.
     """
 
     team: str
--- a/tests/teams/test_identity.py
+++ b/tests/teams/test_identity.py
@@ -15,7 +15,7 @@
     ("authorization", "team"),
     [("Bearer old", "clerks"), ("bearer new", "clerks"), ("Bearer c", "counter")],
 )
-def test_finds_the_team(authorization, team):
+def test_identifies_the_team(authorization, team):
     assert DIRECTORY.identify(authorization) == team
 
 
@@ -24,12 +24,12 @@
     assert DIRECTORY.identify(authorization).http_status == 401
 
 
-def test_hash_itself_is_no_key():
-    # Someone reads the configuration, which holds only hashes, and sends a hash as key.
+def test_a_hash_is_not_accepted_as_key():
+    # Guards against someone who reads a hash in the configuration and sends it as a key.
     assert DIRECTORY.identify(f"Bearer {identity.hash_key('c')}").http_status == 401
 
 
-def test_key_of_two_teams_is_an_error():
+def test_a_key_shared_by_two_teams_is_an_error():
     keys = (identity.hash_key("same"),)
     with pytest.raises(codederrors.CodedError, match="key_shared"):
         identity.TeamDirectory([identity.TeamKeys("a", keys), identity.TeamKeys("b", keys)])
