--- a/tests/routed/fakes.py
+++ b/tests/routed/fakes.py
@@ -58,7 +58,7 @@
     return serverside.Request(b"POST", target, fields, b"body", 0.0)
 
 
-def routed(
+def routed_request(
     clock, matched_route, service=None, request_id="r1", generation=None, last_event_id=None
 ):
     service = service or models.Service("s", "/healthz", 100, None)
@@ -78,14 +78,14 @@
     return callrouter.RoutedRequest(call, matched_route, service, None, 1)
 
 
-def routed_call(**changes):
+def plain_request(**changes):
     """Return a request to a plain service, which needs no grant."""
-    return routed(clocks.ManualClock(), route(**changes))
+    return routed_request(clocks.ManualClock(), route(**changes))
 
 
-def routed_draft(max_tokens=4000):
+def streaming_request(max_tokens=4000):
     """Return a streaming request of the route ``draft``."""
     service = models.Service("s", "/healthz", 100, ENGINE)
     matched_route = route(models.RouteKind.STREAM, name="draft", goal_s=1.0)
     generation = calls.Generation("m", 3000, max_tokens)
-    return routed(clocks.ManualClock(), matched_route, service, generation=generation)
+    return routed_request(clocks.ManualClock(), matched_route, service, generation=generation)
--- a/tests/routed/test_bufferedexchange.py
+++ b/tests/routed/test_bufferedexchange.py
@@ -33,7 +33,7 @@
 
     def __init__(self, count, budget=BUDGET):
         self.servers = [routed.RoutedStandin(f"i{n}") for n in range(count)]
-        self.list = replicalist.ReplicaList()
+        self.replica_list = replicalist.ReplicaList()
         self.clock = clocks.SystemClock()
         self.log = attemptlog.AttemptLog()
         pool = clientpool.ClientPool(self.clock)
@@ -41,8 +41,8 @@
         self.quarantine = requestquarantine.RequestQuarantine(
             "n0", tuple, tuple, lambda node, message: None, self.clock
         )
-        crashes = crashdetector.CrashDetector(
-            self.list,
+        crash_detector = crashdetector.CrashDetector(
+            self.replica_list,
             pool.listens,
             lambda replica_id: False,
             lambda replica, lost: self.quarantine.crashed(replica.id, lost),
@@ -51,7 +51,7 @@
         loads = replicaload.ReplicaLoads(self.clock, random.Random(1))
         budgets = retrybudget.RetryBudgets(budget)
         self.available = availability.Availability(
-            self.list,
+            self.replica_list,
             slowstart.SlowStarts(random.Random(1)),
             ratelimits.RateLimits(clocks.ManualClock()),
             slowstart.Bound(),
@@ -62,7 +62,7 @@
             sender,
             loads,
             budgets,
-            crashes,
+            crash_detector,
             self.quarantine,
             ratelimitqueue.RateLimitQueue(self.available, self.clock),
             self.clock,
@@ -72,14 +72,14 @@
         """Make a replica cold, with a slow start of one minute."""
         start = models.SlowStart(requests_per_s=0.25, duration_s=60.0)
         self.available.configure({"s": models.Service("s", "/h", 50, None, start)})
-        replica = dataclasses.replace(self.list.by_id[replica_id], warm_in_s=60.0)
-        changes = self.list.update([replica], [], self.list.version + 1)
+        replica = dataclasses.replace(self.replica_list.by_id[replica_id], warm_in_s=60.0)
+        changes = self.replica_list.update([replica], [], self.replica_list.version + 1)
         self.available.list_changed(changes, self.clock.now())
 
     async def start(self):
         for server in self.servers:
             await server.start()
-        self.list.replace(
+        self.replica_list.replace(
             [
                 replicamodels.Replica(server.replica_id, "s", server.address, "a", 8)
                 for server in self.servers
@@ -87,7 +87,7 @@
             1,
         )
 
-    def ran(self):
+    def run_count(self):
         return sum(len(server.ledger) for server in self.servers)
 
     async def stop(self):
@@ -101,13 +101,15 @@
     async def main():
         site = Site(count, budget)
         await site.start()
-        first = site.exchange._choose(fakes.routed(site.clock, fakes.route(kind)), site.log)
+        first = site.exchange._choose(
+            fakes.routed_request(site.clock, fakes.route(kind)), site.log
+        )
         for server in site.servers:
             if server.replica_id == first.id:
                 server.faults = routedfaults.RoutedFaults(**faults)
         # The exchange makes the same choice again, as no requests are outstanding.
         site.exchange._loads._rng = random.Random(1)
-        call = fakes.routed(site.clock, fakes.route(kind, **changes))
+        call = fakes.routed_request(site.clock, fakes.route(kind, **changes))
         answer = await site.exchange.answer(call, site.log)
         await site.stop()
         return answer, site
@@ -119,7 +121,7 @@
     answer, site = send_request({})
     assert answer.status == 200
     assert answer.body.endswith(b":r1")
-    assert site.ran() == 1
+    assert site.run_count() == 1
 
 
 @pytest.mark.parametrize(
@@ -127,7 +129,7 @@
 )
 def test_repeatable_request_is_retried_at_another_replica(fault):
     answer, site = send_request({fault: True})
-    assert (answer.status, site.ran(), site.log.sent) == (200, 2, 2)
+    assert (answer.status, site.run_count(), site.log.sent) == (200, 2, 2)
 
 
 @pytest.mark.parametrize("fault", ["torn", "reset", "unproved"])
@@ -140,23 +142,23 @@
     refusal, site = send_request({fault: True}, SINGLE)
     assert isinstance(refusal, outcomes.Refusal)
     assert (refusal.http_status, refusal.run) == (502, outcomes.RunStatus.UNKNOWN)
-    assert site.ran() == 1
+    assert site.run_count() == 1
 
 
 def test_error_response_to_a_single_request_is_forwarded():
     answer, site = send_request({"fail": True}, SINGLE)
-    assert (answer.status, site.ran()) == (500, 1)
+    assert (answer.status, site.run_count()) == (500, 1)
     assert dict(answer.fields)[b"Response-Seal"]
 
 
 def test_error_response_is_forwarded_when_no_attempt_is_left():
     answer, site = send_request({"fail": True}, max_attempts=1)
-    assert (answer.status, site.ran()) == (500, 1)
+    assert (answer.status, site.run_count()) == (500, 1)
 
 
 def test_single_request_is_retried_after_a_refusal_as_not_run():
     answer, site = send_request({"refuse": True}, SINGLE)
-    assert (answer.status, site.ran(), site.log.sent) == (200, 1, 2)
+    assert (answer.status, site.run_count(), site.log.sent) == (200, 1, 2)
 
 
 def test_refusal_by_all_replicas_is_reported_as_not_run():
@@ -166,10 +168,10 @@
         for server in site.servers:
             server.faults = routedfaults.RoutedFaults(refuse=True)
         refusal = await site.exchange.answer(
-            fakes.routed(site.clock, fakes.route(SINGLE)), site.log
+            fakes.routed_request(site.clock, fakes.route(SINGLE)), site.log
         )
         await site.stop()
-        return refusal, site.ran()
+        return refusal, site.run_count()
 
     refusal, ran = eventloop.run(main())
     assert (refusal.http_status, refusal.run) == (503, outcomes.RunStatus.NOT_RUN)
@@ -181,7 +183,7 @@
     """A late response to another request comes first on the connection."""
     answer, site = send_request({"stray": True}, SINGLE)
     assert answer.body.endswith(b":r1")
-    assert site.ran() == 1
+    assert site.run_count() == 1
 
 
 def test_duplicate_response_does_not_affect_later_requests():
@@ -191,7 +193,7 @@
         site.servers[0].faults = routedfaults.RoutedFaults(extra=True)
         bodies = []
         for name in ("r1", "r2", "r3"):
-            call = fakes.routed(site.clock, fakes.route(), request_id=name)
+            call = fakes.routed_request(site.clock, fakes.route(), request_id=name)
             answer = await site.exchange.answer(call, attemptlog.AttemptLog())
             bodies.append(answer.body)
         await site.stop()
@@ -212,7 +214,7 @@
         site.servers[0].replica_id = "someone-else"
         answers = []
         for name in ("r1", "r2", "r3", "r4"):
-            call = fakes.routed(site.clock, fakes.route(SINGLE), request_id=name)
+            call = fakes.routed_request(site.clock, fakes.route(SINGLE), request_id=name)
             answers.append(await site.exchange.answer(call, attemptlog.AttemptLog()))
         await site.stop()
         return [answer.body for answer in answers], len(site.servers[0].ledger)
@@ -228,19 +230,21 @@
     """
     none_left = retrybudget.BudgetSettings(ratio=0.0, slack=0.0, window_s=10.0)
     answer, site = send_request({"fail": True}, budget=none_left)
-    assert (answer.status, site.ran()) == (500, 1)
+    assert (answer.status, site.run_count()) == (500, 1)
 
 
 def test_leaving_and_unlisted_replicas_get_no_requests():
     async def main():
         site = Site(2)
         await site.start()
-        replicas = list(site.list.by_id.values())
+        replicas = list(site.replica_list.by_id.values())
         leaving = replicamodels.Replica("i0", "s", replicas[0].address, "a", 8, True)
-        site.list.update([leaving], ["i1"], 2)
-        refusal = await site.exchange.answer(fakes.routed(site.clock, fakes.route()), site.log)
+        site.replica_list.update([leaving], ["i1"], 2)
+        refusal = await site.exchange.answer(
+            fakes.routed_request(site.clock, fakes.route()), site.log
+        )
         await site.stop()
-        return refusal, site.ran()
+        return refusal, site.run_count()
 
     refusal, ran = eventloop.run(main())
     assert (refusal.code, refusal.http_status, ran) == ("no_replica", 503, 0)
@@ -253,7 +257,7 @@
         await site.servers[0].stop()
         answers = [
             await site.exchange.answer(
-                fakes.routed(site.clock, fakes.route(SINGLE), request_id=f"r{n}"),
+                fakes.routed_request(site.clock, fakes.route(SINGLE), request_id=f"r{n}"),
                 attemptlog.AttemptLog(),
             )
             for n in range(4)
@@ -269,7 +273,7 @@
         site = Site(2)
         await site.start()
         site.make_cold("i0")
-        routes = [fakes.routed(site.clock, fakes.route()) for _ in range(30)]
+        routes = [fakes.routed_request(site.clock, fakes.route()) for _ in range(30)]
         answers = [await site.exchange.answer(each, attemptlog.AttemptLog()) for each in routes]
         await site.stop()
         return [each.status for each in answers], [len(each.ledger) for each in site.servers]
@@ -285,9 +289,11 @@
         site = Site(1)
         await site.start()
         site.make_cold("i0")
-        refusal = await site.exchange.answer(fakes.routed(site.clock, fakes.route()), site.log)
+        refusal = await site.exchange.answer(
+            fakes.routed_request(site.clock, fakes.route()), site.log
+        )
         await site.stop()
-        return refusal, site.ran()
+        return refusal, site.run_count()
 
     refusal, ran = eventloop.run(main())
     assert (refusal.code, refusal.http_status, ran) == ("replicas_cold", 503, 0)
--- a/tests/routed/test_enginecatalog.py
+++ b/tests/routed/test_enginecatalog.py
@@ -70,7 +70,7 @@
 
 def test_unknown_replica_has_no_alternatives():
     _, _, catalog = make()
-    assert catalog.owned_alternatives("unheard", WORK) == ()
+    assert catalog.owned_alternatives("unknown", WORK) == ()
 
 
 MANY = tuple(f"e{number:03}" for number in range(200))
