--- a/hornbeamglade/bench/policyschedulers.py
+++ b/hornbeamglade/bench/policyschedulers.py
@@ -58,7 +58,7 @@
         self._settings = candidates.RoutingSettings(samples=scenario.samples)
         self._placements_by_node = [placements.Placements(self._settings) for _ in range(_NODES)]
         self._detector = outliers.OutlierDetector(outliers.OutlierSettings())
-        self._detector.watch(list(self.replica_by_name))
+        self._detector.set_members(list(self.replica_by_name))
         self._schedulers_by_replica = {
             name: self._new_schedulers(name, 0.0) for name in self.replica_by_name
         }
--- a/hornbeamglade/node/replicacatalog.py
+++ b/hornbeamglade/node/replicacatalog.py
@@ -73,7 +73,7 @@
                 detector = self._outliers_by_pool.setdefault(
                     pool_name, outliers.OutlierDetector(outliers.OutlierSettings())
                 )
-                detector.watch(tuple(pool.replica_by_name))
+                detector.set_members(tuple(pool.replica_by_name))
             for gone in self._prefixes_by_replica.keys() - known.keys():
                 del self._prefixes_by_replica[gone]
             for gone in self.report_by_replica.keys() - known.keys():
--- a/hornbeamglade/routing/choice.py
+++ b/hornbeamglade/routing/choice.py
@@ -69,10 +69,10 @@
     ========
 
     >>> work = outcomes.Work("r-1", "chat", "clerks", 0, prompt_tokens=100)
-    >>> crowded = candidatelib.Candidate("a", "n1", True, 50, 3, 1.5, 0.0, "z1")
-    >>> roomy = candidatelib.Candidate("b", "n2", False, 9000, 0, 0.0, 0.0, "z2")
+    >>> loaded = candidatelib.Candidate("a", "n1", True, 50, 3, 1.5, 0.0, "z1")
+    >>> idle = candidatelib.Candidate("b", "n2", False, 9000, 0, 0.0, 0.0, "z2")
     >>> settings = candidatelib.RoutingSettings()
-    >>> choose(work, [crowded, roomy], random.Random(1), settings).candidate.replica
+    >>> choose(work, [loaded, idle], random.Random(1), settings).candidate.replica
     'b'
     """
     usable = _usable(candidates, settings)
--- a/hornbeamglade/routing/outliers.py
+++ b/hornbeamglade/routing/outliers.py
@@ -68,7 +68,7 @@
     ========
 
     >>> detector = OutlierDetector(OutlierSettings(failures=1, max_share=0.5))
-    >>> detector.watch(["a", "b"])
+    >>> detector.set_members(["a", "b"])
     >>> detector.failed("a", now=0.0)
     >>> detector.is_ejected("a"), detector.probe_due(now=1.0), detector.probe_due(now=5.0)
     (True, None, 'a')
@@ -81,7 +81,7 @@
         self._settings = settings
         self._record_by_replica: dict[str, _Record] = {}
 
-    def watch(self, replicas: collections.abc.Collection[str]) -> None:
+    def set_members(self, replicas: collections.abc.Collection[str]) -> None:
         """Set the members of the pool; the records of remaining members are kept."""
         for removed in self._record_by_replica.keys() - set(replicas):
             del self._record_by_replica[removed]
--- a/tests/routing/test_outliers.py
+++ b/tests/routing/test_outliers.py
@@ -5,7 +5,7 @@
 
 def detector(**settings):
     outlier_detector = outliers.OutlierDetector(outliers.OutlierSettings(**settings))
-    outlier_detector.watch(POOL)
+    outlier_detector.set_members(POOL)
     return outlier_detector
 
 
