--- a/tests/entry/site.py
+++ b/tests/entry/site.py
@@ -86,7 +86,7 @@
 
 
 class Node:
-    """One instance and its caller's side."""
+    """One instance and the client side of its callers."""
 
     def __init__(self, number, clock=None, region_by_failure_domain=None):
         clock = clock or clocks.SystemClock()
@@ -129,7 +129,7 @@
         self.instance.peering.transport.close()
 
     async def request(self, path, *, request_id="r1", key=KEY, more="", body=b"body"):
-        """Send one request on a connection of its own; return the raw client."""
+        """Send one request on its own connection; return the raw client."""
         client = await raw.RawClient.connect(self.address)
         head = (
             f"POST {path} HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: {request_id}\r\n"
@@ -143,10 +143,10 @@
 
 
 class Site:
-    """Nodes, engines and plain servers that know one another.
+    """Connected nodes, engines and plain servers.
 
-    :param nodes: how many instances.
-    :param engines: how many engines.
+    :param nodes: number of instances.
+    :param engines: number of engines.
     :param events: events of each stream.
     :param region_by_failure_domain: the regions of the failure domains ``a`` and ``b``.
     """
@@ -203,14 +203,14 @@
         self.store.transact((), (contract.Delete(key),))
 
     def read_store(self, *nodes):
-        """Have nodes, by default all, read the store."""
+        """Let nodes, by default all of them, read the store."""
         for node in nodes or self.nodes:
             following = node.instance.cluster_state
             following.on_configuration(self.store.snapshot("op"))
             following.on_replicas(self.store.snapshot("servers"))
 
     def leave(self, number):
-        """Have an engine announce that it stops."""
+        """Make an engine announce that it will stop."""
         server = self.engines[number]
         server.is_leaving = True
         self.put(
@@ -225,7 +225,7 @@
             await server.stop()
 
     def is_ready(self):
-        """Tell whether each node knows the others, and every engine has room."""
+        """Return whether each node knows the others and all engines have free capacity."""
         views = [node.instance.peering.heartbeats.live() for node in self.nodes]
         heard = all(len(view) == len(self.nodes) for view in views)
         return heard and all(self._knows_room(node) for node in self.nodes)
@@ -236,7 +236,7 @@
 
 
 def run(test, **shape):
-    """Run ``test`` with a started site."""
+    """Run ``test`` against a started site."""
 
     async def main():
         site = Site(**shape)
--- a/tests/entry/test_calls.py
+++ b/tests/entry/test_calls.py
@@ -1,4 +1,4 @@
-"""Plain requests through an entry instance."""
+"""Buffered requests through an entry instance."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from tests.entry import site as entrysite
 
 
-def ran(site):
+def dispatched(site):
     return [each for server in site.services for each in server.ledger]
 
 
@@ -19,7 +19,7 @@
         for server in site.services:
             server.faults = routedfaults.RoutedFaults(**(faults or {}))
         client = await site.nodes[0].request(path, **options)
-        return await client.answer(), ran(site)
+        return await client.answer(), dispatched(site)
 
     return entrysite.run(test, engines=0)
 
@@ -44,25 +44,25 @@
         ({"more": "Content-Length: 4\r\n"}, 400),
     ],
 )
-def test_what_may_not_pass_runs_nowhere(options, status):
+def test_rejected_request_runs_nowhere(options, status):
     (got, _, body), ledger = request(**options)
     assert (got, ledger) == (status, [])
     if got != 400:
         assert json.loads(body)["run"] == "not_run"
 
 
-def test_answer_at_the_routes_time_is_the_last_word():
-    """A replica never answers.
+def test_timeout_response_does_not_claim_that_the_request_was_not_run():
+    """A replica never responds.
 
-    The operator bounds how long a caller is kept waiting; the request was sent, so that
-    it has not run cannot be said.
+    The operator limits how long a caller waits. Since the request was sent, the response must
+    not claim that it was not run.
     """
     (status, fields, body), _ = request("/quick/1", faults={"hang": True})
     assert (status, json.loads(body)["run"]) == (504, "unknown")
     assert "retry-after" not in fields
 
 
-def test_time_that_is_over_before_anything_was_sent_is_told_as_not_run():
+def test_timeout_before_dispatch_is_reported_as_not_run():
     async def test(site):
         for server in site.services:
             await server.stop()
@@ -74,25 +74,25 @@
     assert float(fields["retry-after"]) > 0
 
 
-def test_time_to_come_back_is_at_most_a_third_of_the_callers_time():
+def test_retry_delay_is_at_most_a_third_of_the_remaining_time():
     (status, fields, _), _ = request(faults={"refuse": True}, more="Deadline-Ms: 300\r\n")
     assert status == 503
     assert float(fields["retry-after"]) <= 0.1
 
 
-def test_caller_that_leaves_while_its_replica_works_ends_the_work():
+def test_caller_disconnect_cancels_the_request_at_its_replica():
     async def test(site):
         for server in site.services:
             server.faults = routedfaults.RoutedFaults(hang=True)
         client = await site.nodes[0].request("/list/1")
-        await eventloop.until(lambda: ran(site))
+        await eventloop.until(lambda: dispatched(site))
         client.close()
         await eventloop.until(lambda: not any(server._writers for server in site.services))
 
     entrysite.run(test, engines=0)
 
 
-def test_key_that_is_taken_away_is_refused_and_a_new_one_let_in():
+def test_revoked_key_is_rejected_and_a_new_one_accepted():
     async def test(site):
         changed = entrysite.manifest(2, tenants=[{"name": "clinic", "api_keys": ["k2"]}])
         site.put("op/config", json.dumps(changed))
@@ -107,9 +107,9 @@
 
 
 def test_configuration_never_goes_back():
-    """An older configuration comes late, from an instance that lagged behind.
+    """An older configuration arrives late, from an instance that lagged behind.
 
-    Taken, it would let in a key that was taken away.
+    Applying it would accept a revoked key again.
     """
 
     async def test(site):
@@ -134,8 +134,8 @@
     assert entrysite.run(test, engines=0) == (200, 1, "config_invalid")
 
 
-def begins(told_after_s):
-    """Return the answer to a request that comes before the instance knows anything."""
+def response_during_startup(store_read_after_s):
+    """Return the response to a request that arrives before the instance knows anything."""
 
     async def main():
         site = entrysite.Site(engines=0)
@@ -146,8 +146,8 @@
             site.put("op/config", json.dumps(entrysite.manifest()))
             await site.nodes[0].start()
             loop = asyncio.get_running_loop()
-            if told_after_s is not None:
-                loop.call_later(told_after_s, site.read_store)
+            if store_read_after_s is not None:
+                loop.call_later(store_read_after_s, site.read_store)
             client = await site.nodes[0].request("/list/1")
             return await client.answer()
         finally:
@@ -156,18 +156,18 @@
     return eventloop.run(main())
 
 
-def test_a_caller_that_comes_just_before_the_configuration_is_served():
-    """All instances lose power; a clerk's client had no connection, and tries its last time.
+def test_request_just_before_the_configuration_arrives_is_served():
+    """After a full outage, a caller's last retry arrives just after an instance has started.
 
-    An instance listens again, and learns the configuration a moment later. Sent away at once,
-    the clerk has no answer, though nothing was missing any more.
+    The instance learns the configuration a moment later. Refusing the request at once would
+    fail it for good although the service is available again.
     """
-    status, _, body = begins(0.1)
+    status, _, body = response_during_startup(0.1)
     assert (status, body[-2:]) == (200, b"r1")
 
 
-def test_a_caller_of_an_instance_that_learns_nothing_is_sent_away_soon():
-    """An instance is cut off when it starts: its callers must go to others, not wait."""
-    status, fields, body = begins(None)
+def test_instance_that_learns_nothing_refuses_callers_soon():
+    """A partitioned instance must send its callers to others instead of keeping them waiting."""
+    status, fields, body = response_during_startup(None)
     assert (status, json.loads(body)["run"]) == (503, "not_run")
     assert float(fields["retry-after"]) > 0
--- a/tests/entry/test_clusterstate.py
+++ b/tests/entry/test_clusterstate.py
@@ -1,4 +1,4 @@
-"""What an instance believes of the configuration and the list, and what it logs of it."""
+"""Updates of the configuration, replica list and evacuations, and their log lines."""
 
 import json
 import random
@@ -19,7 +19,7 @@
 
 
 class Server:
-    """What an entry of the list needs of a server."""
+    """The attributes of a server that its list entry needs."""
 
     address = "10.0.0.1:80"
 
@@ -33,7 +33,7 @@
 
 
 class Harness:
-    """A follower, with what it told and logged."""
+    """A cluster state with the callbacks it made."""
 
     def __init__(self):
         self.list_changes = []
@@ -72,7 +72,7 @@
     return written
 
 
-def test_changes_of_the_list_are_taken_and_logged(lines):
+def test_list_changes_are_applied_and_logged(lines):
     harness = Harness()
     harness.state.on_replicas(contract.Snapshot((row("a", 1), row("b", 2)), 2))
     harness.state.on_replicas(contract.Changes((row("a", 3, "draining"),), ("servers/b",), 4, 4))
@@ -90,7 +90,7 @@
     ]
 
 
-def test_entry_that_cannot_be_read_hides_no_other(lines):
+def test_undecodable_entry_does_not_affect_others(lines):
     harness = Harness()
     broken = contract.Row("servers/x", "{}", 1)
     harness.state.on_replicas(contract.Snapshot((broken, row("a", 2)), 2))
@@ -98,8 +98,8 @@
     assert ("replica_entry", "unread", "replica_entry_invalid") in [line[:3] for line in lines]
 
 
-def test_entry_that_turns_bad_is_told_once_and_takes_its_replica_out(lines):
-    """Another program writes the same bad entry over a good one, again and again."""
+def test_entry_that_becomes_invalid_is_logged_once_and_removes_its_replica(lines):
+    """Another program repeatedly overwrites a good entry with the same bad one."""
     harness = Harness()
     harness.state.on_replicas(contract.Snapshot((row("a", 1), row("b", 2)), 2))
     for version in range(3, 8):
@@ -115,7 +115,7 @@
     ]
 
 
-def test_lines_on_bad_entries_are_bounded(lines):
+def test_log_lines_about_bad_entries_are_limited(lines):
     harness = Harness()
     rows = tuple(contract.Row(f"servers/x{n}", "{}", n) for n in range(1, 500))
     harness.state.on_replicas(contract.Snapshot(rows, 500))
@@ -125,7 +125,7 @@
     )
 
 
-def test_row_that_cannot_be_read_is_passed_on_to_peers_as_such(lines):
+def test_undecodable_row_is_forwarded_to_peers_unchanged(lines):
     ahead, behind = Harness(), Harness()
     bad = contract.Row("servers/x", "", 1, "not UTF-8")
     ahead.state.on_replicas(contract.Snapshot((bad, row("a", 2)), 2))
@@ -134,7 +134,7 @@
     assert behind.state.read_document(REPLICAS) == ahead.state.read_document(REPLICAS)
 
 
-def test_configuration_that_is_no_text_leaves_the_former_in_force(lines):
+def test_configuration_that_is_not_text_leaves_the_former_in_force(lines):
     harness = Harness()
     harness.state.on_configuration(contract.Snapshot((config(1),), 1))
     bad = contract.Row("op/config", "", 2, "not UTF-8")
@@ -153,7 +153,7 @@
 
 
 @hypothesis.given(strategies.lists(strategies.tuples(strategies.sampled_from("ab"), _VALUES)))
-def test_nothing_but_good_rows_is_used_whatever_comes(rows):
+def test_only_valid_rows_are_used(rows):
     harness = Harness()
     newest = {"a": 0, "b": 0}
     for version, (name, value) in enumerate(rows, 1):
@@ -167,7 +167,7 @@
             assert each.address == Server.address
 
 
-def test_outage_and_return_of_the_store_are_logged_once(lines):
+def test_store_outage_and_recovery_are_logged_once(lines):
     harness = Harness()
     for outcome in (
         contract.Unavailable("status 503"),
@@ -180,7 +180,7 @@
     assert states == [("store", "unknown", "lost"), ("store", "lost", "reached")]
 
 
-def test_document_of_a_peer_is_taken_like_the_stores_own(lines):
+def test_document_from_a_peer_is_applied_like_the_stores(lines):
     ahead, behind = Harness(), Harness()
     ahead.state.on_configuration(contract.Snapshot((config(3),), 9))
     ahead.state.on_replicas(contract.Snapshot((row("a", 7),), 9))
@@ -191,7 +191,7 @@
     assert behind.state.read_document(REPLICAS) == ahead.state.read_document(REPLICAS)
 
 
-def test_late_document_of_a_peer_changes_nothing(lines):
+def test_outdated_document_from_a_peer_changes_nothing(lines):
     harness = Harness()
     harness.state.on_configuration(contract.Snapshot((config(3),), 9))
     harness.state.on_replicas(contract.Changes((row("a", 12),), (), 12, 12))
@@ -214,11 +214,11 @@
     assert (harness.state.problem, harness.state.versions().configuration) == (None, 3)
 
 
-def test_evacuations_are_taken_from_rows_and_logged_once(lines):
+def test_evacuations_are_read_from_rows_and_logged_once(lines):
     harness = Harness()
-    mark = contract.Row("op/evacuate/a", "", 3)
-    harness.state.on_configuration(contract.Snapshot((config(1), mark), 3))
-    harness.state.on_configuration(contract.Snapshot((config(1), mark), 4))
+    evacuation_row = contract.Row("op/evacuate/a", "", 3)
+    harness.state.on_configuration(contract.Snapshot((config(1), evacuation_row), 3))
+    harness.state.on_configuration(contract.Snapshot((config(1), evacuation_row), 4))
     harness.state.on_configuration(contract.Changes((), ("op/evacuate/a",), 6, 6))
     assert harness.evacuated == [["a"], []]
     logged = [line for line in lines if line[0] == "evacuation"]
@@ -230,8 +230,8 @@
 
 def test_evacuation_is_not_ended_by_a_peers_older_state(lines):
     harness = Harness()
-    mark = contract.Row("op/evacuate/a", "", 5)
-    harness.state.on_configuration(contract.Changes((mark,), (), 5, 5))
+    evacuation_row = contract.Row("op/evacuate/a", "", 5)
+    harness.state.on_configuration(contract.Changes((evacuation_row,), (), 5, 5))
     for state in (evacuations.Evacuations(), evacuations.Evacuations(4)):
         harness.state.on_announcement(messages.VersionAnnouncement(1, 1, True, state))
     assert harness.evacuated == [["a"]]
@@ -249,8 +249,8 @@
     return {name: replica.is_leaving for name, replica in harness.list.by_id.items()}
 
 
-def test_a_list_from_an_older_copy_is_joined_with_what_is_known(lines):
-    """Guards servers that stop, are gone, or are new against seconds that the store has lost."""
+def test_list_of_a_restored_store_is_merged_with_the_known_state(lines):
+    """Leaving, departed and new servers are kept although a restored store lacks those writes."""
     harness = Harness()
     listed = (row("old", 1), row("stops", 2), row("gone", 3))
     harness.state.on_replicas(contract.Snapshot(listed, 3))
@@ -264,7 +264,7 @@
     assert names(harness) == {"old": False, "stops": False, "new": False}
 
 
-def test_what_was_not_written_again_is_gone_with_the_next_reading(lines):
+def test_rows_not_rewritten_are_removed_by_the_next_snapshot(lines):
     harness = Harness()
     harness.state.on_replicas(contract.Snapshot((row("a", 1), row("b", 2)), 2))
     harness.state.on_replicas(contract.Snapshot((row("a", 1),), in_era(1)))
@@ -273,36 +273,36 @@
     assert set(names(harness)) == {"a"}
 
 
-def test_an_evacuation_of_the_lost_seconds_holds_until_it_is_written_again():
-    """Guards an evacuated failure domain against a store that has forgotten it."""
+def test_evacuation_lost_by_a_restored_store_holds_until_rewritten():
+    """A failure domain stays evacuated although a restored store lacks the evacuation."""
     harness = Harness()
-    mark = contract.Row("op/evacuate/a", "", 3)
+    evacuation_row = contract.Row("op/evacuate/a", "", 3)
     harness.state.on_configuration(contract.Snapshot((config(1),), 2))
-    harness.state.on_configuration(contract.Changes((mark,), (), 3, 3))
+    harness.state.on_configuration(contract.Changes((evacuation_row,), (), 3, 3))
     harness.state.on_configuration(contract.Snapshot((config(1),), in_era(2)))
     assert harness.available.evacuations.domains == {"a"}
-    harness.state.on_configuration(contract.Changes((mark,), (), in_era(3), in_era(3)))
+    harness.state.on_configuration(contract.Changes((evacuation_row,), (), in_era(3), in_era(3)))
     harness.state.on_configuration(contract.Changes((), ("op/evacuate/a",), in_era(4), in_era(4)))
     assert harness.evacuated == [["a"], []]
 
 
-def test_an_evacuation_that_is_not_written_again_ends_with_the_next_reading():
+def test_evacuation_not_rewritten_ends_with_the_next_snapshot():
     harness = Harness()
-    mark = contract.Row("op/evacuate/a", "", 3)
-    harness.state.on_configuration(contract.Snapshot((config(1), mark), 3))
+    evacuation_row = contract.Row("op/evacuate/a", "", 3)
+    harness.state.on_configuration(contract.Snapshot((config(1), evacuation_row), 3))
     harness.state.on_configuration(contract.Snapshot((config(1),), in_era(2)))
     harness.state.on_configuration(contract.Snapshot((config(1),), in_era(5)))
     assert harness.evacuated == [["a"], []]
 
 
-def test_a_configuration_from_an_older_copy_changes_nothing():
+def test_configuration_of_a_restored_store_changes_nothing():
     harness = Harness()
     harness.state.on_configuration(contract.Snapshot((config(4),), 4))
     harness.state.on_configuration(contract.Snapshot((config(2),), in_era(2)))
     assert harness.state.versions().configuration == 4
 
 
-def test_an_answer_of_an_era_that_is_over_changes_nothing():
+def test_outcome_of_an_earlier_era_changes_nothing():
     harness = Harness()
     harness.state.on_replicas(contract.Snapshot((row("a", 1),), in_era(1)))
     harness.state.on_replicas(contract.Snapshot((row("b", 900),), 900))
@@ -310,8 +310,8 @@
     assert set(names(harness)) == {"a"}
 
 
-def test_changes_of_a_peer_are_taken_in_their_order_only():
-    """Guards the list against changes that come late, or follow on one that is not known."""
+def test_changes_from_a_peer_are_applied_in_order_only():
+    """Changes that arrive late, or that follow an unknown position, must not corrupt the list."""
     ahead, behind = Harness(), Harness()
     ahead.state.on_replicas(contract.Snapshot((row("a", 1),), 1))
     behind.state.on_replicas(contract.Snapshot((row("a", 1),), 1))
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -1,4 +1,4 @@
-"""Which instances callers are told to connect to."""
+"""Selection of the instances that callers should connect to."""
 
 from hornbeamglade.entry import directory
 from hornbeamglade.exchange import messages
@@ -18,27 +18,27 @@
     return directory.addresses(tuple(members), own, ready, domain, region, REGIONS)
 
 
-def test_own_failure_domain_is_enough_with_two():
+def test_own_failure_domain_suffices_with_two_instances():
     members = [member("n0", "a"), member("n1", "a"), member("n2", "b")]
     assert addresses(members) == ("n0:80", "n1:80")
 
 
-def test_one_near_instance_is_joined_by_those_of_the_region():
+def test_single_nearby_instance_is_complemented_from_the_region():
     """The only instance of a failure domain freezes.
 
-    Its callers would have nowhere to go until they ask again.
+    Without an alternative, its callers could not connect until their next lookup.
     """
     members = [member("n0", "a"), member("n1", "b"), member("n2", "c")]
     assert addresses(members) == ("n0:80", "n1:80")
 
 
-def test_callers_of_an_empty_domain_get_what_there_is():
+def test_callers_of_an_empty_domain_get_all_instances():
     members = [member("n0", "c"), member("n1", "c")]
     assert addresses(members) == ("n0:80", "n1:80")
     assert addresses(members, "x", "") == ("n0:80", "n1:80")
 
 
-def test_only_those_that_can_serve_are_named():
+def test_only_instances_that_can_serve_are_returned():
     gone, leaving = messages.NodeState.GONE, messages.NodeState.LEAVING
     members = [
         member("n0", "a"),
@@ -52,10 +52,10 @@
     assert addresses(members) == ("n0:80",)
 
 
-def test_instance_that_leaves_does_not_name_itself():
+def test_leaving_instance_does_not_return_itself():
     members = [member("n0", "a"), member("n1", "a")]
     assert addresses(members, ready=False) == ("n1:80",)
 
 
-def test_instance_without_peers_names_itself():
+def test_instance_without_peers_returns_itself():
     assert addresses([member("n0", "a", heard=False)]) == ("n0:80",)
--- a/tests/entry/test_documentsync.py
+++ b/tests/entry/test_documentsync.py
@@ -1,4 +1,4 @@
-"""Documents that instances read from one another."""
+"""Documents that instances fetch from one another."""
 
 import random
 
@@ -15,7 +15,7 @@
 
     def __init__(self, clock):
         self.held = {CONFIGURATION: (0, b""), REPLICAS: (0, b"")}
-        self.documents = documentsync.DocumentSync(self._versions, self._read, self._take, clock)
+        self.documents = documentsync.DocumentSync(self._versions, self._read, self._apply, clock)
 
     def _versions(self):
         return documentsync.Versions(self.held[CONFIGURATION][0], self.held[REPLICAS][0])
@@ -23,7 +23,7 @@
     def _read(self, subject, _since):
         return self.held[subject][1] or None
 
-    def _take(self, subject, version, document):
+    def _apply(self, subject, version, document):
         self.held[subject] = (version, document)
 
 
@@ -47,39 +47,39 @@
     return clock, Holder(clock), Holder(clock)
 
 
-def pursue(clock, behind, ahead, rng=None):
-    """Let questions and answers go back and forth; lose some when ``rng`` says so."""
+def synchronize(clock, behind, ahead, rng=None):
+    """Exchange requests and chunks; drop some of them if ``rng`` is given."""
     for _ in range(200):
         clock.advance(0.1)
-        ask = behind.documents.next_request((member(ahead),), "a")
-        question = None if ask is None else ask.message
-        while question is not None:
-            offer = ahead.documents.on_chunk_request(question)
-            if offer is None or (rng is not None and rng.random() < 0.4):
+        outgoing = behind.documents.next_request((member(ahead),), "a")
+        request = None if outgoing is None else outgoing.message
+        while request is not None:
+            chunk = ahead.documents.on_chunk_request(request)
+            if chunk is None or (rng is not None and rng.random() < 0.4):
                 break
-            question = behind.documents.on_chunk(offer)
+            request = behind.documents.on_chunk(chunk)
 
 
-def test_what_an_instance_lacks_comes_whole_from_one_that_has_it():
-    """The store turns one instance away while it serves the others.
+def test_missing_documents_are_fetched_completely():
+    """The store refuses one instance while it serves the others.
 
-    A key is taken away meanwhile: the instance must refuse it like the others.
+    A key is revoked meanwhile, and that instance must reject it like the others.
     """
     clock, behind, ahead = pair()
     document = random.Random(1).randbytes(9_000)
     ahead.held = {CONFIGURATION: (7, document), REPLICAS: (41, b"[]")}
-    pursue(clock, behind, ahead)
+    synchronize(clock, behind, ahead)
     assert behind.held == ahead.held
 
 
-def test_lost_datagrams_only_delay_it():
+def test_lost_datagrams_only_delay_a_fetch():
     clock, behind, ahead = pair()
     ahead.held[REPLICAS] = (3, random.Random(2).randbytes(5_000))
-    pursue(clock, behind, ahead, random.Random(3))
+    synchronize(clock, behind, ahead, random.Random(3))
     assert behind.held == ahead.held
 
 
-def test_the_stores_own_way_goes_first():
+def test_update_from_the_store_takes_precedence():
     clock, behind, ahead = pair()
     ahead.held[CONFIGURATION] = (2, b"{}")
     assert behind.documents.next_request((member(ahead),), "a") is None
@@ -89,7 +89,7 @@
     assert behind.documents.next_request((member(ahead),), "a") is None
 
 
-def test_nothing_is_asked_of_those_that_have_no_more():
+def test_nothing_is_requested_from_instances_that_are_not_ahead():
     clock, behind, ahead = pair()
     behind.held[CONFIGURATION] = (5, b"{}")
     ahead.held[CONFIGURATION] = (4, b"{}")
@@ -97,40 +97,40 @@
     assert behind.documents.next_request((member(ahead),), "a") is None
 
 
-def test_document_that_was_replaced_is_asked_for_anew():
+def test_replaced_document_is_requested_again():
     clock, behind, ahead = pair()
     ahead.held[CONFIGURATION] = (1, random.Random(4).randbytes(4_000))
     assert behind.documents.next_request((member(ahead),), "a") is None
     clock.advance(1.0)
-    ask = behind.documents.next_request((member(ahead),), "a").message
-    behind.documents.on_chunk(ahead.documents.on_chunk_request(ask))
+    request = behind.documents.next_request((member(ahead),), "a").message
+    behind.documents.on_chunk(ahead.documents.on_chunk_request(request))
     ahead.held[CONFIGURATION] = (2, random.Random(5).randbytes(4_000))
-    pursue(clock, behind, ahead)
+    synchronize(clock, behind, ahead)
     assert behind.held == ahead.held
 
 
-def hint(holder):
+def announcement(holder):
     versions = holder.documents.versions()
     return messages.VersionAnnouncement(versions.configuration, versions.replicas, True)
 
 
-def test_what_a_follower_hints_at_is_asked_for_at_once():
-    """A key is taken away at a site where few follow the store.
+def test_announced_version_is_requested_at_once():
+    """A key is revoked at a site where few instances follow the store.
 
-    An instance that first gave its own way to the store time would serve it longer.
+    An instance that waited for its own update from the store would accept the key for longer.
     """
     _, behind, ahead = pair()
     ahead.held = {CONFIGURATION: (7, b"{}"), REPLICAS: (41, b"[]")}
-    for ask in behind.documents.on_announcement("b", hint(ahead)):
-        behind.documents.on_chunk(ahead.documents.on_chunk_request(ask.message))
+    for request in behind.documents.on_announcement("b", announcement(ahead)):
+        behind.documents.on_chunk(ahead.documents.on_chunk_request(request.message))
     assert behind.held == ahead.held
-    assert behind.documents.on_announcement("b", hint(ahead)) == ()
+    assert behind.documents.on_announcement("b", announcement(ahead)) == ()
 
 
-def test_a_follower_that_died_after_its_hint_is_not_asked_again():
+def test_follower_that_died_after_its_announcement_is_not_asked_again():
     clock, behind, ahead = pair()
     ahead.held[CONFIGURATION] = (7, b"{}")
-    behind.documents.on_announcement("gone", hint(ahead))
+    behind.documents.on_announcement("gone", announcement(ahead))
     clock.advance(documentsync.FETCH_DELAY_S + documentsync.REQUEST_RETRY_S)
     behind.documents.next_request((member(ahead),), "a")
     clock.advance(documentsync.FETCH_DELAY_S)
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Failure domains that are evacuated and taken back, at entry instances."""
+"""Failure domains that are evacuated and restored, as seen by entry instances."""
 
 import asyncio
 import json
@@ -8,8 +8,8 @@
 from tests import eventloop
 from tests.entry import site as entrysite
 
-KNOWN_WITHIN_S = 3.0
-IN_FORCE_S = 0.1
+PROPAGATION_TIMEOUT_S = 3.0
+IN_FLIGHT_S = 0.1
 
 
 def evacuate(site, domain):
@@ -20,9 +20,9 @@
     return json.loads(node.instance.status())["evacuated"]
 
 
-async def known_everywhere(site, domains):
-    """Wait until all instances know which domains are evacuated."""
-    async with asyncio.timeout(KNOWN_WITHIN_S):
+async def until_known_everywhere(site, domains):
+    """Wait until all instances know which failure domains are evacuated."""
+    async with asyncio.timeout(PROPAGATION_TIMEOUT_S):
         await eventloop.until(lambda: all(evacuated(each) == domains for each in site.nodes))
 
 
@@ -35,7 +35,7 @@
 
 
 async def streams(site, node=0, count=6, prefix="r"):
-    """Ask for several streams at once; return their statuses."""
+    """Request several streams concurrently; return their statuses."""
     clients = [
         await site.nodes[node].request("/draft/1", request_id=f"{prefix}{n}", more=entrysite.USAGE)
         for n in range(count)
@@ -43,7 +43,7 @@
     return [(await client.answer())[0] for client in clients]
 
 
-def test_nothing_new_goes_to_an_evacuated_domain_until_it_is_taken_back():
+def test_evacuated_domain_gets_no_requests_until_it_is_restored():
     async def test(site):
         evacuate(site, "a")
         site.read_store()
@@ -59,19 +59,19 @@
     assert second[1] > 0
 
 
-def test_instance_that_the_store_turns_away_learns_of_an_evacuation_from_others():
+def test_instance_refused_by_the_store_learns_of_an_evacuation_from_peers():
     async def test(site):
         evacuate(site, "a")
         site.read_store(site.nodes[0])
-        await known_everywhere(site, ["a"])
+        await until_known_everywhere(site, ["a"])
         statuses = await streams(site, node=1)
         return statuses, runs(engines_in(site, "a"))
 
     assert entrysite.run(test, nodes=3, engines=4) == ([200] * 6, 0)
 
 
-def test_instance_that_starts_while_the_store_is_away_learns_of_an_evacuation_first():
-    """Guards against callers that are let in before the evacuations are known."""
+def test_instance_that_starts_during_a_store_outage_learns_of_an_evacuation_first():
+    """An instance must not accept callers before it knows the evacuations."""
 
     async def test(site):
         evacuate(site, "a")
@@ -94,8 +94,8 @@
     assert entrysite.run(test, nodes=3) == ["a"]
 
 
-def test_overlapping_evacuations_are_kept_apart():
-    """One domain is taken back while another one is evacuated."""
+def test_overlapping_evacuations_are_independent():
+    """One failure domain is restored while another one is evacuated."""
 
     async def test(site):
         seen = []
@@ -114,8 +114,8 @@
     assert entrysite.run(test, nodes=2) == [["a"], ["a", "b"], ["b"], ["a", "b"]]
 
 
-def test_row_that_vanishes_with_the_stores_history_ends_its_evacuation():
-    """The row is taken back while the store is away, and the feed begins anew."""
+def test_row_deleted_during_an_outage_ends_its_evacuation():
+    """The row is deleted during a store outage, and the feed restarts with a snapshot."""
 
     async def test(site):
         evacuate(site, "a")
@@ -124,14 +124,14 @@
         site.nodes[1].instance.on_store_outcome(
             tables.CONFIGURATION, contract.Unavailable("status 503")
         )
-        away = evacuated(site.nodes[1])
+        during_outage = evacuated(site.nodes[1])
         site.read_store()
-        return away, evacuated(site.nodes[1])
+        return during_outage, evacuated(site.nodes[1])
 
     assert entrysite.run(test, nodes=2) == (["a"], [])
 
 
-def test_request_that_waits_for_an_evacuated_engine_goes_to_another_at_once():
+def test_request_queued_at_an_evacuated_engine_goes_to_another_at_once():
     async def test(site):
         first = [
             await site.nodes[0].request("/draft/1", request_id=f"r{n}", more=entrysite.USAGE)
@@ -140,8 +140,8 @@
         await eventloop.until(lambda: runs(site.engines) >= 16)
         evacuate(site, "a")
         site.read_store()
-        # What was let in just before may still be on its way.
-        await asyncio.sleep(IN_FORCE_S)
+        # Requests granted just before may still be in flight.
+        await asyncio.sleep(IN_FLIGHT_S)
         before = runs(engines_in(site, "a"))
         answers = [(await client.answer())[0] for client in first]
         return answers, runs(engines_in(site, "a")) - before, runs(site.engines)
@@ -151,7 +151,7 @@
     assert answers.count(200) == ran
 
 
-def test_what_runs_in_an_evacuated_domain_goes_on_to_its_end():
+def test_running_streams_of_an_evacuated_domain_are_completed():
     async def test(site):
         clients = [
             await site.nodes[0].request("/draft/1", request_id=f"r{n}", more=entrysite.USAGE)
--- a/tests/entry/test_followerrole.py
+++ b/tests/entry/test_followerrole.py
@@ -1,4 +1,4 @@
-"""Following the store by few instances, in virtual time."""
+"""Roles of instances in following the store, in virtual time."""
 
 import random
 
@@ -14,14 +14,14 @@
 
 
 class Site:
-    """Watches of many instances; followers see each change, the others what they are announced."""
+    """Roles of many instances: followers see each change, the others only announcements."""
 
-    def __init__(self, count, lose=0.0):
+    def __init__(self, count, loss_rate=0.0):
         self.clock = clocks.ManualClock(100.0)
         self.names = tuple(f"entry-{number:02}" for number in range(count))
         self.dead = set()
         self.unreached = set()
-        self.lose = lose
+        self.loss_rate = loss_rate
         self.store = (1, 1)
         self.held = dict.fromkeys(self.names, (1, 1))
         self.followed_at = {}
@@ -51,7 +51,7 @@
         if role.is_following and name not in self.unreached:
             self.held[name] = self.store
         for announcement in role.tick(self.names):
-            if announcement.node not in self.dead and self.rng.random() >= self.lose:
+            if announcement.node not in self.dead and self.rng.random() >= self.loss_rate:
                 self.role_by_name[announcement.node].on_announcement(announcement.message)
                 announced = (announcement.message.revision, announcement.message.list_version)
                 self.held[announcement.node] = max(self.held[announcement.node], announced)
@@ -60,7 +60,7 @@
         return {name for name in self.names if self.role_by_name[name].is_following}
 
 
-def test_few_follow_at_a_large_site_and_all_at_a_small_one():
+def test_few_instances_follow_at_a_large_site_and_all_at_a_small_one():
     large, small = Site(40), Site(6)
     large.run(10)
     small.run(10)
@@ -68,20 +68,20 @@
     assert small.following() == set(small.names)
 
 
-@pytest.mark.parametrize("lose", [0.0, 0.05])
-def test_a_change_is_everywhere_within_its_bound(lose):
-    """A key is taken away while a link loses one datagram in twenty."""
-    site = Site(40, lose)
+@pytest.mark.parametrize("loss_rate", [0.0, 0.05])
+def test_change_reaches_all_instances_in_time(loss_rate):
+    """A key is revoked while a link loses one datagram in twenty."""
+    site = Site(40, loss_rate)
     site.run(10)
     site.store = (2, 1)
     site.run(CONFIG_BOUND_S / 2)
     assert set(site.held.values()) == {(2, 1)}
 
 
-def test_an_instance_whose_followers_die_follows_itself_in_time():
+def test_instance_whose_followers_die_falls_back_in_time():
     """All followers are killed at the moment of a change.
 
-    Nobody tells the others of it, and nobody tells them that nobody does.
+    No one announces the change to the other instances, nor that the followers are gone.
     """
     site = Site(40)
     site.run(10)
@@ -92,7 +92,7 @@
     assert {site.held[name] for name in alive} == {(2, 1)}
 
 
-def test_followers_that_the_store_turns_away_are_not_relied_on():
+def test_followers_refused_by_the_store_are_not_relied_on():
     site = Site(40)
     site.run(10)
     site.unreached = site.following()
@@ -100,7 +100,7 @@
     assert site.following() == set(site.names)
 
 
-def test_an_instance_on_its_own_leaves_it_to_followers_again():
+def test_fallback_ends_when_followers_reach_the_store_again():
     site = Site(40)
     site.run(10)
     chosen = site.following()
@@ -111,11 +111,11 @@
     assert site.following() == chosen
 
 
-def test_after_an_outage_of_the_store_few_follow_it_again_within_seconds():
-    """The store is away for eight seconds, and every instance is on its own.
+def test_few_instances_follow_again_seconds_after_a_store_outage():
+    """The store is down for eight seconds, and every instance falls back to following it.
 
-    At 195 instances each change of the list was then read by all of them for five seconds
-    more, and those calls were dearer than anything but the machines.
+    At 195 instances, all of them then polled each change of the list for five more seconds,
+    and those calls cost more than anything but the machines.
     """
     site = Site(195)
     site.run(10)
@@ -129,8 +129,8 @@
     assert followerrole.MIN_FALLBACK_S <= followerrole.ANNOUNCE_INTERVAL_S
 
 
-def test_an_instance_waits_for_the_list_of_the_others_before_it_follows():
-    """82 instances start at once; each would read the whole tables before it knows them."""
+def test_instance_waits_for_the_instance_list_before_following():
+    """82 instances start at once, and each would read all tables before it knows the others."""
     clock = clocks.ManualClock()
     role = followerrole.FollowerRole(
         "a", lambda: (0, 0), evacuations.Evacuations, lambda: False, clock
@@ -143,18 +143,18 @@
 
 
 @pytest.mark.parametrize("count", [6, 40])
-def test_an_instance_that_leaves_goes_on_following(count):
-    """An instance stops as planned and serves its callers for some seconds more.
+def test_leaving_instance_keeps_following(count):
+    """An instance drains and serves its callers for some more seconds.
 
-    The others no longer count it among those that live, so nobody tells it anything. It
-    stopped following the store as well, and for two seconds went on sending requests to
-    a replica that had announced its stop.
+    The others no longer count it as live, so it receives no announcements. It also stopped
+    following the store, and for two seconds kept sending requests to a replica that had
+    announced its stop.
     """
     site = Site(count)
     site.run(10)
-    leaver = site.names[3]
-    role = site.role_by_name[leaver]
-    others = tuple(name for name in site.names if name != leaver)
+    leaving = site.names[3]
+    role = site.role_by_name[leaving]
+    others = tuple(name for name in site.names if name != leaving)
     role.tick(others)
     assert role.is_following
     assert role.tick(others) == ()
--- a/tests/entry/test_listhistory.py
+++ b/tests/entry/test_listhistory.py
@@ -1,4 +1,4 @@
-"""Lists that are passed on by what has changed in them."""
+"""Encoding and decoding of the replica list as changes since a position."""
 
 import json
 
@@ -19,28 +19,28 @@
     return contract.Changes(tuple(rows.values()), tuple(set(deleted) - set(written)), at, at)
 
 
-def applied(rows, step):
-    kept = {key: row for key, row in rows.items() if key not in step.deleted_keys}
-    return kept | {row.key: row for row in step.written_rows}
+def apply_changes(rows, change):
+    kept = {key: row for key, row in rows.items() if key not in change.deleted_keys}
+    return kept | {row.key: row for row in change.written_rows}
 
 
 @given(CHANGES, strategies.integers(0, 12))
-def test_what_has_changed_since_any_position_gives_the_same_list(steps, since):
+def test_changes_since_any_position_yield_the_same_list(written_and_deleted, since):
     history = listhistory.ListHistory()
     history.reset(10)
     lists = [{}]
-    for number, (written, deleted) in enumerate(steps, 11):
-        step = changes(written, deleted, number)
-        history.add(step)
-        lists.append(applied(lists[-1], step))
-    since = min(since, len(steps))
+    for number, (written, deleted) in enumerate(written_and_deleted, 11):
+        change = changes(written, deleted, number)
+        history.add(change)
+        lists.append(apply_changes(lists[-1], change))
+    since = min(since, len(written_and_deleted))
     delta = listhistory.decode(history.changes_since(10 + since))
     assert delta.since == 10 + since
-    assert applied(lists[since], delta.changes) == lists[-1]
+    assert apply_changes(lists[since], delta.changes) == lists[-1]
 
 
-def test_a_position_that_is_not_known_any_more_gets_the_whole_list():
-    """Guards an instance that is far behind against a list with holes."""
+def test_unknown_position_has_no_changes():
+    """An instance that is far behind must not end up with a list that misses changes."""
     history = listhistory.ListHistory()
     assert history.changes_since(0) is None
     history.reset(10)
@@ -54,6 +54,6 @@
     assert history.changes_since(newest) is None
 
 
-def test_a_whole_list_is_read_back_with_what_is_wrong_in_it():
+def test_whole_list_is_decoded_including_row_problems():
     rows = (contract.Row("b", "2", 2), contract.Row("a", "", 1, "no text"))
     assert listhistory.decode(listhistory.encode_list(rows)) == (rows[1], rows[0])
--- a/tests/entry/test_membership.py
+++ b/tests/entry/test_membership.py
@@ -1,4 +1,4 @@
-"""Instances that lose and find one another."""
+"""Instances that lose and rediscover one another."""
 
 from hornbeamglade.core import clocks
 from hornbeamglade.membership import registry
@@ -6,29 +6,29 @@
 from tests import eventloop
 from tests.entry import site as entrysite
 
-BEHIND_S = 5.0
+CLOCK_OFFSET_S = 5.0
 
 
-class BehindClock(clocks.SystemClock):
-    """A clock whose time of day was set back."""
+class SetBackClock(clocks.SystemClock):
+    """A clock whose wall time was set back."""
 
     def wall(self):
-        return super().wall() - BEHIND_S
+        return super().wall() - CLOCK_OFFSET_S
 
 
-def test_instance_that_starts_again_with_its_clock_set_back_is_heard():
-    """The time of day jumps ahead, an instance starts, is killed, and the time jumps back.
+def test_instance_restarted_with_its_clock_set_back_is_accepted():
+    """The wall clock jumps ahead, an instance starts and is killed, and the clock jumps back.
 
-    Started again, it has a lower incarnation than the others remember. They dropped all that
-    it sent for a minute and a half: it got no leave of any owner, and took its own engines
-    for its alone.
+    The restarted instance has a lower incarnation than the others remember. They dropped all
+    its messages for a minute and a half: no owner granted it anything, and it considered the
+    engines that it owned to be its own alone.
     """
 
     async def test(site):
         first, former = site.nodes
         known = former.instance.incarnation
         await former.stop()
-        again = site.nodes[1] = entrysite.Node(1, BehindClock())
+        again = site.nodes[1] = entrysite.Node(1, SetBackClock())
         await again.start()
         listed = registry.Registry(site.store)
         for node in site.nodes:
@@ -45,13 +45,13 @@
         def members():
             return first.instance.peering.heartbeats.members()
 
-        def is_heard():
+        def is_known():
             return any(
                 each.identity == again.instance.identity and each.incarnation > known
                 for each in members()
             )
 
-        await eventloop.until(is_heard)
+        await eventloop.until(is_known)
         return again.instance.incarnation < known
 
     assert entrysite.run(test, nodes=2)
--- a/tests/entry/test_ratelimits.py
+++ b/tests/entry/test_ratelimits.py
@@ -1,4 +1,4 @@
-"""Servers in need that name how many requests they take from all instances."""
+"""Overloaded servers that state how many requests they accept from all instances together."""
 
 import asyncio
 import time
@@ -11,7 +11,7 @@
 WINDOW_S = 4.0
 ALLOWED = 1.5 * LIMIT_PER_S * WINDOW_S + 5
 GRACE_S = 0.5
-"""Requests of an instance count so long after it has passed on an answer with the limit."""
+"""Time after an instance has received the limit from which its requests count."""
 
 
 BATCH = 24
@@ -27,7 +27,7 @@
 
 
 async def until_all_know_the_limit(site, path, servers):
-    """Ask until each instance has passed on an answer of each server."""
+    """Send requests until each instance has passed on a response of each server."""
     number = 0
     for node in site.nodes:
         available = node.instance.catalog
@@ -39,7 +39,7 @@
 
 
 async def send_steadily(site, path, first, count, gap_s):
-    """Send requests at a steady rate, to each instance in turn; return their statuses."""
+    """Send requests at a steady rate, to the instances in turn; return their statuses."""
     tasks = []
     for number in range(first, first + count):
         tasks.append(asyncio.ensure_future(send(site, path, number)))
@@ -51,8 +51,8 @@
     return [each for each in server.ledger if each.at > since]
 
 
-def test_a_plain_server_gets_no_more_than_it_named_and_others_carry_the_rest():
-    """Guards a server in need against what each instance takes for its own share."""
+def test_limit_of_a_plain_server_holds_and_others_serve_the_rest():
+    """Each instance must apply only its share of the limit, not the whole of it."""
 
     async def test(site):
         limited = site.services[0]
@@ -67,7 +67,7 @@
     assert statuses == {200}
 
 
-def test_an_engine_gets_no_more_than_it_named():
+def test_limit_of_an_engine_holds():
     async def test(site):
         limited = site.engines[0]
         limited.faults = routedfaults.RoutedFaults(limit=str(LIMIT_PER_S))
@@ -81,8 +81,8 @@
     assert statuses == {200}
 
 
-def test_when_all_servers_name_limits_the_rest_is_refused_at_once():
-    """Guards servers in need, and callers against waiting for what cannot come in time."""
+def test_excess_requests_are_refused_at_once_if_all_servers_are_limited():
+    """Overloaded servers must not get more, nor callers wait for what cannot come in time."""
 
     async def test(site):
         for server in site.services:
@@ -98,8 +98,8 @@
     assert statuses.count(503) > 30
 
 
-def test_requests_that_look_for_an_engine_at_once_share_one_turn():
-    """Guards an engine in need against a crowd that saw the same open turn."""
+def test_concurrent_requests_share_one_send_slot():
+    """Concurrent requests that see the same free send slot must not all use it."""
 
     async def test(site):
         limited = site.engines[0]
--- a/tests/entry/test_regions.py
+++ b/tests/entry/test_regions.py
@@ -8,8 +8,8 @@
 REGION_BY_DOMAIN = {"a": "north", "b": "south"}
 
 
-def bind(site, *, route=(), team=()):
-    """Have the drafts' and lists' routes, and the team, allow some regions only."""
+def restrict(site, *, route=(), team=()):
+    """Restrict all routes, and the team, to some regions."""
     manifest = entrysite.manifest(version=2)
     for each in manifest["routes"]:
         each["allowed_regions"] = list(route)
@@ -18,7 +18,7 @@
     site.read_store()
 
 
-def play(test, **shape):
+def run_site(test, **shape):
     return entrysite.run(test, region_by_failure_domain=REGION_BY_DOMAIN, **shape)
 
 
@@ -31,31 +31,31 @@
 
 
 def domains_used(site):
-    """Return the failure domains of the engines that ran something."""
+    """Return the failure domains of the engines that ran any request."""
     return {"ab"[n % 2] for n, engine in enumerate(site.engines) if engine.ledger}
 
 
 def test_streams_stay_in_the_regions_of_their_route():
     async def test(site):
-        bind(site, route=["south"])
+        restrict(site, route=["south"])
         return await statuses(site, "/draft/1", entrysite.USAGE), domains_used(site)
 
-    assert play(test, nodes=2, engines=4) == ([200] * 8, {"b"})
+    assert run_site(test, nodes=2, engines=4) == ([200] * 8, {"b"})
 
 
-def test_the_regions_of_route_and_team_both_bind():
+def test_regions_of_route_and_team_both_apply():
     async def test(site):
-        bind(site, route=["north", "south"], team=["north"])
+        restrict(site, route=["north", "south"], team=["north"])
         return await statuses(site, "/draft/1", entrysite.USAGE), domains_used(site)
 
-    assert play(test, nodes=2, engines=4) == ([200] * 8, {"a"})
+    assert run_site(test, nodes=2, engines=4) == ([200] * 8, {"a"})
 
 
-def test_run_that_leaves_its_engine_stays_in_its_regions():
-    """Guards against a moved run that goes to an engine of another region."""
+def test_migrated_run_stays_in_its_regions():
+    """A migrated run must not go to an engine of another region."""
 
     async def test(site):
-        bind(site, route=["south"])
+        restrict(site, route=["south"])
         client = await site.nodes[0].request("/draft/1", request_id="r1", more=entrysite.USAGE)
         await eventloop.until(
             lambda: any(run.made > 5 for run in site.engines[1].run_by_id.values())
@@ -64,25 +64,25 @@
         status = (await client.answer())[0]
         return status, domains_used(site)
 
-    assert play(test, engines=2, events=40) == (200, {"b"})
+    assert run_site(test, engines=2, events=40) == (200, {"b"})
 
 
-def test_request_that_no_region_may_serve_is_refused_at_once():
+def test_request_without_allowed_region_is_refused_at_once():
     async def test(site):
-        bind(site, route=["north"], team=["south"])
+        restrict(site, route=["north"], team=["south"])
         streams = await statuses(site, "/draft/1", entrysite.USAGE, count=1)
         return streams + await statuses(site, "/list/1", count=1), domains_used(site)
 
-    assert play(test, engines=2) == ([503, 503], set())
+    assert run_site(test, engines=2) == ([503, 503], set())
 
 
-def test_plain_requests_stay_in_the_regions_of_their_team():
+def test_buffered_requests_stay_in_the_regions_of_their_team():
     async def test(site):
-        bind(site, team=["south"])
+        restrict(site, team=["south"])
         for server in site.services[1:]:
             site.put(f"servers/{server.replica_id}", entrysite.server_row(server, "web", "b"))
         site.read_store()
         found = await statuses(site, "/list/1")
         return found, [bool(server.ledger) for server in site.services]
 
-    assert play(test, services=2) == ([200] * 8, [False, True])
+    assert run_site(test, services=2) == ([200] * 8, [False, True])
--- a/tests/entry/test_registration.py
+++ b/tests/entry/test_registration.py
@@ -1,4 +1,4 @@
-"""The list of instances is written once and read seldom."""
+"""Registration in the list of instances, and how often the list is read."""
 
 from hornbeamglade.core import clocks
 from hornbeamglade.entry import registration
@@ -22,23 +22,23 @@
     return platform, registrar, lists
 
 
-def test_a_small_site_reads_the_list_every_few_seconds():
+def test_small_site_reads_the_list_every_few_seconds():
     _, registrar, lists = make(others=2)
     assert registrar.step() == registration.SECOND_READ_S
     assert registrar.step() == registration.LIST_INTERVAL_S
     assert {each.name for each in lists[-1]} == {"own", "other-0", "other-1"}
 
 
-def test_a_large_site_reads_its_long_list_seldom():
+def test_large_site_reads_its_long_list_rarely():
     _, registrar, _ = make(others=dissemination.FULL_MESH_MAX_NODES)
     registrar.step()
     assert registrar.step() == registration.LONG_LIST_INTERVAL_S
 
 
-def test_an_outage_at_the_start_is_tried_again_soon_and_a_later_one_is_not():
-    """The store is away for ten seconds at a site of hundreds of instances.
+def test_retry_after_an_outage_is_fast_only_before_registration():
+    """The store is down for ten seconds at a site of hundreds of instances.
 
-    Each call is paid for, and none of them would tell anything new.
+    Each call costs money, and none of them would return anything new.
     """
     platform, registrar, lists = make()
     platform.set_faults(memory.Faults(down=True))
@@ -50,10 +50,10 @@
     assert len(lists) == 1
 
 
-def test_an_instance_that_comes_to_a_running_site_registers_and_reads_again():
-    """Two instances are added at the same moment, and each reads the list before the other.
+def test_instance_joining_a_running_site_registers_and_reads_again():
+    """Two instances are added simultaneously, and each reads the list before the other registers.
 
-    Without a second reading after it has registered, neither would know the other for a minute.
+    Without a second read after registering, neither would know the other for a minute.
     """
     platform, registrar, lists = make(
         others=dissemination.FULL_MESH_MAX_NODES, is_first_start=False
@@ -64,19 +64,19 @@
     assert {"own", "other-late"} <= {each.name for each in lists[-1]}
 
 
-def test_an_instance_whose_row_the_store_has_lost_writes_it_again():
-    """Guards instances that start against a list that lacks one which is there."""
+def test_instance_rewrites_a_row_that_the_store_has_lost():
+    """A restored store lacks the row, so new instances would not find this one."""
     platform, registrar, _ = make(others=2)
-    copy = platform.backup()
+    backup = platform.backup()
     registrar.step()
     registrar.step()
-    platform.restore(copy)
+    platform.restore(backup)
     registrar.step()
     assert "own" in {each.name for each in registry.Registry(platform).list()}
 
 
 class CountedRows(registry.Registry):
-    """Counts what is asked of the store."""
+    """Records the calls to the store."""
 
     def __init__(self, table):
         super().__init__(table)
@@ -91,11 +91,11 @@
         return super().register(instance)
 
 
-def test_after_a_loss_of_power_one_call_is_enough():
+def test_one_call_suffices_after_a_power_failure():
     """All of 195 instances lose power and start again within a second.
 
-    Their rows are all there. Three calls of each are 585 at once, and the store makes the
-    writes of one table one after another: the last knew the others a second late.
+    Their rows are still there. Three calls by each of them are 585 at once, and the store
+    serializes the writes of a table: the last instance knew the others a second late.
     """
     platform = memory.MemoryPlatform(clocks.ManualClock())
     rows = CountedRows(platform)
@@ -109,10 +109,10 @@
     assert len(lists[0]) == 31
 
 
-def test_a_row_of_a_former_run_elsewhere_is_replaced():
-    """An instance comes back under its name on another machine.
+def test_row_of_an_earlier_incarnation_elsewhere_is_replaced():
+    """An instance returns under its name on another machine.
 
-    Its former row would send the others, and callers, to an address where nobody is.
+    Its former row would direct the other instances, and callers, to an unused address.
     """
     platform, _, _ = make()
     rows = registry.Registry(platform)
@@ -122,11 +122,11 @@
     assert rows.list() == (row("own"),)
 
 
-def test_an_instance_that_could_not_register_tries_again_soon():
-    """The store fails between an instance's first reading and its registration.
+def test_failed_registration_is_retried_soon():
+    """The store fails between an instance's first read and its registration.
 
-    Nobody but those that it has heard of knows it: its next try must not wait for as long as
-    a later reading of the list.
+    Until it is registered, only the instances that it has contacted know it, so the next
+    attempt must not wait for the interval of later reads.
     """
     platform, registrar, _ = make(others=2, is_first_start=False)
     registrar._rows.register = lambda own: contract.Unavailable("away")
--- a/tests/entry/test_settings.py
+++ b/tests/entry/test_settings.py
@@ -1,4 +1,4 @@
-"""An entry instance's settings, checked with the offending field."""
+"""Validation of an entry instance's settings, with the offending field in the error."""
 
 import pathlib
 import re
@@ -52,7 +52,7 @@
     assert f"entry.yaml: {named}" in raised.value.detail
 
 
-def test_what_is_no_yaml_is_refused():
+def test_invalid_yaml_is_rejected():
     with pytest.raises(codederrors.CodedError) as raised:
         settings.parse("a: [", "entry.yaml")
     assert raised.value.code == "settings_unreadable"
@@ -85,8 +85,8 @@
 }
 
 
-def deployed():
-    """Return the text of an instance's settings as the deployment writes them."""
+def deployed_text():
+    """Return the text of an instance's settings as the deployment renders it."""
     text = TEMPLATE.read_text(encoding="utf-8").replace("{{ip|json}}", '"10.0.0.1"')
     for name, value in VALUES.items():
         text = text.replace(f"{{{{{name}|json}}}}", value).replace(f"{{{{{name}}}}}", value)
@@ -94,14 +94,14 @@
     return re.sub(r"\{\{listen\.\w+\|json\}\}", '"10.0.0.1:81"', text)
 
 
-def test_no_half_written_file_changes_what_an_instance_goes_by():
+def test_partially_written_file_changes_nothing_in_force():
     """The settings of all instances change, and each reads its file while it is written.
 
-    Cut after `slack: 4`, the file is good YAML, and a bound of 4 in place of 430 would refuse
-    retries for a second at the worst moment. Whatever is cut must be refused, or be the same
-    in all that takes effect while an instance runs.
+    Truncated after `slack: 4`, the file is valid YAML, and a limit of 4 in place of 430 would
+    refuse retries for a second at the worst moment. Every truncation must be rejected, or
+    equal the whole file in all fields that take effect at run time.
     """
-    text = deployed()
+    text = deployed_text()
     whole = settings.parse(text, "entry.yaml")
     for end in range(len(text)):
         try:
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams through entry instances, while engines leave, die and misbehave."""
+"""Streams through entry instances while engines leave, fail and misbehave."""
 
 import asyncio
 import json
@@ -13,28 +13,28 @@
 EVENTS = 30
 
 
-def whole(request_id, first=1):
+def stream_body(request_id, first=1):
     numbers = range(first, EVENTS + 1)
     return b"".join(routedruns.event(request_id, number) for number in numbers)
 
 
-def ran(site):
-    return [ran.request_id for engine in site.engines for ran in engine.ledger]
+def dispatched(site):
+    return [run.request_id for engine in site.engines for run in engine.ledger]
 
 
 def runs_at(site, request_id):
     return [engine for engine in site.engines if request_id in engine.run_by_id]
 
 
-def waiting(site):
-    """Return how many wait for engines, by the word of the engines' owners."""
+def queued_count(site):
+    """Return the number of queued requests, as the owners of the engines report it."""
     catalogs = (node.instance.catalog for node in site.nodes)
     known = (each for catalog in catalogs for each in catalog.candidates("llm", frozenset()))
     return sum(each.queued for each in known if not each.owner)
 
 
-async def begun(site, path="/draft/1", request_id="r1", node=0):
-    """Ask for a stream; return the client once some events have been made."""
+async def start_stream(site, path="/draft/1", request_id="r1", node=0):
+    """Request a stream; return the client once some events have been generated."""
     client = await site.nodes[node].request(path, request_id=request_id, more=entrysite.USAGE)
     await eventloop.until(
         lambda: any(engine.run_by_id[request_id].made > 5 for engine in runs_at(site, request_id))
@@ -42,43 +42,43 @@
     return client
 
 
-def test_stream_comes_whole_under_the_teams_name():
+def test_stream_is_complete_and_carries_the_teams_name():
     async def test(site):
         client = await site.nodes[0].request("/draft/1", more=entrysite.USAGE)
         return await client.answer(), [each for e in site.engines for each in e.ledger]
 
     (status, fields, body), ledger = entrysite.run(test)
-    assert (status, body) == (200, whole("r1"))
+    assert (status, body) == (200, stream_body("r1"))
     assert fields["content-type"] == "text/event-stream"
     assert [(each.team, each.body) for each in ledger] == [("clinic", "body")]
     assert "authorization" not in ledger[0].names
 
 
 @pytest.mark.parametrize("nodes", [1, 2])
-def test_run_goes_on_elsewhere_when_its_engine_is_to_stop(nodes):
-    """An engine is reclaimed in the middle of a draft.
+def test_run_migrates_when_its_engine_leaves(nodes):
+    """An engine is reclaimed in the middle of a stream.
 
-    The list says that it stops; two seconds later it is gone, and the clerk would have
-    half a draft. Its run is moved first, and no event is made or sent twice.
+    The list announces the stop, and two seconds later the engine is gone, which would cut the
+    stream. Its run migrates first, and no event is generated or sent twice.
     """
 
     async def test(site):
-        client = await begun(site)
+        client = await start_stream(site)
         source = runs_at(site, "r1")[0]
         site.leave(site.engines.index(source))
         await eventloop.until(lambda: source.run_by_id["r1"].is_stopped)
         await source.stop()
-        return await client.answer(), ran(site)
+        return await client.answer(), dispatched(site)
 
     (status, _, body), runs = entrysite.run(test, nodes=nodes)
-    assert (status, body, runs) == (200, whole("r1"), ["r1"])
+    assert (status, body, runs) == (200, stream_body("r1"), ["r1"])
 
 
-def test_run_leaves_also_on_the_engines_own_word():
-    """The store is away while an engine is reclaimed: only the engine's report says so."""
+def test_run_migrates_on_the_engines_own_report():
+    """During a store outage only the engine's own report announces that it will stop."""
 
     async def test(site):
-        client = await begun(site)
+        client = await start_stream(site)
         source = runs_at(site, "r1")[0]
         source.is_leaving = True
         await eventloop.until(lambda: source.run_by_id["r1"].is_stopped)
@@ -86,12 +86,12 @@
         return await client.answer()
 
     _, _, body = entrysite.run(test, nodes=2, gap_s=0.04)
-    assert body == whole("r1")
+    assert body == stream_body("r1")
 
 
-def test_run_leaves_an_engine_that_is_taken_off_the_list_without_a_word():
+def test_run_migrates_from_an_engine_delisted_without_notice():
     async def test(site):
-        client = await begun(site)
+        client = await start_stream(site)
         source = runs_at(site, "r1")[0]
         site.delete(f"servers/{source.replica_id}")
         site.read_store()
@@ -100,14 +100,14 @@
         return await client.answer()
 
     _, _, body = entrysite.run(test, nodes=2)
-    assert body == whole("r1")
+    assert body == stream_body("r1")
 
 
-def test_engine_that_starts_anew_under_its_name_is_used_again():
-    """An engine is told to stop, and starts again in place some seconds later.
+def test_restarted_engine_is_used_again():
+    """An engine is told to stop, and restarts in place some seconds later.
 
-    Held for the one that was to stop, it got no request any more from whoever had heard of
-    that, until its row was taken from the list.
+    Instances that had seen it leaving took it for the stopped one and sent it no requests
+    until its row was deleted from the list.
     """
 
     async def test(site):
@@ -122,14 +122,14 @@
         site.read_store()
         await eventloop.until(site.is_ready)
         client = await site.nodes[0].request("/draft/1", more=entrysite.USAGE)
-        return await client.answer(), ran(site)
+        return await client.answer(), dispatched(site)
 
     (status, _, body), runs = entrysite.run(test, nodes=2, engines=1)
-    assert (status, body, runs) == (200, whole("r1"), ["r1"])
+    assert (status, body, runs) == (200, stream_body("r1"), ["r1"])
 
 
 async def restarted(site, request_id):
-    """Have the list tell that the engine of a run has started anew; return the engine."""
+    """Let the list show that the engine of a run has restarted; return the engine."""
     engine = runs_at(site, request_id)[0]
     number = site.engines.index(engine)
     row = entrysite.server_row(engine, "llm", "ab"[number % 2], born=7000)
@@ -139,121 +139,121 @@
     return engine
 
 
-def test_stream_from_an_engine_that_has_started_anew_ends_at_once():
-    """An engine crashes behind a cut and starts again: its connections are never reset.
+def test_stream_of_a_restarted_engine_ends_at_once():
+    """An engine crashes during a network partition and restarts; its connections are not reset.
 
-    The caller of a draft would wait for its next event until it gave up.
+    The caller of a stream would wait for the next event until its timeout.
     """
 
     async def test(site):
-        client = await begun(site)
+        client = await start_stream(site)
         await restarted(site, "r1")
         with pytest.raises((asyncio.IncompleteReadError, ValueError)):
             await client.answer()
-        return runs_at(site, "r1")[0].run_by_id["r1"].made, ran(site)
+        return runs_at(site, "r1")[0].run_by_id["r1"].made, dispatched(site)
 
     made, runs = entrysite.run(test, gap_s=0.1)
     assert (made < EVENTS, runs) == (True, ["r1"])
 
 
-def test_run_that_may_be_repeated_goes_on_when_its_engine_has_started_anew():
+def test_repeatable_run_resumes_after_its_engine_restarted():
     async def test(site):
-        client = await begun(site, path="/tag/1")
+        client = await start_stream(site, path="/tag/1")
         former = await restarted(site, "r1")
         answer = await client.answer()
         return answer, [engine is former for engine in runs_at(site, "r1")]
 
     (status, _, body), runs = entrysite.run(test, gap_s=0.02)
-    assert (status, body, sorted(runs)) == (200, whole("r1"), [False, True])
+    assert (status, body, sorted(runs)) == (200, stream_body("r1"), [False, True])
 
 
-def test_all_runs_of_an_engine_leave_in_turn():
-    """Eight drafts run at an engine that is to stop, at the streams of two nodes."""
+def test_all_runs_of_a_leaving_engine_migrate():
+    """Several streams of two nodes run at an engine that will stop."""
 
     async def test(site):
         names = [f"r{number}" for number in range(6)]
         clients = []
         for number, name in enumerate(names):
-            clients.append(await begun(site, request_id=name, node=number % 2))
+            clients.append(await start_stream(site, request_id=name, node=number % 2))
         site.leave(0)
         await eventloop.until(
             lambda: all(run.is_stopped or not run.is_alive for run in runs(site.engines[0]))
         )
         await site.engines[0].stop()
-        return [await client.answer() for client in clients], sorted(ran(site))
+        return [await client.answer() for client in clients], sorted(dispatched(site))
 
     def runs(engine):
         return engine.run_by_id.values()
 
     answers, order = entrysite.run(test, nodes=2, gap_s=0.05)
-    assert [body for _, _, body in answers] == [whole(f"r{number}") for number in range(6)]
+    assert [body for _, _, body in answers] == [stream_body(f"r{number}") for number in range(6)]
     assert order == [f"r{number}" for number in range(6)]
 
 
-def test_run_goes_on_where_it_was_when_there_is_room_nowhere():
+def test_run_stays_when_no_engine_has_capacity():
     async def test(site):
-        client = await begun(site)
+        client = await start_stream(site)
         source = runs_at(site, "r1")[0]
         for engine in site.engines:
             engine.faults = routedfaults.RoutedFaults(no_room=True)
         site.leave(site.engines.index(source))
-        return await client.answer(), ran(site)
+        return await client.answer(), dispatched(site)
 
     (_, _, body), runs = entrysite.run(test, gap_s=0.03)
-    assert (body, runs) == (whole("r1"), ["r1"])
+    assert (body, runs) == (stream_body("r1"), ["r1"])
 
 
-def test_draft_whose_engine_dies_is_seen_to_be_torn():
-    """An engine crashes without a word in the middle of a draft.
+def test_stream_of_a_crashed_engine_is_visibly_incomplete():
+    """An engine crashes in the middle of a stream that may not run twice.
 
-    The draft may not run twice: it cannot be whole any more, and must not look so.
+    The stream cannot be completed, and its response must not look complete.
     """
 
     async def test(site):
-        client = await begun(site)
+        client = await start_stream(site)
         await runs_at(site, "r1")[0].stop()
         await client.head()
         try:
             rest = await client.reader.read()
         except ConnectionError:
             rest = b""
-        return rest, ran(site)
+        return rest, dispatched(site)
 
     rest, runs = entrysite.run(test)
     assert not rest.endswith(b"0\r\n\r\n")
     assert runs == ["r1"]
 
 
-def test_tag_whose_engine_dies_goes_on_in_another_run():
-    """The same with a request that may be repeated: it goes on after the last event."""
+def test_repeatable_stream_of_a_crashed_engine_resumes_elsewhere():
+    """The same for a repeatable request: it continues after the last event."""
 
     async def test(site):
-        client = await begun(site, "/tag/1")
+        client = await start_stream(site, "/tag/1")
         await runs_at(site, "r1")[0].stop()
-        return await client.answer(), ran(site)
+        return await client.answer(), dispatched(site)
 
     (_, _, body), runs = entrysite.run(test)
-    assert (body, runs) == (whole("r1"), ["r1", "r1"])
+    assert (body, runs) == (stream_body("r1"), ["r1", "r1"])
 
 
-def test_stream_that_breaks_in_the_middle_of_an_event_goes_on_with_that_event():
+def test_stream_interrupted_within_an_event_resumes_with_that_event():
     async def test(site):
         for engine in site.engines:
             engine.faults = routedfaults.RoutedFaults(die_after_events=7)
         client = await site.nodes[0].request("/tag/1", more=entrysite.USAGE)
-        await eventloop.until(lambda: len(ran(site)) == 1)
+        await eventloop.until(lambda: len(dispatched(site)) == 1)
         for engine in site.engines:
             if "r1" not in engine.run_by_id:
                 engine.faults = routedfaults.RoutedFaults()
         return await client.answer()
 
     _, _, body = entrysite.run(test)
-    assert body == whole("r1")
+    assert body == stream_body("r1")
 
 
-def test_caller_that_leaves_ends_its_run():
+def test_caller_disconnect_ends_its_run():
     async def test(site):
-        client = await begun(site)
+        client = await start_stream(site)
         engine = runs_at(site, "r1")[0]
         client.close()
         await eventloop.until(lambda: not engine.run_by_id["r1"].is_alive)
@@ -263,40 +263,40 @@
     assert entrysite.run(test, gap_s=0.05) < EVENTS
 
 
-def test_caller_that_resumes_gets_the_rest_only():
+def test_resuming_caller_gets_only_the_rest():
     async def test(site):
         more = entrysite.USAGE + "Last-Event-Id: 12\r\n"
         client = await site.nodes[0].request("/tag/1", more=more)
         return await client.answer()
 
     _, _, body = entrysite.run(test)
-    assert body == whole("r1", 13)
+    assert body == stream_body("r1", 13)
 
 
-def test_stream_without_proof_is_not_passed_on():
+def test_stream_without_response_seal_is_not_forwarded():
     async def test(site):
         for engine in site.engines:
             engine.faults = routedfaults.RoutedFaults(unproved=True)
         client = await site.nodes[0].request("/draft/1", more=entrysite.USAGE)
-        return await client.answer(), ran(site)
+        return await client.answer(), dispatched(site)
 
     (status, _, _), runs = entrysite.run(test)
     assert (status, runs) == (502, ["r1"])
 
 
-def test_full_engines_are_told_as_not_run_with_a_time_to_come_back():
+def test_full_engines_yield_not_run_with_a_retry_delay():
     async def test(site):
         for engine in site.engines:
             engine.faults = routedfaults.RoutedFaults(refuse=True)
         client = await site.nodes[0].request("/draft/1", more=entrysite.USAGE)
-        return await client.answer(), ran(site)
+        return await client.answer(), dispatched(site)
 
     (status, fields, _), runs = entrysite.run(test)
     assert (status, runs) == (503, [])
     assert float(fields["retry-after"]) > 0
 
 
-def test_grants_of_ended_streams_are_given_back():
+def test_grants_of_ended_streams_are_released():
     async def test(site):
         clients = [
             await site.nodes[n % 2].request("/draft/1", request_id=f"r{n}", more=entrysite.USAGE)
@@ -311,37 +311,37 @@
 
 
 @pytest.mark.parametrize("node", [0, 1])
-def test_a_caller_that_leaves_while_it_waits_for_room_is_not_served_later(node):
-    """An engine is full, a clerk gives up, and then there is room.
+def test_queued_request_of_a_disconnected_caller_is_removed(node):
+    """A caller disconnects while its request is queued at a full engine.
 
-    Were the place in the queue kept, the engine would read a long prompt for nobody, in
-    the way of those who still wait. One of the two instances owns the engine.
+    If the queue position were kept, the engine would later prefill a long prompt for nobody,
+    ahead of requests that still wait. One of the two instances owns the engine.
     """
 
     async def test(site):
-        # So long that the second one waits on, and in time, until it is taken out.
+        # Timeouts long enough that the second request stays queued until it is removed.
         patient = entrysite.route("draft", "streaming", "llm", goal_ms=60000, timeout_ms=90000)
         site.put("op/config", json.dumps(entrysite.manifest(2, routes=[patient])))
         site.read_store()
         usage = f"Model: m\r\nToken-Usage: {routed.MEMORY_TOKENS * 6 // 10},50\r\n"
         first = await site.nodes[node].request("/draft/1", request_id="r1", more=usage)
-        await eventloop.until(lambda: ran(site) == ["r1"])
+        await eventloop.until(lambda: dispatched(site) == ["r1"])
         second = await site.nodes[node].request("/draft/1", request_id="r2", more=usage)
-        await eventloop.until(lambda: waiting(site) == 1)
+        await eventloop.until(lambda: queued_count(site) == 1)
         second.close()
-        await eventloop.until(lambda: waiting(site) == 0)
+        await eventloop.until(lambda: queued_count(site) == 0)
         is_first_alive = site.engines[0].run_by_id["r1"].is_alive
         first.close()
-        return is_first_alive, ran(site)
+        return is_first_alive, dispatched(site)
 
     assert entrysite.run(test, nodes=2, engines=1, gap_s=0.3) == (True, ["r1"])
 
 
-def test_leaving_instance_refuses_a_draft_that_would_be_cut():
-    """A caller with an old address asks an instance that stops for a long draft.
+def test_draining_instance_refuses_a_stream_that_it_could_not_finish():
+    """A caller with a stale address requests a long stream from a draining instance.
 
-    The process would end before the draft: it was begun, and cut in the middle. Its
-    caller is sent to another instance at once, and no engine has seen the request.
+    The process would exit before the stream ends; it used to start the stream and cut it. The
+    caller is sent to another instance at once, and no engine receives the request.
     """
 
     async def test(site):
@@ -350,7 +350,7 @@
         client = await site.nodes[0].request("/draft/1", more=usage)
         long = await client.answer()
         client = await site.nodes[0].request("/draft/1", request_id="r2", more=entrysite.USAGE)
-        return long, await client.answer(), ran(site)
+        return long, await client.answer(), dispatched(site)
 
     (status, fields, body), short, runs = entrysite.run(test, nodes=2)
     assert (status, json.loads(body)["code"]) == (503, "node_leaving")
@@ -359,18 +359,18 @@
 
 
 @pytest.mark.parametrize(("stop_s", "outcome"), [(0.5, "cut_by_stop"), (8.0, "caller_left")])
-def test_a_draft_that_the_stop_cuts_is_not_told_as_its_callers_doing(stop_s, outcome):
-    """An instance reaches the limit of its planned stop while a draft is under way.
+def test_stream_cut_by_the_drain_limit_is_not_blamed_on_its_caller(stop_s, outcome):
+    """An instance reaches its drain time limit while a stream is in progress.
 
-    A citizen got half of a reply, and the log said that the clerk had closed the
-    connection: the stop ends what is left as a caller's close does.
+    The stream was cut, and the log blamed the caller for closing the connection, because the
+    time limit cancels requests just as a closed connection does.
     """
 
     async def test(site):
         node = site.nodes[0]
         bounds = settings.Bounds(stop_s=stop_s, address_ttl_s=5)
         node.instance.apply_settings(node.settings.model_copy(update={"bounds": bounds}))
-        client = await begun(site)
+        client = await start_stream(site)
         node.instance.leave()
         await asyncio.sleep(0.15)
         client.close()
--- a/tests/entry/test_ticks.py
+++ b/tests/entry/test_ticks.py
@@ -1,4 +1,4 @@
-"""How often an instance ticks."""
+"""The tick interval of an instance."""
 
 import math
 
@@ -11,30 +11,30 @@
 from tests.entry import site as entrysite
 
 
-def begun_node():
+def started_node():
     node = entrysite.Node(0)
     node.instance._startup.open()
     return node
 
 
-def test_an_instance_that_knows_nothing_yet_ticks_often():
-    """Callers wait for the first configuration; a slow tick would have them wait longer."""
+def test_instance_without_configuration_ticks_fast():
+    """Callers wait for the first configuration, and a slow tick would prolong that."""
     assert entrysite.Node(0).instance.tick_s == instance.TICK_S
 
 
-def test_an_idle_instance_ticks_seldom_and_one_with_a_queue_often():
-    """Hundreds of instances idle between requests, and each tick costs all of them.
+def test_idle_instance_ticks_slowly_and_one_with_a_queue_fast():
+    """Hundreds of instances are idle between requests, and all of them pay for each tick.
 
-    A request that waits at a scheduler must still be refused or granted within a tick of its time.
+    A request queued at a scheduler must still be refused or granted within a tick of its due time.
     """
-    node = begun_node()
+    node = started_node()
     schedulers = node.instance._schedulers
     schedulers.configure({"e1": componentsettings.scheduler(_Engine(), policysettings.Policy())})
     schedulers.set_owned(frozenset(("e1",)))
     assert node.instance.tick_s == instance.IDLE_TICK_S
     deadline = clocks.SystemClock().now() + 60
     answered = []
-    # More of them than the engine takes at a time.
+    # More requests than the engine runs at a time.
     answers = [
         schedulers.request_grant("e1", _work(number), 1.0, deadline, answered.append)
         for number in range(12)
@@ -47,19 +47,19 @@
     assert node.instance.tick_s == instance.IDLE_TICK_S
 
 
-def test_an_instance_that_wants_a_newer_document_ticks_often():
-    """A chunk of a document is lost: it must be asked for again within a tick of its time."""
-    node = begun_node()
+def test_instance_that_fetches_a_document_ticks_fast():
+    """A lost chunk of a document must be requested again within a tick of its due time."""
+    node = started_node()
     announcement = messages.VersionAnnouncement(5, 9, True)
     assert node.instance.tick_s == instance.IDLE_TICK_S
     node.instance.peering._document_sync.on_announcement("entry-1", announcement)
     assert node.instance.tick_s == instance.TICK_S
 
 
-def test_an_instance_that_tells_nobody_of_changes_idles_after_one():
-    """Nearly all instances of a large site are told of changes and tell nobody.
+def test_instance_that_announces_to_nobody_is_idle_after_a_change():
+    """Nearly all instances of a large site receive announcements of changes and send none.
 
-    Counted as having hints to send, all of them ticked at the fast pace for good.
+    They were considered to have pending announcements and kept ticking at the fast interval.
     """
     clock = clocks.ManualClock()
     versions = [(0, 0)]
@@ -84,7 +84,7 @@
     return outcomes.Work(f"r{number}", "llm", "t", priority=1, prompt_tokens=10, max_tokens=10)
 
 
-def test_idle_ticks_meet_the_periods_of_heartbeats():
-    """A heartbeat sent a tick late each time would look like one that was lost."""
+def test_idle_tick_divides_the_heartbeat_intervals():
+    """A heartbeat that is always sent a tick late would look like a lost one."""
     for period_s in (0.5, 1.0):
         assert math.isclose(period_s % instance.IDLE_TICK_S, 0.0)
