--- a/hornbeamglade/configuration/head.py
+++ b/hornbeamglade/configuration/head.py
@@ -223,7 +223,7 @@
                 return self._resolve_conflict(change, earlier_outcome)
             reason = outcome.reason
             self._clock.sleep(RETRY_PAUSE_S)
-        return OutcomeUnknown(change.change_id, reason or "no answer")
+        return OutcomeUnknown(change.change_id, reason or "no response")
 
     def _resolve_conflict(self, change: Change, earlier_outcome: PlatformDown | None) -> Outcome:
         """Return the outcome of a conflict: a lost race, or unknown if the platform is down."""
