--- a/hornbeamglade/lengths/__init__.py
+++ b/hornbeamglade/lengths/__init__.py
@@ -1,4 +1,4 @@
-"""How long an answer will still be, learned from the answers seen so far."""
+"""The distribution of the remaining length of answers, learned from finished answers."""
 
 from hornbeamglade.lengths.lengthmodel import LengthModel, LengthSettings
 from hornbeamglade.lengths.survival import Estimate, Growth, SurvivalTable
--- a/hornbeamglade/lengths/buckets.py
+++ b/hornbeamglade/lengths/buckets.py
@@ -3,9 +3,9 @@
 Explanation
 ===========
 
-The relative width of a bucket bounds the relative error of a length, as in an
-HDR histogram; 2**(1/4) keeps it under a fifth with about sixty buckets up to
-131,072 tokens, few enough to rebuild a table of them in tens of microseconds.
+The relative width of a bucket limits the relative error of a length, as in an HDR
+histogram. A ratio of 2**(1/4) keeps the error below a fifth with about sixty buckets
+up to 131,072 tokens. A table of so few buckets is rebuilt in tens of microseconds.
 """
 
 import bisect
@@ -31,9 +31,9 @@
 
 
 def index(tokens: float) -> int:
-    """Return the bucket that holds a length; lengths past the end share the last one.
+    """Return the index of the bucket of a length; lengths beyond the end are in the last one.
 
-    :param tokens: a length in tokens; not negative.
+    :param tokens: a nonnegative length in tokens.
 
     Examples
     ========
--- a/hornbeamglade/lengths/lengthmodel.py
+++ b/hornbeamglade/lengths/lengthmodel.py
@@ -1,12 +1,12 @@
-"""Lengths of answers by service and team, with fall back to service and prior.
+"""Answer lengths by service and team, with the service and a prior as fallbacks.
 
 Explanation
 ===========
 
-Each team's hazards are drawn toward those of its service, and these toward a
-prior, bucket by bucket. A team with few answers thus behaves as its service;
-and at lengths that no answer of the team has reached, the tail of the service
-(and beyond its data the prior's Pareto tail) takes over without a switch.
+Each team's hazards are shrunk towards those of its service, and these towards a
+prior, bucket by bucket. A team with few answers thus behaves like its service. At
+lengths that no answer of the team has reached, the tail of the service applies, and
+beyond the service's data the prior's Pareto tail, without a discontinuity.
 """
 
 import collections
@@ -17,14 +17,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LengthSettings:
-    """How lengths are learned.
+    """Parameters of the length estimation.
 
-    :param half_life: answers after which an older one counts half.
-    :param parent_weight: answers that the fall back counts as.
+    :param half_life: number of newer answers after which an answer counts half.
+    :param parent_weight: number of answers that the fallback counts as.
     :param prior_median: median length of the prior, in tokens.
     :param prior_exponent: exponent of the prior's Pareto tail.
-    :param rebuild_every: answers of a service after which its tables are rebuilt.
-    :param max_teams: teams remembered; the one least recently seen is forgotten.
+    :param rebuild_every: number of answers of a service after which its tables are rebuilt.
+    :param max_teams: number of teams that are kept; the least recently seen team is dropped.
     """
 
     half_life: float = 1000.0
@@ -38,23 +38,23 @@
 @dataclasses.dataclass(slots=True)
 class _Cached:
     table: survival.SurvivalTable
-    built_at: int
+    observations: int
 
 
 def _prior_hazards(settings: LengthSettings) -> tuple[float, ...]:
-    """Return the hazards of a log-logistic length: Pareto beyond its median."""
+    """Return the hazards of a log-logistic length, which has a Pareto tail beyond its median."""
 
-    def outlasts(tokens: float) -> float:
+    def survives(tokens: float) -> float:
         return 1.0 / (1.0 + (tokens / settings.prior_median) ** settings.prior_exponent)
 
     edges = buckets.EDGES
-    return tuple(1.0 - outlasts(edges[i + 1]) / outlasts(edges[i]) for i in range(buckets.COUNT))
+    return tuple(1.0 - survives(edges[i + 1]) / survives(edges[i]) for i in range(buckets.COUNT))
 
 
 class LengthModel:
-    """Learns and tells the remaining length of answers.
+    """Learns the lengths of answers and estimates their remaining lengths.
 
-    :param settings: how lengths are learned.
+    :param settings: parameters of the estimation.
 
     Examples
     ========
@@ -79,10 +79,10 @@
         self._cached_by_team: dict[tuple[str, str], _Cached] = {}
 
     def observe(self, service: str, team: str, tokens: int, censored: bool = False) -> None:
-        """Learn from an answer that has come to its end.
+        """Learn from an answer that has ended.
 
         :param tokens: tokens produced.
-        :param censored: True when it was cancelled or lost: it would have been longer.
+        :param censored: True if it was cancelled or lost, so that it would have been longer.
         """
         by_service = self._by_service.get(service)
         if by_service is None:
@@ -91,19 +91,19 @@
         self._team_table(service, team).observe(tokens, censored)
 
     def table(self, service: str, team: str) -> survival.SurvivalTable:
-        """Return the survival table for a service's team, rebuilt now and then."""
+        """Return the survival table of a service's team, which is rebuilt as answers arrive."""
         key = (service, team)
         by_service = self._by_service.get(service)
-        seen = by_service.observations if by_service else 0
+        observations = by_service.observations if by_service else 0
         cached = self._cached_by_team.get(key)
-        if cached is None or self._is_old(cached, seen):
-            cached = _Cached(self._build(key, by_service), seen)
+        if cached is None or self._is_outdated(cached, observations):
+            cached = _Cached(self._build(key, by_service), observations)
             self._cached_by_team[key] = cached
-            self._bound_cache()
+            self._limit_cache()
         return cached.table
 
     def remaining(self, service: str, team: str, produced: int) -> survival.Estimate:
-        """Return what is still to come of an answer that has ``produced`` tokens."""
+        """Return the remaining length of an answer that has ``produced`` tokens."""
         table = self.table(service, team)
         growth = table.growth(produced, buckets.LAST_EDGE)
         by_team = self._by_team.get((service, team))
@@ -111,7 +111,7 @@
         return survival.Estimate(growth.mean, growth.variance, reached)
 
     def growth(self, service: str, team: str, produced: int, horizon: float) -> survival.Growth:
-        """Return the growth within ``horizon`` tokens."""
+        """Return the growth of an answer within the next ``horizon`` tokens."""
         return self.table(service, team).growth(produced, horizon)
 
     def _new_table(self) -> lifetable.LifeTable:
@@ -124,13 +124,15 @@
             table = self._by_team[key] = self._new_table()
         self._by_team.move_to_end(key)
         if len(self._by_team) > self._settings.max_teams:
-            forgotten, _ = self._by_team.popitem(last=False)
-            self._cached_by_team.pop(forgotten, None)
+            dropped, _ = self._by_team.popitem(last=False)
+            self._cached_by_team.pop(dropped, None)
         return table
 
-    def _is_old(self, cached: _Cached, seen: int) -> bool:
-        # Young tables change with each answer; old ones need not be rebuilt as often.
-        return seen - cached.built_at >= min(self._settings.rebuild_every, 1 + seen // 16)
+    def _is_outdated(self, cached: _Cached, observations: int) -> bool:
+        # Tables with few answers change with each new one; others need not be rebuilt as often.
+        return observations - cached.observations >= min(
+            self._settings.rebuild_every, 1 + observations // 16
+        )
 
     def _build(
         self, key: tuple[str, str], by_service: lifetable.LifeTable | None
@@ -141,7 +143,7 @@
                 hazards = table.hazards(hazards, self._settings.parent_weight)
         return survival.SurvivalTable(hazards)
 
-    def _bound_cache(self) -> None:
-        # Teams that only ask and never finish an answer must not grow the cache.
+    def _limit_cache(self) -> None:
+        # Teams whose answers never finish must not let the cache grow without limit.
         if len(self._cached_by_team) > 2 * self._settings.max_teams:
             self._cached_by_team.clear()
