--- a/tests/grants/test_asyncgrantacquirer.py
+++ b/tests/grants/test_asyncgrantacquirer.py
@@ -33,7 +33,7 @@
 
 
 class Node(grantacquirer.ReplicaOwners):
-    """One node's schedulers and both sides of its exchange."""
+    """One node's schedulers and known sides of its exchange."""
 
     def __init__(self, name, owned):
         self.name = name
@@ -88,8 +88,8 @@
         raise error
 
 
-def candidate(replica, room=9_000, queued=0):
-    return candidates.Candidate(replica, "", False, room, queued, 0.0, 0.0, "a")
+def candidate(replica, headroom=9_000, queued=0):
+    return candidates.Candidate(replica, "", False, headroom, queued, 0.0, 0.0, "a")
 
 
 def placement(name, node, *known, wait_s=5.0, produced=0):
@@ -100,7 +100,7 @@
     )
 
 
-def play(test):
+def run_on_two_nodes(test):
     async def main():
         local, remote = Node("n0", ["e0"]), Node("n1", ["e1"])
         endpoint = transport.Endpoint("127.0.0.1", 0)
@@ -128,7 +128,7 @@
         local.acquirer.release(grant)
         return grant.replica, held, running(local, "e0"), local.acquirer.active_count
 
-    assert play(test) == ("e0", 1, 0, 0)
+    assert run_on_two_nodes(test) == ("e0", 1, 0, 0)
 
 
 def test_remote_grant_is_given_and_released():
@@ -139,7 +139,7 @@
         await eventloop.until(lambda: running(remote, "e1") == 0)
         return grant.replica, held
 
-    assert play(test) == ("e1", 1)
+    assert run_on_two_nodes(test) == ("e1", 1)
 
 
 def test_request_waits_for_headroom_and_gets_a_grant():
@@ -155,7 +155,7 @@
         local.acquirer.release(first[0])
         return (await waiting).replica
 
-    assert play(test) == "e0"
+    assert run_on_two_nodes(test) == "e0"
 
 
 def test_waiting_request_goes_where_headroom_appears_first():
@@ -168,15 +168,15 @@
             await remote.acquirer.acquire(placement(f"s{n}", remote, candidate("e1")))
             for n in (1, 2)
         ]
-        both = (candidate("e0"), candidate("e1"))
-        waiting = asyncio.ensure_future(local.acquirer.acquire(placement("r3", local, *both)))
+        known = (candidate("e0"), candidate("e1"))
+        waiting = asyncio.ensure_future(local.acquirer.acquire(placement("r3", local, *known)))
         await asyncio.sleep(0.3)
         remote.acquirer.release(full[0])
         grant = await waiting
         await eventloop.until(lambda: not local.schedulers.states()["e0"].waiting)
         return grant.replica
 
-    assert play(test) == "e1"
+    assert run_on_two_nodes(test) == "e1"
 
 
 def test_refusal_after_the_wait_has_a_retry_time():
@@ -185,7 +185,7 @@
             await local.acquirer.acquire(placement(f"r{number}", local, candidate("e0")))
         return await local.acquirer.acquire(placement("r3", local, candidate("e0"), wait_s=0.2))
 
-    refusal = play(test)
+    refusal = run_on_two_nodes(test)
     assert isinstance(refusal, outcomes.Refusal)
     assert refusal.retry_after_s > 0
 
@@ -193,11 +193,11 @@
 def test_owner_without_response_is_skipped():
     async def test(local, remote):
         remote.transport.close()
-        both = (candidate("e1", room=9_500), candidate("e0", room=5_000))
-        grant = await local.acquirer.acquire(placement("r1", local, *both))
+        known = (candidate("e1", headroom=9_500), candidate("e0", headroom=5_000))
+        grant = await local.acquirer.acquire(placement("r1", local, *known))
         return grant.replica, local.unresponsive
 
-    assert play(test) == ("e0", ["n1"])
+    assert run_on_two_nodes(test) == ("e0", ["n1"])
 
 
 def test_engine_whose_owner_does_not_respond_is_used_without_a_grant():
@@ -212,7 +212,7 @@
         local.acquirer.release(grant)
         return grant.replica, grant.is_granted
 
-    assert play(test) == ("e1", False)
+    assert run_on_two_nodes(test) == ("e1", False)
 
 
 def test_engine_whose_owner_has_no_configuration_yet_is_used_without_a_grant():
@@ -227,7 +227,7 @@
         grant = await local.acquirer.acquire(placement("r1", local, candidate("e1")))
         return grant.replica, grant.is_granted
 
-    assert play(test) == ("e1", False)
+    assert run_on_two_nodes(test) == ("e1", False)
 
 
 def test_engine_whose_new_owner_is_unaware_of_it_is_used_without_a_grant():
@@ -244,14 +244,14 @@
         grant = await local.acquirer.acquire(placement("r1", local, candidate("e1")))
         return grant.replica, grant.is_granted
 
-    assert play(test) == ("e1", False)
+    assert run_on_two_nodes(test) == ("e1", False)
 
 
 def test_no_engine_at_all_is_refused():
     async def test(local, _remote):
         return await local.acquirer.acquire(placement("r1", local))
 
-    assert play(test).code == "no_replica"
+    assert run_on_two_nodes(test).code == "no_replica"
 
 
 def test_cancelled_wait_leaves_no_request_queued():
@@ -266,7 +266,7 @@
         await eventloop.until(lambda: not remote.schedulers.states()["e1"].waiting)
         return local.acquirer.active_count
 
-    assert play(test) == 0
+    assert run_on_two_nodes(test) == 0
 
 
 def test_migrated_run_is_admitted_by_the_memory_that_is_held():
@@ -279,7 +279,7 @@
         )
         return near is not None, too_large
 
-    assert play(test) == (True, None)
+    assert run_on_two_nodes(test) == (True, None)
 
 
 def test_scheduler_admits_a_migrated_run_once_and_none_while_leaving():
@@ -303,11 +303,13 @@
     """At 82 nodes, a node receives a report of most engines once in 20 s."""
 
     async def test(local, remote):
-        grant = await local.acquirer.acquire_now(placement("r1", local, stale("e1", room=0)))
-        fresh = await local.acquirer.acquire_now(placement("r2", local, candidate("e1", room=0)))
+        grant = await local.acquirer.acquire_now(placement("r1", local, stale("e1", headroom=0)))
+        fresh = await local.acquirer.acquire_now(
+            placement("r2", local, candidate("e1", headroom=0))
+        )
         return grant.replica, fresh, running(remote, "e1")
 
-    assert play(test) == ("e1", None, 1)
+    assert run_on_two_nodes(test) == ("e1", None, 1)
 
 
 def test_grant_of_another_engine_that_the_owner_chose_is_used():
@@ -316,14 +318,14 @@
         remote.schedulers.set_owned(frozenset(("e0", "e1")))
         remote.remote_scheduler.set_alternatives(lambda replica, work: ("e0", "e1"))
         grant = await local.acquirer.acquire(
-            placement("r1", local, stale("e1"), candidate("e0", room=0))
+            placement("r1", local, stale("e1"), candidate("e0", headroom=0))
         )
         held = running(remote, "e0")
         local.acquirer.release(grant)
         await eventloop.until(lambda: running(remote, "e0") == 0)
         return grant.replica, held
 
-    assert play(test) == ("e0", 1)
+    assert run_on_two_nodes(test) == ("e0", 1)
 
 
 def test_grant_of_an_unusable_engine_is_released():
@@ -337,7 +339,7 @@
         await eventloop.until(lambda: running(remote, "e0") == 0)
         return grant
 
-    assert play(test) is None
+    assert run_on_two_nodes(test) is None
 
 
 def test_each_owner_is_asked_once_in_a_round():
@@ -350,11 +352,11 @@
         )
         local.owner_by_replica["e2"] = local.owner_by_replica["e1"]
         await local.acquirer.acquire_now(
-            placement("r1", local, stale("e1", room=0), stale("e2", room=0))
+            placement("r1", local, stale("e1", headroom=0), stale("e2", headroom=0))
         )
         return len(requested)
 
-    assert play(test) == 1
+    assert run_on_two_nodes(test) == 1
 
 
 def test_under_overload_a_full_owner_is_asked_rarely_and_its_headroom_is_still_found():
@@ -393,7 +395,7 @@
             each.cancel()
         return immediate_count, [each.result().replica for each in done]
 
-    immediate_count, granted = play(test)
+    immediate_count, granted = run_on_two_nodes(test)
     # Each sends one request before the first response arrives; then one is sent each 0.1 s.
     assert immediate_count <= 40 + 10
     assert granted == ["e1"]
--- a/tests/grants/test_grantacquirer.py
+++ b/tests/grants/test_grantacquirer.py
@@ -17,13 +17,13 @@
 class FakeOwners(grantacquirer.ReplicaOwners):
     def __init__(self, remote):
         self.remote = remote
-        self.silent = []
+        self.unresponsive = []
 
     def owner(self, replica):
         return REMOTE if replica in self.remote else None
 
     def record_no_response(self, owner):
-        self.silent.append(owner)
+        self.unresponsive.append(owner)
 
 
 class FakeClient:
@@ -39,11 +39,11 @@
         self.requested.append(names[request.replica])
         return self.response_by_replica[self.requested[-1]]
 
-    def note(self, number, produced):
-        self.calls.append(("note", number, produced))
+    def note(self, grant_id, produced):
+        self.calls.append(("note", grant_id, produced))
 
-    def close(self, number):
-        self.calls.append(("close", number))
+    def close(self, grant_id):
+        self.calls.append(("close", grant_id))
 
 
 class Site:
@@ -57,7 +57,7 @@
         self.owners = FakeOwners(remote)
         self.client = FakeClient(**response_by_replica)
         self.caller_gone = threading.Event()
-        self.room_by_replica = {"e1": 90_000, "e2": 900}
+        self.headroom_by_replica = {"e1": 90_000, "e2": 900}
         settings = candidates.RoutingSettings(failure_domain="d1")
         self.acquirer = grantacquirer.GrantAcquirer(
             self.requester.clock,
@@ -68,25 +68,25 @@
             settings,
         )
 
-    def placement(self, name="r1", prompt=20, is_gone=None):
+    def placement(self, name="r1", prompt=20, is_caller_gone=None):
         work = outcomes.Work(name, "chat", "clerks", 0, prompt)
         deadline = self.requester.clock.now() + 3.0
         return grantacquirer.PlacementRequest(
-            work, 1.0, deadline, is_gone or self.caller_gone.is_set
+            work, 1.0, deadline, is_caller_gone or self.caller_gone.is_set
         )
 
     def acquire(self, *args, **kwargs):
-        return self.acquirer.acquire(self.placement(*args, **kwargs), self.known)
+        return self.acquirer.acquire(self.placement(*args, **kwargs), self.list_candidates)
 
-    def known(self):
+    def list_candidates(self):
         return [
             candidates.Candidate(
-                name, "n2", name not in self.owners.remote, room, 0, 0.0, 0.0, "d1"
+                name, "n2", name not in self.owners.remote, headroom, 0, 0.0, 0.0, "d1"
             )
-            for name, room in self.room_by_replica.items()
+            for name, headroom in self.headroom_by_replica.items()
         ]
 
-    def held(self):
+    def held_count(self):
         states = self.schedulers.states().values()
         return sum(state.running + state.waiting for state in states)
 
@@ -96,8 +96,8 @@
                 self.requester.request(replica, f"{replica}-{number}", prompt=900)
 
 
-def granted(number):
-    return messages.GrantResponse(number, messages.GrantKind.GRANTED)
+def granted(grant_id):
+    return messages.GrantResponse(grant_id, messages.GrantKind.GRANTED)
 
 
 def refused(code="queue_full"):
@@ -107,13 +107,13 @@
 def test_a_local_grant_is_released_once():
     site = Site()
     grant = site.acquire()
-    assert (grant.replica, grant.grant_id, site.held()) == ("e1", None, 1)
+    assert (grant.replica, grant.grant_id, site.held_count()) == ("e1", None, 1)
     assert site.acquirer.active_count == 1
     grant.release()
-    assert (site.held(), site.acquirer.active_count) == (0, 0)
+    assert (site.held_count(), site.acquirer.active_count) == (0, 0)
     site.requester.request("e1", grant.request_id)
     grant.release()
-    assert site.held() == 1
+    assert site.held_count() == 1
 
 
 def test_a_remote_grant_is_released_once_with_its_tokens():
@@ -132,7 +132,9 @@
     site = Site(remote={"e1"}, e1=answer)
     grant = site.acquire()
     assert (grant.replica, site.client.requested) == ("e2", ["e1"])
-    assert site.owners.silent == (["n2"] if isinstance(answer, grantrequests.NoResponse) else [])
+    assert site.owners.unresponsive == (
+        ["n2"] if isinstance(answer, grantrequests.NoResponse) else []
+    )
 
 
 def test_of_several_refusals_the_one_with_the_earliest_retry_is_returned():
@@ -166,14 +168,14 @@
 def test_headroom_elsewhere_ends_a_wait_and_frees_the_queue_position():
     site = Site()
     site.fill("e1")
-    before = site.held()
+    before = site.held_count()
     thread, results = acquire_in_thread(site)
-    site.room_by_replica["e2"] = 90_000
+    site.headroom_by_replica["e2"] = 90_000
     thread.join(callerside.PATIENCE_S)
     assert results[0].replica == "e2"
-    assert site.held() == before + 1
+    assert site.held_count() == before + 1
     results[0].release()
-    assert (site.held(), site.acquirer.active_count) == (before, 0)
+    assert (site.held_count(), site.acquirer.active_count) == (before, 0)
 
 
 def test_a_caller_that_disconnects_frees_its_queue_position():
@@ -183,10 +185,10 @@
     """
     site = Site()
     site.fill("e1", "e2")
-    before = site.held()
+    before = site.held_count()
     site.caller_gone.set()
     assert site.acquire(prompt=900).code == "queue_timeout"
-    assert site.held() == before
+    assert site.held_count() == before
 
 
 def test_a_late_refusal_of_one_replica_does_not_end_the_wait_at_another():
@@ -223,4 +225,4 @@
     waited_s = site.requester.clock.now() - started_at
     assert grantacquirer.UNOWNED_TIMEOUT_S <= waited_s <= grantacquirer.UNOWNED_TIMEOUT_S + 0.2
     grant.release()
-    assert (site.held(), site.client.calls) == (0, [])
+    assert (site.held_count(), site.client.calls) == (0, [])
--- a/tests/grants/test_migrationcoordinator.py
+++ b/tests/grants/test_migrationcoordinator.py
@@ -56,7 +56,7 @@
     return coordinator_by_name
 
 
-def play(loss, work_s=0.01):
+def migrate_all(loss, work_s=0.01):
     """Migrate nine runs of three nodes; return their order and the most at one time."""
 
     async def main():
@@ -89,16 +89,16 @@
 
 
 def test_runs_of_all_nodes_are_migrated_one_at_a_time_smallest_first():
-    order, most = play(0.0)
+    order, most = migrate_all(0.0)
     assert (order, most) == ([100 * n for n in range(1, 10)], 1)
 
 
 def test_every_run_is_migrated_despite_lost_datagrams():
-    order, _ = play(0.2)
+    order, _ = migrate_all(0.2)
     assert sorted(order) == [100 * n for n in range(1, 10)]
 
 
-def test_silent_owner_is_not_waited_for():
+def test_run_does_not_wait_for_an_unresponsive_owner():
     """An engine's owner crashes while the engine is stopping.
 
     If the runs waited for the owner's slots, all of them would be lost.
--- a/tests/grants/test_migrationslots.py
+++ b/tests/grants/test_migrationslots.py
@@ -39,7 +39,7 @@
     assert "last" in served
 
 
-def test_smallest_run_goes_first():
+def test_smallest_run_gets_the_first_slot():
     slots = migrationslots.MigrationSlots()
     for name, tokens in (("a", 300), ("b", 100), ("c", 200)):
         slots.request("e", run(name, tokens), 0.0)
--- a/tests/grants/test_remotescheduler.py
+++ b/tests/grants/test_remotescheduler.py
@@ -55,7 +55,7 @@
 
 
 def test_an_immediate_request_is_refused_and_not_queued():
-    """Under overload each request asks several owners and could not withdraw from each queue."""
+    """Under overload a request asks several owners; it must not be left in all their queues."""
     owner = Owner()
     schedulers = owner.schedulers
     now = dataclasses.replace(lossynetwork.make_ask(1), at_once=True)
--- a/tests/grants/test_replicascheduler.py
+++ b/tests/grants/test_replicascheduler.py
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("age_s", [0.0, 3.0])
 def test_a_silent_replica_gives_no_grants(age_s):
-    """A replica is decided to leave while the connection from its owner is cut.
+    """A replica is told to leave while the connection from its owner is cut.
 
     The owner does not learn of it. Without a limit on the age of the last report, it would
     send new work for as long as the connection is cut.
@@ -222,23 +222,27 @@
     assert [each.request_id for each in scheduler.process_queue(0.5)] == ["r3"]
 
 
-class PacedGate(startgate.StartGate):
+class LimitedGate(startgate.StartGate):
     """Lets a number of requests start, and refuses the rest."""
 
-    def __init__(self, left):
-        self.left = left
+    def __init__(self, remaining):
+        self.remaining = remaining
 
     def refusal(self, replica_id, now):
-        return None if self.left else outcomes.Refusal("replica_cold", 503, "", retry_after_s=0.1)
+        return (
+            None
+            if self.remaining
+            else outcomes.Refusal("replica_cold", 503, "", retry_after_s=0.1)
+        )
 
     def started(self, replica_id, now):
-        self.left -= 1
+        self.remaining -= 1
 
 
 def test_a_request_that_the_gate_holds_back_is_refused_and_not_queued():
     """Requests must not wait for a cold replica while others have headroom."""
     scheduler = make_scheduler()
-    scheduler.gate = PacedGate(1)
+    scheduler.gate = LimitedGate(1)
     assert request(scheduler, "r1") == replicascheduler.Granted("r1", "e1")
     assert request(scheduler, "r2").code == "replica_cold"
     assert scheduler.admit_migration(work("r3"), 5, 0.0).code == "replica_cold"
@@ -249,7 +253,7 @@
     scheduler = make_scheduler()
     request(scheduler, "r1", prompt=HUGE)
     request(scheduler, "r2", prompt=HUGE)
-    scheduler.gate = PacedGate(0)
+    scheduler.gate = LimitedGate(0)
     assert answers(scheduler.process_queue(0.1))["r2"].code == "replica_cold"
     scheduler.finish("r1", 0.2)
     assert (scheduler.running_count, scheduler.queued_count) == (0, 0)
--- a/tests/grants/test_schedulerset.py
+++ b/tests/grants/test_schedulerset.py
@@ -57,7 +57,7 @@
         super().__init__()
         self.requester = Requester()
         self.count = 0
-        self.replica_by_waiting = {}
+        self.replica_by_queued = {}
         self.replica_by_running = {}
         self.configured = set(REPLICAS)
         for replica in REPLICAS:
@@ -76,14 +76,14 @@
         if isinstance(answer, replicascheduler.Granted):
             self.replica_by_running[name] = replica
         elif isinstance(answer, replicascheduler.Queued):
-            self.replica_by_waiting[name] = replica
+            self.replica_by_queued[name] = replica
         else:
             assert answer.run is outcomes.RunStatus.NOT_RUN
 
-    @stateful.precondition(lambda self: self.replica_by_waiting or self.replica_by_running)
+    @stateful.precondition(lambda self: self.replica_by_queued or self.replica_by_running)
     @stateful.rule(data=st.data())
     def request_again(self, data):
-        known = self.replica_by_waiting | self.replica_by_running
+        known = self.replica_by_queued | self.replica_by_running
         name = data.draw(st.sampled_from(sorted(known)))
         if known[name] not in self.configured:
             return
@@ -93,12 +93,12 @@
             answer, replicascheduler.Granted if is_running else replicascheduler.Queued
         )
 
-    @stateful.precondition(lambda self: self.replica_by_waiting or self.replica_by_running)
+    @stateful.precondition(lambda self: self.replica_by_queued or self.replica_by_running)
     @stateful.rule(data=st.data(), times=st.integers(1, 2))
     def finish(self, data, times):
-        known = self.replica_by_waiting | self.replica_by_running
+        known = self.replica_by_queued | self.replica_by_running
         name = data.draw(st.sampled_from(sorted(known)))
-        self.replica_by_waiting.pop(name, None)
+        self.replica_by_queued.pop(name, None)
         self.replica_by_running.pop(name, None)
         for _ in range(times):
             self.requester.schedulers.finish(known[name], name)
@@ -125,8 +125,8 @@
     def configure(self, names, max_waiting):
         self.requester.schedulers.configure(dict.fromkeys(names, spec(max_waiting)))
         self.configured = set(names)
-        gone = [n for n, r in self.replica_by_running.items() if r not in self.configured]
-        for name in gone:
+        removed = [n for n, r in self.replica_by_running.items() if r not in self.configured]
+        for name in removed:
             del self.replica_by_running[name]
 
     @stateful.invariant()
@@ -134,22 +134,22 @@
         self.requester.schedulers.process_queues()
         for name, received in self.requester.outcomes_by_id.items():
             assert len(received) <= 1, name
-            if received and name in self.replica_by_waiting:
-                replica = self.replica_by_waiting.pop(name)
+            if received and name in self.replica_by_queued:
+                replica = self.replica_by_queued.pop(name)
                 if isinstance(received[0].answer, replicascheduler.Granted):
                     self.replica_by_running[name] = replica
                 else:
                     assert received[0].answer.run is outcomes.RunStatus.NOT_RUN
         states = self.requester.schedulers.states()
         running = collections.Counter(self.replica_by_running.values())
-        queued = collections.Counter(self.replica_by_waiting.values())
+        queued = collections.Counter(self.replica_by_queued.values())
         for replica in REPLICAS:
             state = states.get(replica)
             assert (state.running if state else 0) == running[replica]
             assert (state.waiting if state else 0) == queued[replica]
 
     def teardown(self):
-        for name, replica in (self.replica_by_waiting | self.replica_by_running).items():
+        for name, replica in (self.replica_by_queued | self.replica_by_running).items():
             self.requester.schedulers.finish(replica, name)
         states = self.requester.schedulers.states().values()
         assert all(state.running == state.waiting == 0 for state in states)
