--- a/hornbeamglade/membership/addresses.py
+++ b/hornbeamglade/membership/addresses.py
@@ -17,8 +17,8 @@
 and limits of a team are then spread over all nodes); *one node per team* (best for
 prefix caching, but a large team exceeds the capacity of a node, and the loss of the
 node stops the team until its callers fall back); *selection by load reports* (callers
-keep a list for much longer than a load report stays valid, and all who ask at the
-same time get the same least loaded node).
+keep a list for much longer than a load report stays valid, and all callers that fetch
+a list at the same time get the same least loaded node).
 
 Leaving nodes are excluded. When no node is live, suspects are returned, or else
 leaving nodes: an address that may work is better than an empty list.
--- a/hornbeamglade/quarantine/__init__.py
+++ b/hornbeamglade/quarantine/__init__.py
@@ -8,6 +8,7 @@
 - :mod:`hornbeamglade.quarantine.quarantinelist`: the requests in quarantine
 - :mod:`hornbeamglade.quarantine.quarantinerows`: their rows in the store
 - :mod:`hornbeamglade.quarantine.quarantinewriter`: writes these rows
-- :mod:`hornbeamglade.quarantine.retransmissions`: what is sent a few times
-- :mod:`hornbeamglade.quarantine.requestquarantine`: what instances tell each other of all that
+- :mod:`hornbeamglade.quarantine.retransmissions`: scheduling of retransmitted messages
+- :mod:`hornbeamglade.quarantine.requestquarantine`: the quarantine of one
+  instance, and its exchange with other instances
 """
--- a/hornbeamglade/replicas/availability.py
+++ b/hornbeamglade/replicas/availability.py
@@ -86,7 +86,7 @@
     def list_changed(
         self, changes: collections.abc.Iterable[replicalist.ListChange], now: float
     ) -> None:
-        """Start the slow start of replicas that the list adds or changes as cold."""
+        """Begin the slow start of replicas whose added or changed entry marks them as cold."""
         for change in changes:
             if change.kind in (ADDED, CHANGED) and change.replica.warm_in_s > 0.0:
                 self._begin_slow_start(change.replica, change.replica.warm_in_s, change.kind, now)
@@ -170,24 +170,24 @@
         self._slow_starts.started(replica_id, now)
 
     def _begin_slow_start(
-        self, replica: models.Replica, lasts_s: float | None, reason: str, now: float
+        self, replica: models.Replica, duration_s: float | None, reason: str, now: float
     ) -> None:
         """Start the slow start of a replica.
 
-        :param lasts_s: its duration, or None for the slow start period of the service.
+        :param duration_s: its duration, or None for the slow start period of the service.
         :param reason: the reason for the slow start, for the log.
         """
         service = self._service_by_name.get(replica.service)
         if service is None or service.slow_start is None:
             return
-        if lasts_s is None:
-            lasts_s = service.slow_start.duration_s
+        if duration_s is None:
+            duration_s = service.slow_start.duration_s
         bound_per_s = self._bound.per_s(service.slow_start.requests_per_s)
         if service.engine is not None:
             interval_s = slowstart.owned_interval_s(bound_per_s)
         else:
             interval_s = slowstart.shared_interval_s(bound_per_s, self._instances)
-        is_new = self._slow_starts.begin(replica.id, now + lasts_s, interval_s, now)
+        is_new = self._slow_starts.begin(replica.id, now + duration_s, interval_s, now)
         # For an added replica the log line of the addition contains the time it is cold.
         if is_new and reason != ADDED:
             logs.state_changed(
@@ -196,6 +196,6 @@
                 "cold",
                 replica=replica.id,
                 reason=reason,
-                seconds=lasts_s,
+                seconds=duration_s,
                 wait_s=round(interval_s, 3),
             )
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -31,28 +31,28 @@
 
 def test_a_small_cluster_sends_to_every_node():
     view = make_view(6)
-    plan = dissemination.Dissemination(random.Random(1))
-    assert names_of(plan.plan(others(view), 0.0)) == ["n1", "n2", "n3", "n4", "n5"]
-    assert not plan.is_due(0.4)
-    assert plan.is_due(0.5)
+    scheduler = dissemination.Dissemination(random.Random(1))
+    assert names_of(scheduler.plan(others(view), 0.0)) == ["n1", "n2", "n3", "n4", "n5"]
+    assert not scheduler.is_due(0.4)
+    assert scheduler.is_due(0.5)
 
 
 def test_a_large_cluster_samples_peers_and_reaches_each_within_a_bounded_time():
     view = make_view(21)
-    plan = dissemination.Dissemination(random.Random(1))
-    rounds = [plan.plan(others(view), float(number)) for number in range(10)]
+    scheduler = dissemination.Dissemination(random.Random(1))
+    rounds = [scheduler.plan(others(view), float(number)) for number in range(10)]
     assert all(len(targets) == dissemination.FANOUT for targets in rounds)
     assert len({name for targets in rounds for name in names_of(targets)}) == 20
 
 
 def test_an_update_is_spread_for_a_bounded_number_of_rounds():
     view = make_view(6)
-    plan = dissemination.Dissemination(random.Random(1))
+    scheduler = dissemination.Dissemination(random.Random(1))
     (change,) = [each for each in view.changes(0.0) if each.member.incarnation]
-    plan.add_change(change, nodes=6)
+    scheduler.add_change(change, nodes=6)
     rounds = 0
-    while plan.updates():
-        plan.plan(others(view), 3.0)
+    while scheduler.updates():
+        scheduler.plan(others(view), 3.0)
         rounds += 1
     assert rounds == dissemination.UPDATE_ROUNDS_FACTOR * 3
 
--- a/tests/quarantine/test_crashdetector.py
+++ b/tests/quarantine/test_crashdetector.py
@@ -30,90 +30,90 @@
             ),
             self.clock,
         )
-        self.take(REPLICA)
+        self.update_list(REPLICA)
 
     async def probe(self, address):
         self.probed.append(address)
         await asyncio.sleep(0)
         return self.listens
 
-    def take(self, *present, gone=()):
+    def update_list(self, *present, gone=()):
         changes = self.list.update(present, gone, self.list.version + 1)
         self.detector.list_changed(changes)
 
 
-async def settled():
+async def run_pending_tasks():
     for _ in range(5):
         await asyncio.sleep(0)
 
 
-def play(test, **more):
+def run_scenario(test, **more):
     async def main():
         harness = DetectorHarness(**more)
         await test(harness)
-        await settled()
+        await run_pending_tasks()
         return harness
 
     return eventloop.run(main())
 
 
-async def lose_two(harness):
+async def lose_two_runs(harness):
     harness.detector.run_lost(7, REPLICA, 0.0)
     harness.detector.run_lost(8, REPLICA, 0.0)
 
 
 def test_a_replica_that_refuses_connections_has_crashed_and_is_probed_once():
-    harness = play(lose_two)
+    harness = run_scenario(lose_two_runs)
     assert harness.crashes == [("e1", [7, 8])]
     assert harness.probed == [REPLICA.address]
 
 
 def test_a_run_lost_after_the_crash_of_its_replica_was_detected_is_reported_too():
     async def test(harness):
-        await lose_two(harness)
-        await settled()
+        await lose_two_runs(harness)
+        await run_pending_tasks()
         harness.detector.run_lost(9, REPLICA, 0.0)
 
-    assert play(test).crashes == [("e1", [7, 8]), ("e1", [9])]
+    assert run_scenario(test).crashes == [("e1", [7, 8]), ("e1", [9])]
 
 
 def test_a_response_aborted_by_a_live_replica_is_no_crash():
     """Guards requests against false evidence from connection resets and truncated responses."""
 
     async def test(harness):
-        await lose_two(harness)
-        await settled()
-        harness.take(gone=["e1"])
+        await lose_two_runs(harness)
+        await run_pending_tasks()
+        harness.update_list(gone=["e1"])
 
-    assert play(test, listens=True).crashes == []
+    assert run_scenario(test, listens=True).crashes == []
 
 
 def test_an_unreachable_machine_has_crashed_when_its_entry_expires():
     """Guards against missing a crash after which no connection is refused."""
 
     async def test(harness):
-        await lose_two(harness)
-        await settled()
+        await lose_two_runs(harness)
+        await run_pending_tasks()
         harness.clock.advance(4.0)
-        harness.take(gone=["e1"])
+        harness.update_list(gone=["e1"])
 
-    assert play(test, listens=None).crashes == [("e1", [7, 8])]
+    assert run_scenario(test, listens=None).crashes == [("e1", [7, 8])]
 
 
 def test_a_run_without_response_at_a_replica_with_an_expired_entry_was_ended_by_a_crash():
     async def test(harness):
-        harness.take(gone=["e1"])
+        harness.update_list(gone=["e1"])
         harness.detector.run_unanswered(7, REPLICA, 0.0)
 
-    assert play(test).crashes == [("e1", [7])]
+    assert run_scenario(test).crashes == [("e1", [7])]
 
 
 def test_a_replica_that_was_removed_before_its_connections_closed_stopped_as_planned():
     async def test(harness):
-        harness.take(gone=["e1"])
+        harness.update_list(gone=["e1"])
         harness.detector.run_lost(7, REPLICA, 0.0)
 
-    assert play(test).crashes == []
+    assert run_scenario(test).crashes == []
 
 
 @pytest.mark.parametrize("by_report", [True, False])
@@ -124,29 +124,29 @@
         if by_report:
             harness.reported.add("e1")
         else:
-            harness.take(dataclasses.replace(REPLICA, is_leaving=True))
-        await lose_two(harness)
-        await settled()
-        harness.take(gone=["e1"])
+            harness.update_list(dataclasses.replace(REPLICA, is_leaving=True))
+        await lose_two_runs(harness)
+        await run_pending_tasks()
+        harness.update_list(gone=["e1"])
         harness.detector.run_unanswered(9, REPLICA, 0.0)
 
-    assert play(test).crashes == []
+    assert run_scenario(test).crashes == []
 
 
 def test_a_server_that_restarts_with_the_same_name_has_crashed():
     async def test(harness):
-        harness.take(dataclasses.replace(REPLICA, id="e1@5", name="e1", started_ms=5))
+        harness.update_list(dataclasses.replace(REPLICA, id="e1@5", name="e1", started_ms=5))
         harness.detector.run_lost(7, REPLICA, 0.0)
 
-    assert play(test).crashes == [("e1", [7])]
+    assert run_scenario(test).crashes == [("e1", [7])]
 
 
 def test_lost_runs_of_a_replica_that_remains_listed_are_forgotten():
     async def test(harness):
-        await lose_two(harness)
-        await settled()
+        await lose_two_runs(harness)
+        await run_pending_tasks()
         harness.clock.advance(crashdetector.UNLISTED_TIMEOUT_S + 1.0)
         harness.detector.forget_old()
-        harness.take(gone=["e1"])
+        harness.update_list(gone=["e1"])
 
-    assert play(test, listens=None).crashes == []
+    assert run_scenario(test, listens=None).crashes == []
--- a/tests/quarantine/test_requestquarantine.py
+++ b/tests/quarantine/test_requestquarantine.py
@@ -15,7 +15,7 @@
 from hornbeamglade.store import contract, memory
 from tests.exchange import lossynetwork
 
-CONTACT_S = 3.0
+REACTION_BOUND_S = 3.0
 FATAL = 7
 """The fingerprint of the request that crashes replicas."""
 
@@ -127,7 +127,7 @@
     for number in range(crashledger.CRASH_THRESHOLD):
         site.run(0.3)
         site.crash(connected[number], f"e{number}")
-    site.run(CONTACT_S)
+    site.run(REACTION_BOUND_S)
     assert site.refusing() >= set(connected)
 
 
@@ -140,7 +140,7 @@
     for number in range(crashledger.CRASH_THRESHOLD):
         site.run(0.3)
         site.crash(connected[number], f"e{number}", (trial,))
-    site.run(DETECTION_S + CONTACT_S)
+    site.run(DETECTION_S + REACTION_BOUND_S)
     assert site.refusing(trial) >= set(connected)
 
 
@@ -155,7 +155,7 @@
     assert "n5" not in site.refusing()
     site.partition(())
     site.start("n4")
-    site.run(CONTACT_S)
+    site.run(REACTION_BOUND_S)
     assert site.refusing() == set(site.names)
 
 
--- a/tests/replicas/test_availability.py
+++ b/tests/replicas/test_availability.py
@@ -15,7 +15,7 @@
 from hornbeamglade.routes import models as routemodels
 
 
-def available():
+def make_availability():
     listed = replicalist.ReplicaList()
     domains = (("e0", "a"), ("e1", "b"), ("e2", "b"))
     listed.replace(
@@ -39,85 +39,85 @@
 
 
 def test_evacuated_domain_gets_no_requests_until_the_evacuation_ends():
-    known = available()
-    assert ids(known.usable("llm")) == ["e0", "e1"]
-    assert known.apply_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0) == {"a"}
-    assert ids(known.usable("llm")) == ["e1"]
-    assert known.refusal("e0", 0.0).code == "replica_evacuated"
-    assert known.refusal("e1", 0.0) is None
-    assert known.apply_evacuations(evacuations.Evacuations(9), 0.0) == {"a"}
-    assert ids(known.usable("llm")) == ["e0", "e1"]
+    available = make_availability()
+    assert ids(available.usable("llm")) == ["e0", "e1"]
+    assert available.apply_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0) == {"a"}
+    assert ids(available.usable("llm")) == ["e1"]
+    assert available.refusal("e0", 0.0).code == "replica_evacuated"
+    assert available.refusal("e1", 0.0) is None
+    assert available.apply_evacuations(evacuations.Evacuations(9), 0.0) == {"a"}
+    assert ids(available.usable("llm")) == ["e0", "e1"]
 
 
 def test_older_state_of_evacuations_is_ignored():
-    known = available()
-    known.apply_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0)
-    assert not known.apply_evacuations(evacuations.Evacuations(4), 0.0)
-    assert ids(known.usable("llm")) == ["e1"]
+    available = make_availability()
+    available.apply_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0)
+    assert not available.apply_evacuations(evacuations.Evacuations(4), 0.0)
+    assert ids(available.usable("llm")) == ["e1"]
 
 
 def test_two_domains_may_be_evacuated_at_once():
-    known = available()
-    known.apply_evacuations(evacuations.Evacuations(5, frozenset("ab")), 0.0)
-    assert not known.usable("llm")
+    available = make_availability()
+    available.apply_evacuations(evacuations.Evacuations(5, frozenset("ab")), 0.0)
+    assert not available.usable("llm")
 
 
-def cold_site(engine):
+def with_slow_start(engine):
     """Return replicas of a service that accept ten requests per second after their start."""
-    known = available()
+    available = make_availability()
     start = routemodels.SlowStart(requests_per_s=10.0, duration_s=3.0)
-    known.configure({"llm": routemodels.Service("llm", "/h", 50, engine, start)})
-    return known
+    available.configure({"llm": routemodels.Service("llm", "/h", 50, engine, start)})
+    return available
 
 
 def test_replica_is_cold_for_the_time_in_its_entry():
-    known = cold_site(None)
+    available = with_slow_start(None)
     replica = models.Replica("e3", "llm", "10.0.0.9:1", "a", 8, warm_in_s=2.0)
-    known.list_changed(known.replicas.update([replica], [], 2), 10.0)
-    assert known.is_cold("e3", 11.9)
-    assert not known.is_cold("e3", 12.0)
+    available.list_changed(available.replicas.update([replica], [], 2), 10.0)
+    assert available.is_cold("e3", 11.9)
+    assert not available.is_cold("e3", 12.0)
 
 
 def test_replicas_are_cold_after_the_evacuation_of_their_domain():
-    known = cold_site(None)
-    known.apply_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0)
-    known.apply_evacuations(evacuations.Evacuations(6), 10.0)
-    assert [name for name in ("e0", "e1") if known.is_cold(name, 10.1)] == ["e0"]
-    assert not known.is_cold("e0", 13.0)
+    available = with_slow_start(None)
+    available.apply_evacuations(evacuations.Evacuations(5, frozenset("a")), 0.0)
+    available.apply_evacuations(evacuations.Evacuations(6), 10.0)
+    assert [name for name in ("e0", "e1") if available.is_cold(name, 10.1)] == ["e0"]
+    assert not available.is_cold("e0", 13.0)
 
 
 def test_cold_replica_refuses_until_the_next_request_is_allowed():
-    known = cold_site(None)
+    available = with_slow_start(None)
     replica = models.Replica("e3", "llm", "10.0.0.9:1", "a", 8, warm_in_s=30.0)
-    known.list_changed(known.replicas.update([replica], [], 2), 0.0)
-    first_at = known.cold_wait_s("e3", 0.0)
-    assert known.refusal("e3", first_at) is None
-    known.started("e3", first_at)
-    refusal = known.refusal("e3", first_at)
+    available.list_changed(available.replicas.update([replica], [], 2), 0.0)
+    first_at = available.cold_wait_s("e3", 0.0)
+    assert available.refusal("e3", first_at) is None
+    available.started("e3", first_at)
+    refusal = available.refusal("e3", first_at)
     assert refusal.code == "replica_cold"
     assert 0.0 < refusal.retry_after_s <= 30.0
 
 
 def test_replica_of_a_service_without_slow_start_is_not_cold():
-    known = available()
+    available = make_availability()
     replica = models.Replica("e3", "llm", "10.0.0.9:1", "a", 8, warm_in_s=30.0)
-    known.list_changed(known.replicas.update([replica], [], 2), 0.0)
-    assert not known.is_cold("e3", 0.1)
+    available.list_changed(available.replicas.update([replica], [], 2), 0.0)
+    assert not available.is_cold("e3", 0.1)
 
 
 def test_only_replicas_in_allowed_regions_are_usable():
-    known = available()
-    assert ids(known.usable("llm", frozenset("r"))) == ["e0"]
-    assert ids(known.usable("llm", frozenset("s"))) == ["e1"]
-    assert ids(known.usable("llm", frozenset())) == []
-    assert ids(known.usable("llm", frozenset("rs"))) == ["e0", "e1"]
+    available = make_availability()
+    assert ids(available.usable("llm", frozenset("r"))) == ["e0"]
+    assert ids(available.usable("llm", frozenset("s"))) == ["e1"]
+    assert ids(available.usable("llm", frozenset())) == []
+    assert ids(available.usable("llm", frozenset("rs"))) == ["e0", "e1"]
 
 
 def test_failure_domain_of_unknown_region_is_in_no_region():
-    known = available()
-    known.replicas.update([models.Replica("e9", "llm", "10.0.0.9:1", "z", 8)], [], 2)
-    assert ids(known.usable("llm")) == ["e0", "e1", "e9"]
-    assert ids(known.usable("llm", frozenset("rs"))) == ["e0", "e1"]
+    available = make_availability()
+    available.replicas.update([models.Replica("e9", "llm", "10.0.0.9:1", "z", 8)], [], 2)
+    assert ids(available.usable("llm")) == ["e0", "e1", "e9"]
+    assert ids(available.usable("llm", frozenset("rs"))) == ["e0", "e1"]
 
 
 def test_a_slow_start_is_logged_only_if_no_other_line_contains_it(monkeypatch):
@@ -126,12 +126,12 @@
     monkeypatch.setattr(
         availability.logs, "state_changed", lambda *states, **fields: lines.append(fields)
     )
-    known = cold_site(None)
+    available = with_slow_start(None)
     replica = models.Replica("e3", "llm", "10.0.0.9:1", "a", 8, warm_in_s=2.0)
-    known.list_changed(known.replicas.update([replica], [], 2), 0.0)
-    known.forget_ended(2.0)
+    available.list_changed(available.replicas.update([replica], [], 2), 0.0)
+    available.forget_ended(2.0)
     again = dataclasses.replace(replica, warm_in_s=1.0)
-    known.list_changed(known.replicas.update([again], [], 3), 5.0)
+    available.list_changed(available.replicas.update([again], [], 3), 5.0)
     assert [(each["replica"], each["reason"], each["seconds"]) for each in lines] == [
         ("e3", "changed", 1.0)
     ]
--- a/tests/replicas/test_ratelimits.py
+++ b/tests/replicas/test_ratelimits.py
@@ -14,13 +14,13 @@
     """Return the changes of limits that are logged."""
     written = []
 
-    def take(message):
+    def record(message):
         if message.get("subject") == "replica_limit":
             written.append((message["before"], message["after"], message["code"]))
 
-    eliot.add_destinations(take)
+    eliot.add_destinations(record)
     yield written
-    eliot.remove_destination(take)
+    eliot.remove_destination(record)
 
 
 def test_a_limit_holds_until_a_response_reports_another_one_or_none(lines):
