--- a/hornbeamglade/claims/__init__.py
+++ b/hornbeamglade/claims/__init__.py
@@ -1,4 +1,4 @@
-"""At most one run of each request that is not repeatable."""
+"""Ensures that each non-repeatable request runs at most once."""
 
 from hornbeamglade.claims.claimsettings import ClaimSettings
 from hornbeamglade.claims.claimstore import ClaimStore
--- a/hornbeamglade/claims/claimprogress.py
+++ b/hornbeamglade/claims/claimprogress.py
@@ -1,4 +1,4 @@
-"""Which claims of this process may still dispatch."""
+"""Tracks which claims of this process may still dispatch."""
 
 import enum
 import threading
@@ -15,7 +15,7 @@
 class OpenClaims:
     """The claims that were granted and have not ended; thread-safe.
 
-    :param clock: its monotonic time bounds the dispatch.
+    :param clock: its monotonic time limits the dispatch.
     :param dispatch_within_s: seconds from a claim's start in which it may dispatch.
     """
 
@@ -26,25 +26,25 @@
         self._progress_by_attempt: dict[str, _Progress] = {}
 
     def open(self, claim: claimvalues.Claim) -> None:
-        """Note that the claim was granted."""
+        """Record that the claim was granted."""
         with self._lock:
             self._progress_by_attempt[claim.attempt] = _Progress.READY
 
     def close(self, claim: claimvalues.Claim) -> bool:
-        """Note that the claim has ended; return whether it was open."""
+        """Record that the claim has ended; return whether it was open."""
         with self._lock:
             return self._progress_by_attempt.pop(claim.attempt, None) is not None
 
     def in_time(self, started_at: float) -> bool:
-        """Return whether an attempt that started then may still dispatch.
+        """Return whether an attempt with this start time may still dispatch.
 
-        A node that was paused since must not: its caller was given up, and after
-        the retention the key may be another attempt's.
+        A node that was paused for longer must not: its caller has given up, and after the
+        retention period the key may belong to another attempt.
         """
         return self._clock.now() - started_at <= self._dispatch_within_s
 
     def dispatch(self, claim: claimvalues.Claim) -> bool:
-        """Note that the request is sent now, if it may be; return whether it may."""
+        """Record the dispatch if it is allowed; return whether it is."""
         with self._lock:
             if self._progress_by_attempt.get(claim.attempt) is not _Progress.READY:
                 return False
@@ -54,7 +54,7 @@
             return True
 
     def note_not_run(self, claim: claimvalues.Claim) -> None:
-        """Note that the backend server refused the dispatch as not run."""
+        """Record that the backend server refused the dispatch as not run."""
         with self._lock:
             if claim.attempt in self._progress_by_attempt:
                 self._progress_by_attempt[claim.attempt] = _Progress.READY
--- a/hornbeamglade/claims/claimrecords.py
+++ b/hornbeamglade/claims/claimrecords.py
@@ -9,11 +9,11 @@
 
 
 class ClaimState(enum.StrEnum):
-    """Where a claim stands.
+    """The state of a claim.
 
-    ``RELEASED`` is a row of its own rather than a deleted one: versions go on
-    growing, so a late write that was conditioned on an older version, or on
-    the row's absence, can never take effect.
+    ``RELEASED`` is written as a row rather than by deleting the row, so that versions keep
+    growing. A late write that is conditional on an older version, or on the absence of the
+    row, can then never take effect.
     """
 
     CLAIMED = "claimed"
@@ -23,10 +23,10 @@
 
 
 class AnswerRecord(pydantic.BaseModel):
-    """A recorded answer: inline, or in the object store.
+    """A recorded answer, stored inline or in the object store.
 
-    :param body: base64, when it is small.
-    :param object_key: where the base64 body is kept, when it is not.
+    :param body: the base64 body if it is small.
+    :param object_key: the key of the object with the base64 body otherwise.
     """
 
     model_config = pydantic.ConfigDict(frozen=True)
@@ -40,7 +40,7 @@
 class ClaimRecord(pydantic.BaseModel):
     """One claim.
 
-    :param wall_s: when it was written, in seconds since the epoch.
+    :param wall_s: time of the write, in seconds since the epoch.
 
     Examples
     ========
@@ -60,7 +60,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "ClaimRecord | None":
-        """Return the record, or None when this release cannot read it."""
+        """Return the record, or None if this release cannot parse it."""
         try:
             return cls.model_validate_json(text)
         except pydantic.ValidationError:
@@ -77,7 +77,7 @@
 
 
 def decode_answer(record: AnswerRecord, body: str) -> claimvalues.RecordedAnswer | None:
-    """Return the answer with its body, or None when the body is not base64."""
+    """Return the answer with its body, or None if the body is not base64."""
     try:
         decoded = base64.b64decode(body, validate=True)
     except ValueError:
--- a/hornbeamglade/claims/claimsettings.py
+++ b/hornbeamglade/claims/claimsettings.py
@@ -1,4 +1,4 @@
-"""Bounds of the claims."""
+"""Limits and timeouts of claims."""
 
 import dataclasses
 
@@ -7,17 +7,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimSettings:
-    """How long claims count for what, and what is kept.
+    """Limits and timeouts of claims.
 
     :param dispatch_within_s: seconds from the claim's start in which the
         request may be sent to a backend server.
-    :param in_progress_s: seconds for which a claim without an end counts as
-        in progress; later its outcome counts as unknown.
-    :param retry_after_s: seconds after which a refused caller may come back.
+    :param in_progress_s: seconds for which a claim that has not ended counts as
+        in progress; after that its outcome counts as unknown.
+    :param retry_after_s: retry delay for refused callers, seconds.
     :param retention_s: seconds for which a key is remembered. It must exceed
-        the other times by more than the nodes' wall clocks may differ.
-    :param inline_bytes: larger answers go to the object store.
-    :param pending_write_limit: the most endings kept while the table is down.
+        the other times by more than the maximum clock skew between nodes.
+    :param inline_bytes: larger answers are stored in the object store.
+    :param pending_write_limit: maximum number of terminal writes kept during an outage
+        of the table.
     """
 
     dispatch_within_s: float = 5.0
--- a/hornbeamglade/claims/claimstore.py
+++ b/hornbeamglade/claims/claimstore.py
@@ -1,34 +1,34 @@
-"""At most one run of each request that is not repeatable.
+"""Ensures that each non-repeatable request runs at most once.
 
 Explanation
 ===========
 
-A durable claim by idempotency key precedes the dispatch. Its row is written on
-the condition that the key is new, so of all attempts of all nodes one gets it.
-
-A claim is never taken over by another attempt. Weighed against it was a second
-step (``claimed``, then ``dispatching`` by compare-and-set before the dispatch),
-by which a claim that never reached the second step could be taken over. It
-helps only when a node dies in the milliseconds between the two, or dies with
-unsettled endings; it costs a third write and another round trip of every
-request: at 100 requests/s 300 instead of 200 writes/s on a table that bears
-several hundred. Not chosen. What remains: such a key answers "in progress" and
-then "outcome unknown" until the retention is over, although nothing ran.
-
-What takes the place of taking over: an attempt that did not dispatch releases
-its own claim. The row then says ``released`` (it is not deleted, see
-:class:`hornbeamglade.claims.claimrecords.ClaimState`) and the key may be
-claimed again. An attempt whose claim got no answer, and whose row could not
-be read back, is barred: it gets no ``Claim`` and so can never dispatch. It is
-released in the background (:mod:`hornbeamglade.claims.claimsettlement`), and a
-later request of that key on the same node may claim at once.
-
-Writes for each request: one claim and one end, in transactions shared by the
-requests that a node handles at the same time.
-
-A paused node: since nobody takes a claim over, a dispatch after a pause is not
-a second run. It is barred all the same after ``dispatch_within_s``, because the
-row is removed after the retention, and because the caller has gone by then.
+Before a request is dispatched, its idempotency key is claimed durably. The claim's row is
+written on the condition that the key is new, so only one of all attempts on all nodes
+succeeds.
+
+A claim is never taken over by another attempt. The alternative was a second step (``claimed``,
+then ``dispatching`` by compare-and-set before the dispatch), so that a claim that never
+reached the second step could be taken over. It would help only if a node dies in the
+milliseconds between the two steps, or dies with pending writes. It would cost a third write
+and another round trip for every request: at 100 requests/s, 300 instead of 200 writes/s on a
+table that sustains several hundred. The price of the simpler scheme is that such a key is
+answered "in progress" and then "outcome unknown" until the retention period ends, although
+nothing ran.
+
+Instead of takeover, an attempt that did not dispatch releases its own claim. The row then says
+``released`` (it is not deleted, see :class:`hornbeamglade.claims.claimrecords.ClaimState`) and
+the key can be claimed again. An attempt whose claim write got no response, and whose row could
+not be read back, gets no ``Claim`` and so can never dispatch. Its claim is released in the
+background (:mod:`hornbeamglade.claims.pendingwrites`), and a later request with that key on
+the same node can claim it at once.
+
+Each request costs two writes, the claim and its end, in transactions shared by the requests
+that a node handles concurrently.
+
+Since claims are never taken over, a dispatch by a node that was paused is not a second run. It
+is still refused after ``dispatch_within_s``, because the row is removed after the retention
+period, and because the caller is gone by then.
 """
 
 import dataclasses
@@ -56,10 +56,10 @@
 
     :param table: the platform's table.
     :param objects: the platform's object store.
-    :param clock: monotonic time bounds the dispatch, wall time ages the rows.
-    :param node_name: written into the rows for people.
-    :param settings: bounds.
-    :param incarnation: unique for each start of the process; by default random.
+    :param clock: monotonic time limits the dispatch, wall time ages the rows.
+    :param node_name: written into the rows as information for operators.
+    :param settings: limits and timeouts.
+    :param incarnation: unique for each start of the process; random by default.
 
     Examples
     ========
@@ -96,22 +96,22 @@
         self._pending_writes = pendingwrites.PendingWrites(
             table, objects, settings.pending_write_limit
         )
-        self._open = claimprogress.OpenClaims(clock, settings.dispatch_within_s)
+        self._open_claims = claimprogress.OpenClaims(clock, settings.dispatch_within_s)
 
     @property
     def pending_write_count(self) -> int:
-        """Endings that the table does not know of yet."""
+        """Number of terminal writes not yet confirmed by the table."""
         return len(self._pending_writes)
 
     def claim(self, key: claimvalues.ClaimKey, fingerprint: str) -> claimvalues.ClaimOutcome:
-        """Claim the key for a new attempt, or say what is known of earlier ones.
+        """Claim the key for a new attempt, or return what is known of earlier attempts.
 
-        :param key: what makes two requests the same one.
+        :param key: identifies requests that count as the same one.
         :param fingerprint: a digest of the request's method, target and body.
         """
         attempt = f"{self._attempt_prefix}/{next(self._attempt_numbers)}"
-        # The clock starts before the write is sent: a pause while it is under
-        # way must count against the time to dispatch.
+        # Started before the write is sent, so that a pause while it is in flight counts
+        # against the time limit of the dispatch.
         claim = claimvalues.Claim(key.row_key, fingerprint, attempt, self._clock.now())
         unanswered = None
         outcome: claimvalues.ClaimOutcome = claimvalues.claims_unavailable(
@@ -125,8 +125,8 @@
                 break
             if isinstance(written, contract.Unknown):
                 unanswered = claim
-                if not self._open.in_time(claim.started_at):
-                    break  # a caller that is given up is answered at once
+                if not self._open_claims.in_time(claim.started_at):
+                    break  # too late to dispatch: respond to the caller at once
             found = self._read_back(claim, isinstance(written, contract.Conflict))
             if isinstance(found, claimvalues.Granted):
                 return found
@@ -135,24 +135,24 @@
                 break
             claim = found
         if unanswered is not None:
-            self._bar(unanswered)
+            self._schedule_release(unanswered)
         return outcome
 
     def may_dispatch(self, claim: claimvalues.Claim) -> bool:
-        """Return whether the request may be sent now; to be asked right before it.
+        """Return whether the request may be sent now; to be called right before sending.
 
-        True at most once for each claim, unless :meth:`note_not_run` says in
-        between that the backend server refused it as not run. A claim that was
-        refused its first dispatch here is to be released.
+        Returns True at most once per claim, unless :meth:`note_not_run` reports in between
+        that the backend server refused the request as not run. If the first call for a claim
+        returns False, the caller must release the claim.
         """
-        return self._open.dispatch(claim)
+        return self._open_claims.dispatch(claim)
 
     def note_not_run(self, claim: claimvalues.Claim) -> None:
-        """Note that the backend server refused the dispatch as not run."""
-        self._open.note_not_run(claim)
+        """Record that the backend server refused the dispatch as not run."""
+        self._open_claims.note_not_run(claim)
 
     def finish(self, claim: claimvalues.Claim, answer: claimvalues.RecordedAnswer) -> bool:
-        """Record the answer; return whether the table has it already."""
+        """Record the answer; return whether the table has confirmed it."""
         body = claimrecords.encode_body(answer.body)
         inline = len(answer.body) <= self._settings.inline_bytes
         digest = hashlib.sha256(body.encode()).hexdigest()
@@ -166,23 +166,23 @@
         return self._end(claim, claimrecords.ClaimState.DONE, record, object_text)
 
     def release(self, claim: claimvalues.Claim) -> bool:
-        """Give the key free: the request was not run, and never will be by this claim.
+        """Release the key: this claim's request was not run and never will be.
 
-        :return: whether the table knows it already.
+        :return: whether the table has confirmed it.
         """
         return self._end(claim, claimrecords.ClaimState.RELEASED)
 
     def mark_unknown(self, claim: claimvalues.Claim) -> bool:
-        """Record that the request was dispatched and its outcome is not known.
+        """Record that the request was dispatched and its outcome is unknown.
 
-        :return: whether the table knows it already.
+        :return: whether the table has confirmed it.
         """
         return self._end(claim, claimrecords.ClaimState.UNKNOWN)
 
     def write_pending(self) -> int:
-        """Bring in endings that the table could not take; to be called each second or so.
+        """Retry terminal writes that failed; to be called about once a second.
 
-        :return: how many were settled.
+        :return: how many were completed.
         """
         return self._pending_writes.write_pending()
 
@@ -195,11 +195,11 @@
     def _read_back(
         self, claim: claimvalues.Claim, has_conflict: bool
     ) -> claimvalues.ClaimOutcome | claimvalues.Claim:
-        """Return the outcome, or the claim with the version to write it at."""
+        """Return the outcome, or the claim with the version at which to write it."""
         read = self._table.read(claim.row_key)
         if isinstance(read, contract.Unavailable):
-            # A conflict tells of an attempt that may have run. "Not run" would let
-            # the caller send the same request again under another key.
+            # A conflict means that another attempt may have run. "Not run" would let the
+            # caller send the same request again under another key.
             if has_conflict:
                 return claimvalues.claim_unreadable(self._settings.retry_after_s)
             return claimvalues.claims_unavailable(self._settings.retry_after_s)
@@ -210,15 +210,15 @@
             return claimvalues.OutcomeUnknown()
         if record.attempt == claim.attempt:
             return self._grant(claim, read.row.version)
-        if self._is_free(record):
+        if self._is_claimable(record):
             return dataclasses.replace(claim, version=read.row.version)
         return self._known_outcome(record, claim.fingerprint)
 
-    def _is_free(self, record: claimrecords.ClaimRecord) -> bool:
+    def _is_claimable(self, record: claimrecords.ClaimRecord) -> bool:
         if record.state is claimrecords.ClaimState.RELEASED:
             return True
-        # An attempt of this process that ended as not run, which the row does not
-        # say yet. Never free: an attempt of another process, which may dispatch.
+        # The claim of an attempt of this process that ended as not run, before the row says
+        # so. The claim of another process is never claimable, as it may still dispatch.
         claimed = record.state is claimrecords.ClaimState.CLAIMED
         return claimed and self._pending_writes.is_released(record.attempt)
 
@@ -246,14 +246,14 @@
         return claimvalues.answer_unreadable(self._settings.retry_after_s)
 
     def _grant(self, claim: claimvalues.Claim, version: int) -> claimvalues.Granted:
-        self._open.open(claim)
+        self._open_claims.open(claim)
         return claimvalues.Granted(dataclasses.replace(claim, version=version))
 
-    def _bar(self, claim: claimvalues.Claim) -> None:
-        """Have the claim released whose write got no answer.
+    def _schedule_release(self, claim: claimvalues.Claim) -> None:
+        """Schedule the release of a claim whose write got no response.
 
-        The write may stand or still take effect. No ``Claim`` was handed out for
-        this attempt, so it never dispatches and "not run" is true for good.
+        The write may have taken effect or may still do so. No ``Claim`` was returned for this
+        attempt, so it never dispatches and "not run" stays true.
         """
         record = self._record(claim, claimrecords.ClaimState.RELEASED)
         self._pending_writes.add(pendingwrites.TerminalWrite(claim, record, claimed=False))
@@ -265,20 +265,22 @@
         answer: claimrecords.AnswerRecord | None = None,
         object_text: str | None = None,
     ) -> bool:
-        # Closed before the write is sent: once the row may say "released",
-        # another attempt may run, so this one must not dispatch any more.
-        if not self._open.close(claim):
-            return True  # only the first ending of a claim counts
+        # Closed before the write is sent: once the row may say "released", another attempt
+        # may run, so this one must not dispatch any more.
+        if not self._open_claims.close(claim):
+            return True  # only the first end of a claim counts
         record = self._record(claim, state, answer)
-        ending = pendingwrites.TerminalWrite(claim, record, claimed=True, object_text=object_text)
-        # The row of a claim this old may have been swept and be another attempt's,
-        # at the same version; the settlement reads it before it writes.
+        terminal_write = pendingwrites.TerminalWrite(
+            claim, record, claimed=True, object_text=object_text
+        )
+        # The row of such an old claim may have been swept and belong to another attempt, at
+        # the same version. The pending write reads the row before it writes.
         recent = self._clock.now() - claim.started_at < self._settings.in_progress_s
-        if recent and ending.store_object(self._objects):
-            written = self._commits.submit(ending.unit(claim.version))
+        if recent and terminal_write.store_object(self._objects):
+            written = self._commits.submit(terminal_write.unit(claim.version))
             if isinstance(written, contract.Committed):
                 return True
-        self._pending_writes.add(ending)
+        self._pending_writes.add(terminal_write)
         return False
 
     def _record(
--- a/hornbeamglade/claims/claimsweep.py
+++ b/hornbeamglade/claims/claimsweep.py
@@ -1,12 +1,12 @@
-"""Removes claims that are older than their retention.
+"""Removes claims that are older than their retention period.
 
 Explanation
 ===========
 
-A sweep looks at the rows of one leading part of the digests, so that each
-scan is bounded however many keys are kept. Every node may sweep, each at parts
-of its own choice: a row goes only if it still stands at the version that was
-seen. An answer in the object store stays; removing it is the store's lifecycle.
+A sweep covers the rows whose digests begin with one prefix, so that each scan is bounded
+however many keys are kept. Every node may sweep, each with prefixes of its own choice: a row
+is deleted only if it still has the version that was read. Answers in the object store are not
+deleted here; that is left to the store's lifecycle rules.
 """
 
 import random
@@ -20,7 +20,7 @@
 
 
 def random_digest_prefix(rng: random.Random) -> str:
-    """Return a leading part of the digests.
+    """Return a random prefix of digests.
 
     Examples
     ========
@@ -40,15 +40,15 @@
     """Delete the expired claims whose digest begins with ``digest_prefix``.
 
     :param table: the platform's table.
-    :param wall_s: now, in seconds since the epoch.
-    :param settings: says how long a key is remembered.
-    :param digest_prefix: leading hex digits of the digests to look at.
-    :return: how many rows were deleted.
+    :param wall_s: current time, in seconds since the epoch.
+    :param settings: contains the retention period.
+    :param digest_prefix: leading hex digits of the digests to sweep.
+    :return: number of rows deleted.
     """
     rows = table.scan(claimvalues.ROW_PREFIX + digest_prefix, SCAN_LIMIT)
     if isinstance(rows, contract.Unavailable):
         return 0
-    if len(rows) == SCAN_LIMIT:  # there may be more than the scan shows
+    if len(rows) == SCAN_LIMIT:  # the scan may be incomplete
         return sum(sweep(table, wall_s, settings, digest_prefix + digit) for digit in HEX_DIGITS)
     oldest_kept = wall_s - settings.retention_s
     units = tuple(_deletion(row) for row in rows if _is_expired(row, oldest_kept))
--- a/hornbeamglade/claims/claimvalues.py
+++ b/hornbeamglade/claims/claimvalues.py
@@ -1,4 +1,4 @@
-"""Values of the claims aggregate: keys, claims, answers and outcomes."""
+"""Value types of claims: keys, claims, answers and outcomes."""
 
 import dataclasses
 import hashlib
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimKey:
-    """What makes two requests the same one.
+    """Identifies requests that count as the same one.
 
-    :param team: the caller's team; keys of different teams never meet.
+    :param team: the caller's team; keys of different teams are independent.
     :param service: the service's name.
-    :param idempotency_key: the caller's header, as sent.
+    :param idempotency_key: the caller's header value, as sent.
 
     Examples
     ========
@@ -30,7 +30,7 @@
 
     @property
     def row_key(self) -> str:
-        """The table's key: a digest, so that length and characters are bounded."""
+        """The row's key: a digest, so that its length and characters are bounded."""
         parts = json.dumps([self.team, self.service, self.idempotency_key])
         return ROW_PREFIX + hashlib.sha256(parts.encode()).hexdigest()
 
@@ -39,11 +39,11 @@
 class Claim:
     """The right of one attempt to dispatch the request of one key.
 
-    :param row_key: the claim's row in the table.
+    :param row_key: the key of the claim's row in the table.
     :param fingerprint: a digest of the request.
     :param attempt: unique for each attempt.
-    :param started_at: monotonic seconds from before the claim's write was sent.
-    :param version: the row's version at which the claim stands.
+    :param started_at: monotonic time, in seconds, before the claim's write was sent.
+    :param version: the version of the claim's row.
     """
 
     row_key: str
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordedAnswer:
-    """The backend server's answer, kept for a caller that asks again."""
+    """The backend server's answer, kept for a caller that repeats the request."""
 
     http_status: int
     content_type: str
@@ -64,27 +64,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """The claim is this attempt's; it may dispatch after ``may_dispatch``."""
+    """The attempt holds the claim; it may dispatch once ``may_dispatch`` allows it."""
 
     claim: Claim
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Recorded:
-    """The request has run; this was its answer."""
+    """The request has run, and this was its answer."""
 
     answer: RecordedAnswer
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InProgress:
-    """Another attempt with this key may be running now."""
+    """Another attempt with this key may be running."""
 
     retry_after_s: float
 
     @property
     def refusal(self) -> outcomes.Refusal:
-        """The answer to the caller."""
+        """The response to the caller."""
         return outcomes.Refusal(
             code="claim_in_progress",
             http_status=409,
@@ -96,11 +96,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """An attempt with this key was made and its outcome will not be known."""
+    """An attempt with this key was made, and its outcome will never be known."""
 
     @property
     def refusal(self) -> outcomes.Refusal:
-        """The answer to the caller."""
+        """The response to the caller."""
         return outcomes.Refusal(
             code="claim_outcome_unknown",
             http_status=409,
@@ -115,7 +115,7 @@
 
     @property
     def refusal(self) -> outcomes.Refusal:
-        """The answer to the caller."""
+        """The response to the caller."""
         return outcomes.Refusal(
             code="idempotency_key_reused",
             http_status=422,
@@ -127,12 +127,13 @@
 
 
 def claims_unavailable(retry_after_s: float) -> outcomes.Refusal:
-    """Return the answer to a request whose claim could not be written.
+    """Return the response to a request whose claim could not be written.
 
-    The caller may come back after a lost answer: told "not run" of a key that did
-    run, it would send the same request again under another key.
+    The caller may be retrying after it lost the response of an earlier attempt. If it were
+    told "not run" for a key that did run, it would send the same request again under another
+    key.
 
-    :param retry_after_s: seconds after which the caller may come back.
+    :param retry_after_s: seconds after which the caller may retry.
     """
     return outcomes.Refusal(
         code="claims_unavailable",
@@ -146,9 +147,9 @@
 
 
 def claim_unreadable(retry_after_s: float) -> outcomes.Refusal:
-    """Return the answer when the key was used before and its row cannot be read.
+    """Return the response if the key was used before and its row cannot be read.
 
-    :param retry_after_s: seconds after which the caller may come back.
+    :param retry_after_s: seconds after which the caller may retry.
     """
     return outcomes.Refusal(
         code="claim_unreadable",
@@ -161,9 +162,9 @@
 
 
 def answer_unreadable(retry_after_s: float) -> outcomes.Refusal:
-    """Return the answer when the recorded answer cannot be read.
+    """Return the response if the recorded answer cannot be read.
 
-    :param retry_after_s: seconds after which the caller may come back.
+    :param retry_after_s: seconds after which the caller may retry.
     """
     return outcomes.Refusal(
         code="recorded_answer_unreadable",
--- a/hornbeamglade/claims/groupcommit.py
+++ b/hornbeamglade/claims/groupcommit.py
@@ -1,15 +1,15 @@
-"""Commits the writes of many threads of one node in few transactions.
+"""Combines the writes of many threads of one node into few transactions.
 
 Explanation
 ===========
 
-The table bears several hundred transactions a second for all nodes together.
-The first thread to come sends its own unit at once; units that come while a
-transaction is under way wait and go together in the next one (group commit
-[1]_). There is no thread of its own and no delay when nothing is under way.
+The table sustains several hundred transactions per second for all nodes together. The first
+thread sends its own unit at once. Units submitted while a transaction is in flight wait and
+are sent together in the next one (group commit [1]_). There is no separate thread, and no
+delay when no transaction is in flight.
 
-A conflict of one unit must not fail the others: its unit is taken out and
-the rest is sent again.
+A conflict of one unit must not fail the others: that unit is removed and the rest is sent
+again.
 
 References
 ==========
@@ -30,8 +30,8 @@
 class Unit:
     """Writes that take effect together or not at all.
 
-    :param conditions: what must hold; each on a key of this unit.
-    :param writes: what is written.
+    :param conditions: conditions that must hold, each on a key of this unit.
+    :param writes: the writes.
     """
 
     conditions: tuple[contract.Condition, ...]
@@ -39,7 +39,7 @@
 
     @property
     def keys(self) -> frozenset[str]:
-        """All keys that the unit touches."""
+        """All keys in the unit's conditions and writes."""
         return frozenset(item.key for item in self.conditions + self.writes)
 
 
@@ -49,20 +49,20 @@
     """Commit units of distinct keys in as few transactions as conflicts allow.
 
     :param table: where to commit.
-    :param units: units of which no two touch the same key.
+    :param units: units of which no two share a key.
     :return: the outcome of each unit, in order.
     """
     outcome_by_index: dict[int, contract.WriteOutcome] = {}
     remaining = dict(enumerate(units))
     while remaining:
         outcome = _transact(table, remaining.values())
-        loser = _loser(remaining, outcome)
-        if loser is None:
+        conflicting = _conflicting_index(remaining, outcome)
+        if conflicting is None:
             for index, unit in remaining.items():
-                outcome_by_index[index] = _share(unit, outcome)
+                outcome_by_index[index] = _unit_outcome(unit, outcome)
             break
-        outcome_by_index[loser] = outcome
-        del remaining[loser]
+        outcome_by_index[conflicting] = outcome
+        del remaining[conflicting]
     return tuple(outcome_by_index[index] for index in range(len(units)))
 
 
@@ -72,13 +72,15 @@
     return table.transact(conditions, writes)
 
 
-def _loser(unit_by_index: dict[int, Unit], outcome: contract.WriteOutcome) -> int | None:
+def _conflicting_index(
+    unit_by_index: dict[int, Unit], outcome: contract.WriteOutcome
+) -> int | None:
     if not isinstance(outcome, contract.Conflict):
         return None
     return next(index for index, unit in unit_by_index.items() if outcome.key in unit.keys)
 
 
-def _share(unit: Unit, outcome: contract.WriteOutcome) -> contract.WriteOutcome:
+def _unit_outcome(unit: Unit, outcome: contract.WriteOutcome) -> contract.WriteOutcome:
     if not isinstance(outcome, contract.Committed):
         return outcome
     version_by_key = outcome.version_by_key
@@ -97,7 +99,7 @@
     """Batches the units of concurrent threads.
 
     :param table: where to commit.
-    :param max_units: the most units of one transaction.
+    :param max_units: maximum number of units in one transaction.
     """
 
     def __init__(self, table: contract.Table, max_units: int = DEFAULT_MAX_UNITS) -> None:
@@ -108,7 +110,7 @@
         self._committing = False
 
     def submit(self, unit: Unit) -> contract.WriteOutcome:
-        """Commit one unit; blocks for at most the transactions before it and its own."""
+        """Commit one unit; blocks at most for the transactions before it and its own."""
         waiter = _Waiter(unit)
         with self._changed:
             self._queue.append(waiter)
@@ -124,12 +126,12 @@
             if waiter.outcome is not None:
                 return []
             self._committing = True
-            return self._take()
+            return self._take_batch()
 
-    def _take(self) -> list[_Waiter]:
-        # Two claims of one key in one transaction would both find the row
-        # absent and both be told that they hold it: two runs of one request.
-        # Each key is therefore taken once, and later units of it wait.
+    def _take_batch(self) -> list[_Waiter]:
+        # Two claims of one key in one transaction would both find the row absent and both
+        # succeed, so the request would run twice. Each key is therefore included once, and
+        # later units with that key wait.
         seen: set[str] = set()
         taken = []
         for waiter in self._queue:
@@ -140,8 +142,8 @@
         return taken
 
     def _commit(self, batch: list[_Waiter]) -> None:
-        # Should the table raise, the others must not wait forever; whether their
-        # writes took effect is then not known.
+        # If the table raises, the other threads must not wait forever. Whether their writes
+        # took effect is then unknown.
         outcomes = (contract.Unknown("the committing thread failed"),) * len(batch)
         try:
             outcomes = commit_units(self._table, tuple(waiter.unit for waiter in batch))
--- a/hornbeamglade/claims/pendingwrites.py
+++ b/hornbeamglade/claims/pendingwrites.py
@@ -1,16 +1,16 @@
-"""Ends of attempts that the table does not know of yet.
+"""Terminal states of attempts that are not yet written to the table.
 
 Explanation
 ===========
 
-The end of an attempt (released, done, unknown) is written when it is known. If
-the table is down just then, or the answer is lost, the end waits here until
-:meth:`PendingWrites.write_pending` can bring it in.
+The end of an attempt (released, done, unknown) is written as soon as it is known. If the table
+is down at that moment, or the response is lost, the write is kept here until
+:meth:`PendingWrites.write_pending` succeeds.
 
-An attempt that was told "not run" because its claim's write got no answer is
-brought in as ``RELEASED`` too. Its write may have taken effect, or may still do
-so later. Reading the row does not settle that; writing it does: the row's
-version then differs from the one that the late write was conditioned on.
+An attempt that was reported "not run" because its claim write got no response is written as
+``RELEASED`` too. Its claim write may have taken effect, or may still do so later. Reading the
+row cannot rule that out, but writing it does: the row's version then differs from the one that
+the late write is conditional on.
 """
 
 import dataclasses
@@ -23,11 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TerminalWrite:
-    """How one attempt ended.
+    """The end of one attempt, to be written to the claim's row.
 
-    :param claim: the attempt; ``version`` is the one that its last unanswered
-        claim write was conditioned on when ``claimed`` is False.
-    :param record: what the row shall say.
+    :param claim: the attempt; if ``claimed`` is False, its ``version`` is the one that its
+        last claim write without response was conditional on.
+    :param record: the record to write.
     :param claimed: whether the claim is known to have taken effect.
     :param object_text: the answer's body for the object store, or None.
     """
@@ -38,14 +38,14 @@
     object_text: str | None = None
 
     def unit(self, version: int) -> groupcommit.Unit:
-        """Return the write of the ending onto the row at ``version``."""
+        """Return the write of the record, conditional on the row's ``version``."""
         row_key = self.claim.row_key
         return groupcommit.Unit(
             (contract.Condition(row_key, version),), (contract.Put(row_key, self.record.text()),)
         )
 
     def store_object(self, objects: contract.ObjectStore) -> bool:
-        """Put the answer's body, if it has one; return whether it is there."""
+        """Store the answer's body, if there is one; return whether it is stored."""
         answer = self.record.answer
         if answer is None or answer.object_key is None:
             return True
@@ -53,18 +53,18 @@
         return isinstance(outcome, contract.Committed)
 
 
-class _Over(enum.Enum):
-    """The row says that nothing is left to write."""
+class _Resolved(enum.Enum):
+    """The row shows that nothing is left to write."""
 
-    OVER = enum.auto()
+    RESOLVED = enum.auto()
 
 
 class PendingWrites:
-    """The endings that wait for the table; bounded, thread-safe.
+    """The terminal writes that wait for the table; bounded, thread-safe.
 
     :param table: the platform's table.
     :param objects: the platform's object store.
-    :param limit: the most endings kept. Dropping one is safe: its key stays
+    :param limit: maximum number of writes kept. Dropping one is safe: its key stays
         claimed and is answered "outcome unknown" from then on.
     """
 
@@ -73,77 +73,80 @@
         self._objects = objects
         self._limit = limit
         self._lock = threading.Lock()
-        self._ending_by_attempt: dict[str, TerminalWrite] = {}
+        self._write_by_attempt: dict[str, TerminalWrite] = {}
         self.dropped_count = 0
 
     def __len__(self) -> int:
-        return len(self._ending_by_attempt)
+        return len(self._write_by_attempt)
 
-    def add(self, ending: TerminalWrite) -> None:
-        """Keep an ending until the table can take it."""
+    def add(self, terminal_write: TerminalWrite) -> None:
+        """Keep a write until the table accepts it."""
         with self._lock:
-            if len(self._ending_by_attempt) >= self._limit:
+            if len(self._write_by_attempt) >= self._limit:
                 self.dropped_count += 1
                 return
-            self._ending_by_attempt[ending.claim.attempt] = ending
+            self._write_by_attempt[terminal_write.claim.attempt] = terminal_write
 
     def is_released(self, attempt: str) -> bool:
-        """Return whether the attempt is barred and waits here to be released."""
+        """Return whether the attempt may not dispatch and waits here to be released."""
         with self._lock:
-            ending = self._ending_by_attempt.get(attempt)
-        return ending is not None and ending.record.state is claimrecords.ClaimState.RELEASED
+            terminal_write = self._write_by_attempt.get(attempt)
+        return (
+            terminal_write is not None
+            and terminal_write.record.state is claimrecords.ClaimState.RELEASED
+        )
 
     def write_pending(self, limit: int = groupcommit.DEFAULT_MAX_UNITS) -> int:
-        """Bring in some endings, oldest first.
+        """Try some of the writes, oldest first.
 
-        :param limit: the most endings tried.
-        :return: how many are settled.
+        :param limit: maximum number of writes to try.
+        :return: how many were completed.
         """
         with self._lock:
-            endings = list(self._ending_by_attempt.values())[:limit]
-        ending_by_key: dict[str, TerminalWrite] = {}
+            candidates = list(self._write_by_attempt.values())[:limit]
+        write_by_key: dict[str, TerminalWrite] = {}
         units = []
-        settled = []
-        for ending in endings:
-            plan = self._plan(ending)
+        done = []
+        for terminal_write in candidates:
+            plan = self._plan(terminal_write)
             if plan is None:
-                break  # the platform is down; the others would only time out too
-            if plan is _Over.OVER:
-                settled.append(ending)
-            elif ending.claim.row_key not in ending_by_key:
-                ending_by_key[ending.claim.row_key] = ending
+                break  # the platform is down; the other writes would time out too
+            if plan is _Resolved.RESOLVED:
+                done.append(terminal_write)
+            elif terminal_write.claim.row_key not in write_by_key:
+                write_by_key[terminal_write.claim.row_key] = terminal_write
                 units.append(plan)
         outcomes = groupcommit.commit_units(self._table, tuple(units))
-        for ending, outcome in zip(ending_by_key.values(), outcomes, strict=True):
+        for terminal_write, outcome in zip(write_by_key.values(), outcomes, strict=True):
             if isinstance(outcome, contract.Committed):
-                settled.append(ending)
-        self._forget(settled)
-        return len(settled)
+                done.append(terminal_write)
+        self._discard(done)
+        return len(done)
 
-    def _plan(self, ending: TerminalWrite) -> groupcommit.Unit | _Over | None:
-        if not ending.store_object(self._objects):
+    def _plan(self, terminal_write: TerminalWrite) -> groupcommit.Unit | _Resolved | None:
+        if not terminal_write.store_object(self._objects):
             return None
-        claim = ending.claim
+        claim = terminal_write.claim
         match self._table.read(claim.row_key):
             case contract.Found(row):
                 record = claimrecords.ClaimRecord.parse(row.value)
-                mine = record is not None and record.attempt == claim.attempt
-                if mine and record.state is claimrecords.ClaimState.CLAIMED:
-                    return ending.unit(row.version)
+                is_own = record is not None and record.attempt == claim.attempt
+                if is_own and record.state is claimrecords.ClaimState.CLAIMED:
+                    return terminal_write.unit(row.version)
                 version = row.version
             case contract.Missing():
-                mine = False
+                is_own = False
                 version = 0
             case _:
                 return None
-        # The claim's write has not taken effect but still can, as long as the
-        # row stands at the version it was conditioned on. It would show as a
-        # claim that nobody ever dispatches or ends. Writing the row bars it.
-        if not mine and not ending.claimed and version == claim.version:
-            return ending.unit(version)
-        return _Over.OVER
-
-    def _forget(self, endings: list[TerminalWrite]) -> None:
+        # The claim write has not taken effect but still can, as long as the row has the
+        # version that it is conditional on. It would then show as a claim that nobody ever
+        # dispatches or ends. Writing the row prevents that.
+        if not is_own and not terminal_write.claimed and version == claim.version:
+            return terminal_write.unit(version)
+        return _Resolved.RESOLVED
+
+    def _discard(self, done: list[TerminalWrite]) -> None:
         with self._lock:
-            for ending in endings:
-                self._ending_by_attempt.pop(ending.claim.attempt, None)
+            for terminal_write in done:
+                self._write_by_attempt.pop(terminal_write.claim.attempt, None)
--- a/hornbeamglade/entry/clusterstate.py
+++ b/hornbeamglade/entry/clusterstate.py
@@ -13,7 +13,7 @@
 from hornbeamglade.routed import views
 from hornbeamglade.store import contract, positions, tablefollower
 
-REACHABLE_TIMEOUT_S = tablefollower.WAIT_S + 1.5
+REACHABLE_TIMEOUT_S = tablefollower.LONG_POLL_S + 1.5
 """The store holds a long poll for the wait and answers within a second of its end."""
 
 MAX_LOGGED_PROBLEMS = 100
--- a/hornbeamglade/leases/__init__.py
+++ b/hornbeamglade/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases with fencing numbers: the right to give orders to a pool's engines."""
+"""Leases with fencing numbers: the right to send orders to a pool's engines."""
 
 from hornbeamglade.leases.leaseholder import LeaseHolder
 from hornbeamglade.leases.leasevalues import (
--- a/hornbeamglade/leases/leaseholder.py
+++ b/hornbeamglade/leases/leaseholder.py
@@ -1,26 +1,24 @@
-"""A lease with a fencing number, kept in the platform's table.
+"""A lease with a fencing number, stored in the platform's table.
 
 Explanation
 ===========
 
-The right to give orders to a pool's engines is a lease [1]_: one row, changed
-by compare-and-set only. Clocks of different nodes are never compared:
+The right to send orders to a pool's engines is a lease [1]_: one row, changed only by
+compare-and-set. Clocks of different nodes are never compared:
 
-- the holder counts the term on its own monotonic clock from *before* the write
-  is sent, so it stops no later than anybody else believes it does;
-- a contender counts the term from *after* it first read the row at its newest
-  write, lengthened by the bound on the drift of clocks.
+- the holder measures the term on its own monotonic clock from *before* the write
+  is sent, so its lease ends no later than any other node assumes;
+- a contender measures the term from *after* it first read the row in its newest
+  version, extended by the maximum clock drift.
 
-A write that got no answer is known again by its nonce when the row is read, and
-counts from when it was sent. A late write cannot take effect once the row has
-another version.
+A write that got no response is recognized by its nonce when the row is read, and its term
+starts when it was sent. A late write cannot take effect once the row has another version.
 
-Fencing numbers grow with each acquisition, also where the store has come back from an older
-copy of the row: those of an era begin above all of the eras before. Engines that check them
-refuse an old holder. For engines that do not check, a new holder waits out the
-longest flight of an order before its first one. What remains possible there:
-an order whose sending is paused, between ``may_act`` and the socket, for
-longer than the margin.
+Fencing numbers grow with each acquisition, even if the store was restored from an older copy
+of the row: the numbers of an era are above those of all earlier eras. Engines that check them
+reject a former holder. For engines that do not check them, a new holder waits for the maximum
+flight time of an order before it sends its first one. The remaining risk there is an order
+whose sending is paused, between ``may_act`` and the socket, for longer than the margin.
 
 References
 ==========
@@ -46,25 +44,25 @@
     fencing: int
     version: int
     deadline: float
-    settled_at: float
+    previous_orders_done_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Sighting:
+class _Observation:
     nonce: str
-    since: float
+    first_seen_at: float
 
 
 class LeaseHolder:
-    """One process's hold on one lease; used by one thread, ``may_act`` by any.
+    """One process's hold on one lease; for one thread, except ``may_act``.
 
     :param table: the platform's table.
     :param clock: only its monotonic time is used.
     :param name: the lease's name, such as the pool's.
     :param holder: unique for each start of a process.
     :param term_s: seconds for which one write holds the lease.
-    :param flight_s: the longest from ``may_act`` until an order has taken effect at
-        an engine that does not check fencing numbers.
+    :param flight_s: maximum time from ``may_act`` until an order has taken effect at an
+        engine that does not check fencing numbers.
 
     Examples
     ========
@@ -98,23 +96,23 @@
         self._nonce_prefix = uuid.uuid4().hex
         self._nonce_numbers = itertools.count(1)
         self._holding: _Holding | None = None
-        self._sighting: _Sighting | None = None
+        self._observation: _Observation | None = None
         self._sent_at_by_nonce: dict[str, float] = {}
 
     @property
     def fencing(self) -> int | None:
-        """The number to send with each order, or None when nothing is held."""
+        """The number to send with each order, or None if the lease is not held."""
         holding = self._holding
         return None if holding is None else holding.fencing
 
     def may_act(self, margin_s: float, engine_checks_fencing: bool = True) -> bool:
-        """Return whether an order may be sent now; to be asked right before each.
+        """Return whether an order may be sent now; to be called right before each order.
 
-        A holder that was paused past its term sees it here, on its own clock.
+        A holder that was paused past its term detects that here, by its own clock.
 
-        :param margin_s: seconds that sending may take; the lease is let go so
-            much earlier.
-        :param engine_checks_fencing: whether the engine refuses old numbers. If
+        :param margin_s: seconds that sending may take; the lease counts as expired that much
+            earlier.
+        :param engine_checks_fencing: whether the engine rejects older numbers. If it does
             not, orders of the previous holder must have had time to arrive.
         """
         holding = self._holding
@@ -123,30 +121,30 @@
         now = self._clock.now()
         if now + margin_s >= holding.deadline:
             return False
-        return engine_checks_fencing or now >= holding.settled_at
+        return engine_checks_fencing or now >= holding.previous_orders_done_at
 
     def acquire(self) -> leasevalues.LeaseOutcome:
-        """Take the lease if it is free or has lapsed; to be called again and again."""
+        """Acquire the lease if it is free or has expired; to be called repeatedly."""
         if self._holding is not None:
             return self.renew()
         return self._acquire_from(self._table.read(self._row_key))
 
     def renew(self) -> leasevalues.LeaseOutcome:
-        """Hold the lease for another term; the fencing number stays."""
+        """Hold the lease for another term; the fencing number stays the same."""
         if self._holding is None:
             return self.acquire()
         return self._write(self._holding.fencing, self._holding.version)
 
     def release(self) -> bool:
-        """Give the lease up; return whether the table knows it.
+        """Release the lease; return whether the table has confirmed it.
 
-        The holder stops before the write is sent. If the write is lost, the
-        lease lapses after its term.
+        The holder stops acting before the write is sent. If the write is lost, the lease
+        expires after its term.
         """
         holding, self._holding = self._holding, None
-        # A late release may yet take effect and let another holder in at once. So
-        # the writes before it no longer count as a hold, should this process
-        # read its own row back.
+        # A late release may still take effect and let another holder acquire the lease at
+        # once. So if this process reads its own row back, its earlier writes no longer count
+        # as holding the lease.
         self._sent_at_by_nonce.clear()
         if holding is None:
             return True
@@ -162,29 +160,29 @@
         if record is None:
             return leasevalues.LeaseUnavailable("the lease's row cannot be read")
         if record.nonce in self._sent_at_by_nonce:
-            return self._adopt(record, read.row.version)
+            return self._confirm(record, read.row.version)
         wait_s = 0.0 if record.released else self._remaining_s(record)
         if wait_s > 0:
             return leasevalues.HeldElsewhere(record.holder, wait_s)
         return self._write(_next_fencing(record, read.row.version), read.row.version)
 
     def _remaining_s(self, record: leaserecords.LeaseRecord) -> float:
-        # Counted from after the read: the holder's own count began before its
-        # write, and so before this.
+        # Measured from after the read: the holder's own term began before its write, and so
+        # before this.
         now = self._clock.now()
-        if self._sighting is None or self._sighting.nonce != record.nonce:
-            self._sighting = _Sighting(record.nonce, now)
-        lapses_at = self._sighting.since + record.term_s * (1 + CLOCK_DRIFT)
-        return lapses_at - now
+        if self._observation is None or self._observation.nonce != record.nonce:
+            self._observation = _Observation(record.nonce, now)
+        expires_at = self._observation.first_seen_at + record.term_s * (1 + CLOCK_DRIFT)
+        return expires_at - now
 
     def _write(self, fencing: int, version: int) -> leasevalues.LeaseOutcome:
         record = self._record(fencing)
-        self._forget_before(self._clock.now() - self._term_s)
-        # Before the write is sent: a pause while it is under way counts.
+        self._discard_before(self._clock.now() - self._term_s)
+        # Taken before the write is sent, so that a pause while it is in flight counts.
         self._sent_at_by_nonce[record.nonce] = self._clock.now()
         outcome = self._transact(record, version)
         if isinstance(outcome, contract.Committed):
-            return self._adopt(record, outcome.version_by_key[self._row_key])
+            return self._confirm(record, outcome.version_by_key[self._row_key])
         if isinstance(outcome, contract.Unavailable):
             del self._sent_at_by_nonce[record.nonce]
             return leasevalues.LeaseUnavailable(outcome.reason)
@@ -201,27 +199,27 @@
             self._holding = None
             return leasevalues.LeaseUnavailable("the lease's row cannot be read")
         if record.nonce in self._sent_at_by_nonce:
-            return self._adopt(record, read.row.version)
+            return self._confirm(record, read.row.version)
         self._holding = None
         return leasevalues.HeldElsewhere(record.holder, max(0.0, self._remaining_s(record)))
 
-    def _adopt(self, record: leaserecords.LeaseRecord, version: int) -> leasevalues.LeaseOutcome:
-        """Hold the lease by a write of this process that stands in the row."""
+    def _confirm(self, record: leaserecords.LeaseRecord, version: int) -> leasevalues.LeaseOutcome:
+        """Hold the lease by a write of this process that is present in the row."""
         sent_at = self._sent_at_by_nonce[record.nonce]
         holding = self._holding
         if holding is not None and holding.fencing == record.fencing:
-            settled_at = holding.settled_at
+            previous_orders_done_at = holding.previous_orders_done_at
         else:
-            settled_at = self._clock.now() + self._flight_s
+            previous_orders_done_at = self._clock.now() + self._flight_s
         deadline = sent_at + self._term_s
-        self._holding = _Holding(record.fencing, version, deadline, settled_at)
-        self._forget_before(sent_at)
+        self._holding = _Holding(record.fencing, version, deadline, previous_orders_done_at)
+        self._discard_before(sent_at)
         if self._clock.now() >= deadline:
             return leasevalues.LeaseUnavailable("the write took longer than the term")
         return leasevalues.Held(record.fencing)
 
-    def _forget_before(self, sent_at: float) -> None:
-        """Forget the writes that can no longer stand in the row; later ones still may."""
+    def _discard_before(self, sent_at: float) -> None:
+        """Discard the writes that can no longer be in the row, keeping later ones."""
         self._sent_at_by_nonce = {
             nonce: other for nonce, other in self._sent_at_by_nonce.items() if other >= sent_at
         }
@@ -244,6 +242,6 @@
 def _next_fencing(record: leaserecords.LeaseRecord, version: int) -> int:
     """Return a number above those of all holders so far.
 
-    :param version: of the row, as it was read.
+    :param version: the row's version when it was read.
     """
     return max(record.fencing, positions.position(positions.era(version), 0)) + 1
--- a/hornbeamglade/leases/leaserecords.py
+++ b/hornbeamglade/leases/leaserecords.py
@@ -6,11 +6,11 @@
 class LeaseRecord(pydantic.BaseModel):
     """One lease. Its row is never deleted, so that fencing numbers only grow.
 
-    :param holder: who wrote it last.
-    :param fencing: grows by one with each acquisition.
-    :param nonce: unique for each write, so that its writer knows it again.
-    :param term_s: seconds from before the write for which it is held.
-    :param released: whether the holder gave it up.
+    :param holder: the holder that wrote the row last.
+    :param fencing: grows with each acquisition, by one within an era of the store.
+    :param nonce: unique for each write, so that the writer recognizes it.
+    :param term_s: seconds from before the write for which the lease is held.
+    :param released: whether the holder released it.
 
     Examples
     ========
@@ -29,7 +29,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "LeaseRecord | None":
-        """Return the record, or None when this release cannot read it."""
+        """Return the record, or None if this release cannot parse it."""
         try:
             return cls.model_validate_json(text)
         except pydantic.ValidationError:
--- a/hornbeamglade/leases/leasevalues.py
+++ b/hornbeamglade/leases/leasevalues.py
@@ -5,17 +5,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Held:
-    """The lease is this holder's; ask ``may_act`` right before each action."""
+    """The caller holds the lease; check ``may_act`` right before each action."""
 
     fencing: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldElsewhere:
-    """Another holder has the lease, or may have.
+    """Another holder has, or may have, the lease.
 
-    :param holder: who wrote the row last.
-    :param wait_s: seconds until it has lapsed, unless it is renewed.
+    :param holder: the holder that wrote the row last.
+    :param wait_s: seconds until the lease expires unless it is renewed.
     """
 
     holder: str
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseUnavailable:
-    """The table did not tell; a lease held until now is held until its deadline."""
+    """The table was unavailable; a lease held so far stays held until its deadline."""
 
     reason: str
 
--- a/hornbeamglade/store/__init__.py
+++ b/hornbeamglade/store/__init__.py
@@ -1,6 +1,6 @@
-"""What lasts: a table of versioned rows and an object store, as the product needs them.
+"""Durable storage: a table of versioned rows and an object store.
 
-- :mod:`hornbeamglade.store.contract`: what is asked of an operator's platform
-- :mod:`hornbeamglade.store.memory`: the same in memory, for tests and stand-ins
-- :mod:`hornbeamglade.store.countedstore`: calls counted by outcome
+- :mod:`hornbeamglade.store.contract`: the interface that an operator's platform implements
+- :mod:`hornbeamglade.store.memory`: an in-memory implementation for tests and stand-ins
+- :mod:`hornbeamglade.store.countedstore`: a wrapper that counts calls by outcome
 """
--- a/hornbeamglade/store/contract.py
+++ b/hornbeamglade/store/contract.py
@@ -1,15 +1,15 @@
-"""What hornbeamglade asks of an operator's platform.
+"""The storage interface that hornbeamglade requires of an operator's platform.
 
 Explanation
 ===========
 
-Each operator's platform may differ, so the decisions see only these abstract
-base classes. Every call is bounded in time by the adapter and returns a value:
-an outage is an outcome, not an exception. ``Unknown`` is an outcome of its own:
-the write may have taken effect and its answer was lost.
+Platforms differ between operators, so the decision logic sees only these abstract base
+classes. Every call is bounded in time by the adapter and returns a value: an outage is an
+outcome, not an exception. ``Unknown`` is a separate outcome: the write may have taken effect,
+but its response was lost.
 
-Versions here are positions (:mod:`hornbeamglade.store.positions`): they grow also where the
-platform's store comes back from an older copy and counts its own versions from there again.
+Versions here are positions (:mod:`hornbeamglade.store.positions`). They keep growing even if
+the platform's store is restored from an older copy and reuses its own version numbers.
 """
 
 import abc
@@ -23,7 +23,8 @@
     :param key: the row's full key, segments separated by ``/``.
     :param value: a JSON document as text.
     :param version: a number that grows with every write of the row; from 1.
-    :param problem: why the value cannot be read as text, and is empty here; else None.
+    :param problem: why the value cannot be decoded as text, in which case it is empty; else
+        None.
     """
 
     key: str
@@ -36,7 +37,7 @@
 class Found:
     """A read found the row or object.
 
-    :param row: the row; an object is given as a row whose version is 0.
+    :param row: the row; an object is represented as a row with version 0.
     """
 
     row: Row
@@ -44,28 +45,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Missing:
-    """A read reached the platform and there is no such row or object."""
+    """A read reached the platform, but there is no such row or object."""
 
     key: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The platform was not reached or refused; a write took no effect."""
+    """The platform was unreachable or refused the call; a write took no effect."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """A write was sent and its answer was lost: it may have taken effect."""
+    """A write was sent but its response was lost: it may have taken effect."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Condition:
-    """A row must be at this version when a transaction commits.
+    """A row must have this version when a transaction commits.
 
     :param key: the row's key.
     :param version: the expected version; 0 means that the row must not exist.
@@ -92,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Committed:
-    """A transaction took effect in full.
+    """A transaction took effect completely.
 
     :param version_by_key: the new version of each row that was put.
     """
@@ -119,21 +120,21 @@
 
     @abc.abstractmethod
     def read(self, key: str) -> ReadOutcome:
-        """Read one row at its newest version (linearizable)."""
+        """Read the newest version of one row (linearizable)."""
 
     @abc.abstractmethod
     def scan(self, prefix: str, limit: int = 1000) -> tuple[Row, ...] | Unavailable:
-        """Read rows whose key begins with ``prefix``, in order of key."""
+        """Read rows whose key begins with ``prefix``, sorted by key."""
 
     @abc.abstractmethod
     def transact(
         self, conditions: tuple[Condition, ...], writes: tuple[Put | Delete, ...]
     ) -> WriteOutcome:
-        """Apply all writes if every condition holds, else none."""
+        """Apply all writes if every condition holds, otherwise none."""
 
 
 class ObjectStore(abc.ABC):
-    """Whole objects by key; written once under a digest or replaced."""
+    """An object store, whose objects are written once under a digest, or replaced."""
 
     @abc.abstractmethod
     def get(self, key: str) -> ReadOutcome:
@@ -146,10 +147,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A table as of one moment.
+    """The content of a table at one moment.
 
     :param rows: all its rows.
-    :param version: the store's newest version then; changes are followed from there.
+    :param version: the store's newest version at that moment, from which to follow changes.
     """
 
     rows: tuple[Row, ...]
@@ -158,12 +159,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """What has changed in a table since a version.
+    """The changes of a table since a version.
 
     :param written_rows: rows that were written, in order.
     :param deleted_keys: keys of rows that were deleted.
-    :param version: the version up to which this is complete.
-    :param newest: the version of the newest of these changes, or 0 when there is none.
+    :param version: the version up to which the changes are complete.
+    :param newest: the version of the newest of these changes, or 0 if there are none.
     """
 
     written_rows: tuple[Row, ...]
@@ -174,15 +175,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The changes since a version are no longer kept: read a snapshot."""
+    """The store no longer keeps the changes since the version: read a snapshot instead."""
 
 
 class Feed(abc.ABC):
-    """Follows the changes of a table."""
+    """Provides the changes of a table."""
 
     @abc.abstractmethod
     def snapshot(self, table: str) -> Snapshot | Unavailable:
-        """Read a table as of one moment (linearizable)."""
+        """Read the content of a table at one moment (linearizable)."""
 
     @abc.abstractmethod
     def changes(
@@ -193,13 +194,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Instance:
-    """One entry of the platform's lagging list.
+    """One entry of the platform's list of instances, which lags.
 
     :param name: the instance's name, unique within the operator.
-    :param failure_domain: where it stands.
+    :param failure_domain: the instance's failure domain.
     :param address: ``ip:port`` for callers.
     :param exchange: ``ip:port`` (UDP) for other nodes.
-    :param leaving: whether the platform has announced its stop.
+    :param leaving: whether the platform has announced that the instance will stop.
     """
 
     name: str
@@ -210,8 +211,8 @@
 
 
 class InstanceList(abc.ABC):
-    """The platform's list of live and leaving instances; it lags."""
+    """The platform's list of live and leaving instances, which lags."""
 
     @abc.abstractmethod
     def list(self) -> tuple[Instance, ...] | Unavailable:
-        """Read the list as the platform sees it now."""
+        """Read the list as the platform currently sees it."""
--- a/hornbeamglade/store/countedstore.py
+++ b/hornbeamglade/store/countedstore.py
@@ -1,4 +1,4 @@
-"""A platform whose calls are counted by operation and outcome."""
+"""A store wrapper that counts calls by operation and outcome."""
 
 import collections.abc
 import typing
@@ -17,10 +17,10 @@
 
 
 class CountedStore(contract.Table, contract.ObjectStore, contract.Feed):
-    """Passes every call on and counts what came of it.
+    """Forwards every call and counts its outcome.
 
-    :param platform: a platform that is table, object store and feed.
-    :param counter: counts by operation and outcome, the outcome by its type's name.
+    :param platform: implements table, object store and feed.
+    :param counter: counts by operation and outcome, the outcome by the name of its type.
     """
 
     def __init__(self, platform: typing.Any, counter: OutcomeCounter) -> None:
@@ -56,7 +56,7 @@
         return self._counted("put", self._platform.put(key, value))
 
     def snapshot(self, table: str) -> contract.Snapshot | contract.Unavailable:
-        """Read a table as of one moment."""
+        """Read the content of a table at one moment."""
         return self._counted("snapshot", self._platform.snapshot(table))
 
     def changes(
--- a/hornbeamglade/store/memory.py
+++ b/hornbeamglade/store/memory.py
@@ -1,13 +1,13 @@
-"""The platform in one process, with faults that can be switched.
+"""An in-memory platform with configurable faults.
 
 Explanation
 ===========
 
-Tests drive the decisions against this class and the stand-in platform serves
-it over HTTP. It keeps the contract at its weakest: a row that was deleted and
-written again counts its versions from 1 again, and a write whose answer is
-lost may also take effect later than the next read. It may come back from an older copy of itself:
-its versions go back, are given out again, and belong to the next era.
+Tests run the decision logic against this class, and the stand-in platform serves it over
+HTTP. It provides the weakest guarantees that the contract allows: a row that was deleted and
+written again restarts its versions at 1, and a write whose response is lost may also take
+effect later than the next read. It can be restored from a backup of itself: then its versions
+go back, are reused, and belong to the next era.
 """
 
 import dataclasses
@@ -19,20 +19,20 @@
 Write = contract.Put | contract.Delete
 
 MAX_HISTORY = 10_000
-"""Changes kept for those that follow."""
+"""Number of changes kept for feeds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Faults:
-    """What is wrong with the platform now.
+    """The current faults of the platform.
 
     :param down: every call is refused and takes no effect.
-    :param store_down: the same; kept apart for those that count outages of the store.
-    :param lose_answers: writes take effect and answer ``Unknown``.
-    :param lose_writes: writes take no effect and answer ``Unknown``.
-    :param stall_writes: writes answer ``Unknown`` and take effect (if their
+    :param store_down: the same; separate for tests that count outages of the store.
+    :param lose_answers: writes take effect and return ``Unknown``.
+    :param lose_writes: writes take no effect and return ``Unknown``.
+    :param stall_writes: writes return ``Unknown`` and take effect (if their
         conditions still hold) only at :meth:`MemoryPlatform.deliver_stalled`.
-    :param delay_s: seconds that each call takes.
+    :param delay_s: duration of each call, seconds.
     :param lag_s: seconds after which a feed shows a change.
     """
 
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Change:
-    """A row was written, or deleted when ``row`` is None."""
+    """A row that was written, or deleted if ``row`` is None."""
 
     revision: int
     key: str
@@ -56,17 +56,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Stalled:
+class _StalledTransaction:
     conditions: tuple[contract.Condition, ...]
     writes: tuple[Write, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Backup:
-    """The rows of a platform as of one moment.
+    """The rows of a platform at one moment.
 
-    :param revision: the newest transaction then.
-    :param row_by_key: the rows; their versions are without an era.
+    :param revision: the number of the newest transaction at that moment.
+    :param row_by_key: the rows; their versions do not include an era.
     """
 
     revision: int
@@ -76,8 +76,8 @@
 class MemoryPlatform(contract.Table, contract.ObjectStore, contract.Feed):
     """Table, feeds and object store held in memory; thread-safe.
 
-    :param clock: turns the lag of feeds and the delay of calls.
-    :param counts_together: whether all rows take their versions from one counter.
+    :param clock: measures the lag of feeds and the delay of calls.
+    :param shared_version_counter: whether all rows draw their versions from one counter.
 
     Examples
     ========
@@ -99,59 +99,61 @@
         self._changed = threading.Condition(self._lock)
         self._revision = 0
         self._era = 0
-        self._kept_after = 0
+        self._history_start = 0
         self._history: list[_Change] = []
         self._row_by_key: dict[str, contract.Row] = {}
         self._object_by_key: dict[str, str] = {}
-        self._stalled: list[_Stalled] = []
+        self._stalled: list[_StalledTransaction] = []
         self._faults = Faults()
         self._transaction_count = 0
 
     @property
     def faults(self) -> Faults:
-        """What is wrong with the platform now."""
+        """The current faults."""
         return self._faults
 
     @property
     def transaction_count(self) -> int:
-        """Transactions that reached the platform, whatever their outcome."""
+        """Number of transactions that reached the platform, whatever their outcome."""
         return self._transaction_count
 
     def set_faults(self, faults: Faults) -> None:
-        """Replace the faults; calls that begin later meet them."""
+        """Replace the faults; this affects calls that begin later."""
         self._faults = faults
 
     def read(self, key: str) -> contract.ReadOutcome:
-        """Read one row at its newest version."""
+        """Read the newest version of one row."""
         if refusal := self._refusal():
             return refusal
         with self._lock:
             row = self._row_by_key.get(key)
-            return contract.Missing(key) if row is None else contract.Found(self._shown(row))
+            return (
+                contract.Missing(key) if row is None else contract.Found(self._with_position(row))
+            )
 
     def scan(
         self, prefix: str, limit: int = 1000
     ) -> tuple[contract.Row, ...] | contract.Unavailable:
-        """Read rows whose key begins with ``prefix``, in order of key."""
+        """Read rows whose key begins with ``prefix``, sorted by key."""
         if refusal := self._refusal():
             return refusal
         with self._lock:
             keys = sorted(key for key in self._row_by_key if key.startswith(prefix))
-            return tuple(self._shown(self._row_by_key[key]) for key in keys[:limit])
+            return tuple(self._with_position(self._row_by_key[key]) for key in keys[:limit])
 
     def transact(
         self,
         conditions: tuple[contract.Condition, ...],
         writes: tuple[Write, ...],
     ) -> contract.WriteOutcome:
-        """Apply all writes if every condition holds, else none."""
+        """Apply all writes if every condition holds, otherwise none."""
         if refusal := self._refusal():
             return refusal
         faults = self._faults
         with self._lock:
             self._transaction_count += 1
             if faults.stall_writes:
-                self._stalled.append(_Stalled(conditions, writes))
+                self._stalled.append(_StalledTransaction(conditions, writes))
                 return contract.Unknown("stalled")
             if faults.lose_writes:
                 return contract.Unknown("lost before its effect")
@@ -167,12 +169,12 @@
         return self._revision
 
     def snapshot(self, table: str) -> contract.Snapshot | contract.Unavailable:
-        """Read a table as of one moment."""
+        """Read the content of a table at one moment."""
         if refusal := self._refusal():
             return refusal
         with self._lock:
             keys = sorted(key for key in self._row_by_key if _is_in(key, table))
-            rows = tuple(self._shown(self._row_by_key[key]) for key in keys)
+            rows = tuple(self._with_position(self._row_by_key[key]) for key in keys)
             return contract.Snapshot(rows, self._position(self._revision))
 
     def changes(
@@ -185,18 +187,22 @@
             version, era = positions.version(after), self._era
             if not self._has_history(after):
                 return contract.HistoryLost()
-            self._changed.wait_for(lambda: self._era != era or self._news(table, version), wait_s)
+            self._changed.wait_for(
+                lambda: self._era != era or self._changes_after(table, version), wait_s
+            )
             if not self._has_history(after):
                 return contract.HistoryLost()
-            news = self._news(table, version)
-            change_by_key = {change.key: change for change in news}
+            recent = self._changes_after(table, version)
+            change_by_key = {change.key: change for change in recent}
             written_rows = tuple(
-                self._shown(each.row) for each in change_by_key.values() if each.row is not None
+                self._with_position(each.row)
+                for each in change_by_key.values()
+                if each.row is not None
             )
             deleted_keys = tuple(each.key for each in change_by_key.values() if each.row is None)
-            # What a lagging feed does not show yet must be asked for again.
+            # Changes that a lagging feed does not show yet must be requested again.
             shown = self._revision if not self._faults.lag_s else version
-            newest = max((change.revision for change in news), default=0)
+            newest = max((change.revision for change in recent), default=0)
             return contract.Changes(
                 written_rows,
                 deleted_keys,
@@ -206,33 +212,33 @@
 
     @property
     def era(self) -> int:
-        """How often the platform has come back from an older copy."""
+        """How often the platform was restored from a backup."""
         return self._era
 
     def backup(self) -> Backup:
-        """Return a copy of all rows, to come back from later."""
+        """Return a copy of all rows for a later :meth:`restore`."""
         with self._lock:
             return Backup(self._revision, dict(self._row_by_key))
 
     def restore(self, backup: Backup) -> None:
-        """Come back from an older copy: what was written since is lost."""
+        """Restore a backup: everything written since is lost."""
         with self._lock:
             self._era += 1
             self._revision = backup.revision
             self._row_by_key = dict(backup.row_by_key)
             self._history.clear()
-            self._kept_after = backup.revision
+            self._history_start = backup.revision
             self._stalled.clear()
             self._changed.notify_all()
 
     def forget_history(self) -> None:
-        """Drop the history of all changes so far."""
+        """Discard the history of all changes so far."""
         with self._lock:
-            self._kept_after = self._revision + 1
+            self._history_start = self._revision + 1
             self._history.clear()
 
     def deliver_stalled(self) -> None:
-        """Let the stalled transactions take effect, in order, where they still can."""
+        """Apply the stalled transactions, in order, if their conditions still hold."""
         with self._lock:
             stalled, self._stalled = self._stalled, []
             for transaction in stalled:
@@ -294,10 +300,10 @@
             version_by_key[write.key] = self._position(version)
         del self._history[:-MAX_HISTORY]
         if self._history and len(self._history) == MAX_HISTORY:
-            self._kept_after = max(self._kept_after, self._history[0].revision - 1)
+            self._history_start = max(self._history_start, self._history[0].revision - 1)
         return contract.Committed(version_by_key)
 
-    def _news(self, table: str, after: int) -> list[_Change]:
+    def _changes_after(self, table: str, after: int) -> list[_Change]:
         seen_at = self._clock.now() - self._faults.lag_s
         return [
             change
@@ -308,12 +314,12 @@
     def _has_history(self, after: int) -> bool:
         version = positions.version(after)
         is_of_era = positions.era(after) == self._era and version <= self._revision
-        return is_of_era and version >= self._kept_after
+        return is_of_era and version >= self._history_start
 
     def _position(self, version: int) -> int:
         return positions.position(self._era, version)
 
-    def _shown(self, row: contract.Row) -> contract.Row:
+    def _with_position(self, row: contract.Row) -> contract.Row:
         return dataclasses.replace(row, version=self._position(row.version))
 
     def _version(self, key: str) -> int:
--- a/hornbeamglade/store/positions.py
+++ b/hornbeamglade/store/positions.py
@@ -1,11 +1,11 @@
-"""Positions in a store that may come back from an older copy.
+"""Positions in a store that may be restored from an older copy.
 
 Explanation
 ===========
 
-Versions of such a store go back and are given out again; its era rises by one each time. A
-position joins both in one number, the era in the upper bits, so positions compare as eras and
-then versions do.
+After a restore, the store's versions go back and are reused, and its era increases by one. A
+position combines both in one number with the era in the upper bits, so positions compare by
+era first and then by version.
 
 Examples
 ========
@@ -24,15 +24,15 @@
 
 
 def position(era_number: int, version_number: int) -> int:
-    """Return the position of a version in an era."""
+    """Return the position of a version within an era."""
     return era_number << VERSION_BITS | min(version_number, _MAX_VERSION)
 
 
-def era(at: int) -> int:
+def era(encoded: int) -> int:
     """Return the era of a position."""
-    return at >> VERSION_BITS
+    return encoded >> VERSION_BITS
 
 
-def version(at: int) -> int:
-    """Return the version of a position, as the store counts it."""
-    return at & _MAX_VERSION
+def version(encoded: int) -> int:
+    """Return the version of a position, as counted by the store."""
+    return encoded & _MAX_VERSION
--- a/tests/leases/test_leaseholder.py
+++ b/tests/leases/test_leaseholder.py
@@ -115,9 +115,9 @@
     """Guards engines against orders of a holder whose number the store gives out again."""
     holders[0].acquire()
     holders[0].release()
-    copy = table.backup()
+    backup = table.backup()
     assert holders[1].acquire() == leases.Held(2)
-    table.restore(copy)
+    table.restore(backup)
     outcome = holders[0].acquire()
     assert isinstance(outcome, leases.Held)
     assert outcome.fencing > 2
--- a/tests/store/test_tablefollower.py
+++ b/tests/store/test_tablefollower.py
@@ -9,9 +9,9 @@
 from hornbeamglade.store import contract, memory, tablefollower
 
 
-def follower(platform, told):
+def follower(platform, outcomes):
     return tablefollower.TableFollower(
-        platform, "t", told.append, clocks.ManualClock(), random.Random(1)
+        platform, "t", outcomes.append, clocks.ManualClock(), random.Random(1)
     )
 
 
@@ -20,16 +20,16 @@
 
 
 def test_snapshot_comes_first_and_then_changes(monkeypatch):
-    monkeypatch.setattr(tablefollower, "WAIT_S", 0.0)
+    monkeypatch.setattr(tablefollower, "LONG_POLL_S", 0.0)
     platform = memory.MemoryPlatform(clocks.ManualClock(), shared_version_counter=True)
     put(platform, "t/a")
-    told = []
-    following = follower(platform, told)
+    outcomes = []
+    following = follower(platform, outcomes)
     following.step()
     put(platform, "t/b")
     following.step()
     following.step()
-    assert told == [
+    assert outcomes == [
         contract.Snapshot((contract.Row("t/a", "1", 1),), 1),
         contract.Changes((contract.Row("t/b", "1", 2),), (), 2, 2),
         contract.Changes((), (), 2, 0),
@@ -42,32 +42,32 @@
     Followed further, the change would never come, and a replica that is gone would
     stay believed.
     """
-    monkeypatch.setattr(tablefollower, "WAIT_S", 0.0)
+    monkeypatch.setattr(tablefollower, "LONG_POLL_S", 0.0)
     platform = memory.MemoryPlatform(clocks.ManualClock(), shared_version_counter=True)
     put(platform, "t/a")
-    told = []
-    following = follower(platform, told)
+    outcomes = []
+    following = follower(platform, outcomes)
     following.step()
     platform.transact((), (contract.Delete("t/a"),))
     platform.forget_history()
     following.step()
     following.step()
-    assert told[-1] == contract.Snapshot((), 2)
+    assert outcomes[-1] == contract.Snapshot((), 2)
 
 
 def test_outage_is_told_and_the_place_is_kept(monkeypatch):
-    monkeypatch.setattr(tablefollower, "WAIT_S", 0.0)
+    monkeypatch.setattr(tablefollower, "LONG_POLL_S", 0.0)
     platform = memory.MemoryPlatform(clocks.ManualClock(), shared_version_counter=True)
-    told = []
-    following = follower(platform, told)
+    outcomes = []
+    following = follower(platform, outcomes)
     following.step()
     platform.set_faults(memory.Faults(down=True))
     assert not following.step()
     platform.set_faults(memory.Faults())
     put(platform, "t/a")
     following.step()
-    assert isinstance(told[1], contract.Unavailable)
-    assert told[2].written_rows == (contract.Row("t/a", "1", 1),)
+    assert isinstance(outcomes[1], contract.Unavailable)
+    assert outcomes[2].written_rows == (contract.Row("t/a", "1", 1),)
 
 
 def test_many_changes_are_taken_in_few_calls(monkeypatch):
@@ -76,18 +76,20 @@
     Each change woke each follower, and what they asked together passed what the store
     serves: it turned calls away, those of the operator's changes among them.
     """
-    monkeypatch.setattr(tablefollower, "WAIT_S", 0.0)
+    monkeypatch.setattr(tablefollower, "LONG_POLL_S", 0.0)
     clock = clocks.ManualClock()
     platform = memory.MemoryPlatform(clock, shared_version_counter=True)
-    told = []
-    following = tablefollower.TableFollower(platform, "t", told.append, clock, random.Random(1))
+    outcomes = []
+    following = tablefollower.TableFollower(
+        platform, "t", outcomes.append, clock, random.Random(1)
+    )
     following.step()
     begun = clock.now()
     for number in range(10):
         put(platform, f"t/{number}")
         following.step()
-    assert clock.now() - begun == pytest.approx(10 * tablefollower.GATHER_S)
-    assert [outcome.newest for outcome in told[1:]] == list(range(1, 11))
+    assert clock.now() - begun == pytest.approx(10 * tablefollower.COALESCE_S)
+    assert [outcome.newest for outcome in outcomes[1:]] == list(range(1, 11))
 
 
 class GatedFeed(contract.Feed):
@@ -111,17 +113,17 @@
 def test_paused_follower_makes_no_calls_and_goes_on_from_its_place():
     """Most nodes of a large site leave the store to a few, and take over when those die."""
     feed = GatedFeed()
-    told = queue.Queue()
+    outcomes = queue.Queue()
     following = tablefollower.TableFollower(
-        feed, "t", told.put, clocks.ManualClock(), random.Random(1)
+        feed, "t", outcomes.put, clocks.ManualClock(), random.Random(1)
     )
     following.start()
     assert feed.asked.get(timeout=30) == 3
     following.pause()
     feed.is_paused = True
     feed.answers.put(contract.Changes((), (), 5, 5))
-    assert isinstance(told.get(timeout=30), contract.Snapshot)
-    assert told.get(timeout=30).version == 5
+    assert isinstance(outcomes.get(timeout=30), contract.Snapshot)
+    assert outcomes.get(timeout=30).version == 5
     feed.is_paused = False
     following.start()
     assert feed.asked.get(timeout=30) == 5
@@ -133,25 +135,27 @@
 def test_a_table_that_came_back_from_an_older_copy_is_read_anew_and_once_more(monkeypatch):
     """Guards the list against versions that go back and are given out again.
 
-    Followed from the old version, the feed would skip what was written between the copy and it.
+    Followed from the old version, the feed would skip what was written between the backup and it.
     """
-    monkeypatch.setattr(tablefollower, "WAIT_S", 0.0)
+    monkeypatch.setattr(tablefollower, "LONG_POLL_S", 0.0)
     clock = clocks.ManualClock()
     platform = memory.MemoryPlatform(clock, shared_version_counter=True)
     put(platform, "t/a")
-    copy = platform.backup()
+    backup = platform.backup()
     put(platform, "t/lost")
-    told = []
-    following = tablefollower.TableFollower(platform, "t", told.append, clock, random.Random(1))
+    outcomes = []
+    following = tablefollower.TableFollower(
+        platform, "t", outcomes.append, clock, random.Random(1)
+    )
     following.step()
-    platform.restore(copy)
+    platform.restore(backup)
     for name in ("b", "c", "d"):
         put(platform, f"t/{name}")
     following.step()
     following.step()
-    assert isinstance(told[-1], contract.Snapshot)
-    assert [each.key for each in told[-1].rows] == ["t/a", "t/b", "t/c", "t/d"]
-    assert told[-1].version > told[0].version
-    clock.advance(tablefollower.REWRITTEN_S)
+    assert isinstance(outcomes[-1], contract.Snapshot)
+    assert [each.key for each in outcomes[-1].rows] == ["t/a", "t/b", "t/c", "t/d"]
+    assert outcomes[-1].version > outcomes[0].version
+    clock.advance(tablefollower.REREAD_DELAY_S)
     following.step()
-    assert [type(each) for each in told] == [contract.Snapshot] * 3
+    assert [type(each) for each in outcomes] == [contract.Snapshot] * 3
