--- a/hornbeamglade/replicas/availability.py
+++ b/hornbeamglade/replicas/availability.py
@@ -161,7 +161,7 @@
         wait_s = self.cold_wait_s(replica_id, now)
         if wait_s <= 0.0:
             return None
-        detail = f"replica {replica_id} has just started and accepts few requests"
+        detail = f"replica {replica_id} has just started and takes few requests yet"
         retry_s = max(wait_s, MIN_COLD_RETRY_S)
         return outcomes.Refusal("replica_cold", 503, detail, retry_after_s=retry_s)
 
--- a/hornbeamglade/teams/limits.py
+++ b/hornbeamglade/teams/limits.py
@@ -111,7 +111,7 @@
         return outcomes.Refusal(
             "team_limit",
             429,
-            f"team {team} has reached its limit of requests or tokens in flight at this node",
+            f"team {team} has as much in flight as its limit allows here",
             outcomes.RunStatus.NOT_RUN,
             _MIN_RETRY_S,
         )
@@ -173,5 +173,5 @@
     def _state(self, team: str) -> _TeamState:
         state = self._state_by_team.get(team)
         if state is None:
-            raise codederrors.CodedError("team_unknown", f"there is no team {team}")
+            raise codederrors.CodedError("team_unknown", f"no team is named {team}")
         return state
