--- a/hornbeamglade/entry/controlhandler.py
+++ b/hornbeamglade/entry/controlhandler.py
@@ -58,14 +58,14 @@
     async def handle(self, exchange: serverside.Exchange) -> None:
         """Handle one request."""
         target = exchange.request.target
-        query = directorycalls.question(target)
+        query = directorycalls.parse_query(target)
         if query is not None:
             addresses = self._instance.addresses(query.failure_domain, query.region)
-            body = directorycalls.answer(addresses, self._address_ttl_s)
+            body = directorycalls.encode_response(addresses, self._address_ttl_s)
             # Callers treat an empty list as a failure and ask another instance.
             status = http.HTTPStatus.OK if addresses else http.HTTPStatus.SERVICE_UNAVAILABLE
             await exchange.answer(status, JSON, body)
-        elif directorycalls.is_readiness(target):
+        elif directorycalls.is_readiness_check(target):
             ready, unready = http.HTTPStatus.OK, http.HTTPStatus.SERVICE_UNAVAILABLE
             await exchange.answer(ready if self._instance.is_ready() else unready)
         elif target == METRICS_PATH:
--- a/hornbeamglade/platform/__init__.py
+++ b/hornbeamglade/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' platform: its names, formats and calls, decoded into our types.
+"""The operators' platform: its protocol, decoded into the types of this project.
 
-Nothing here decides anything, and nothing outside of it knows the platform's names.
+The modules here make no decisions, and no code elsewhere knows the platform's names.
 """
--- a/hornbeamglade/platform/dayreports.py
+++ b/hornbeamglade/platform/dayreports.py
@@ -1,4 +1,4 @@
-"""Reports of played days of the operators' bench program, decoded; how a play is asked for."""
+"""Decodes day reports of the operators' bench program, and builds its command line."""
 
 import collections.abc
 import dataclasses
@@ -12,11 +12,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KindOutcome:
-    """What callers got of one kind of request.
+    """What callers got for one kind of request.
 
     :param owed: requests that were owed an answer.
-    :param late: answered, but after their goal.
-    :param lost: refused for good or failed.
+    :param late: requests answered after their goal.
+    :param lost: requests refused for good or failed.
     """
 
     owed: int
@@ -26,12 +26,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DayOutcome:
-    """What a played day came to.
+    """The outcome of a simulated day.
 
-    :param worth: share of the benefit owed that callers got, less prices.
+    :param worth: share of the owed benefit that callers got, less prices.
     :param by_kind: what callers got, by kind of request.
-    :param broken: rules that were broken, or the fault that ended the day.
-    :param unserved_by_end: requests that nobody served, by how their last try ended.
+    :param broken: rules that were violated, or the fault that ended the day.
+    :param unserved_by_end: requests that were never served, by the end of their last attempt.
     """
 
     worth: float
@@ -46,7 +46,7 @@
 
     @property
     def lost(self) -> int:
-        """Requests that nobody served."""
+        """Requests that were never served."""
         return sum(each.lost for each in self.by_kind.values())
 
 
@@ -72,7 +72,7 @@
 
 
 def decode(document: bytes) -> DayOutcome:
-    """Read a report.
+    """Decode a report.
 
     :raises CodedError: ``day_report_invalid``, naming the first offending field.
     """
@@ -102,9 +102,9 @@
     why: str,
     options: collections.abc.Sequence[str] = (),
 ) -> tuple[str, ...]:
-    """Return the words that have the bench program play one day.
+    """Return the command line that makes the bench program simulate one day.
 
     :param options: further options of the program, such as ``--no-cpu``.
     """
-    told = ("--seed", str(seed), "--report", report, "--why", why, "--jobs", "1")
-    return (program, "run", site, day, *told, *options)
+    arguments = ("--seed", str(seed), "--report", report, "--why", why, "--jobs", "1")
+    return (program, "run", site, day, *arguments, *options)
--- a/hornbeamglade/platform/manifest.py
+++ b/hornbeamglade/platform/manifest.py
@@ -1,4 +1,4 @@
-"""The operator's manifest, decoded into a configuration of routes."""
+"""Decodes the operator's manifest into a configuration of routes."""
 
 import collections.abc
 import typing
@@ -36,18 +36,18 @@
     prefix: typing.Annotated[str, pydantic.Field(pattern=r"^/(.*/)?$")]
     route_kind: typing.Literal["idempotent", "non_idempotent", "streaming"]
     timeout_ms: typing.Annotated[float, pydantic.Field(gt=0)]
-    # The time within which an answer earns its full benefit; no bound on the answer.
+    # The time within which an answer earns its full benefit; not a timeout.
     goal_ms: typing.Annotated[float, pydantic.Field(gt=0)]
-    # A rank: 0 is the most urgent.
+    # Lower is more urgent, 0 the most.
     priority: int = 5
     service: str | None = None
     backends: tuple[_Backend, ...] = ()
-    # Replicas that one request may be sent to, the first included.
+    # Maximum number of replicas that one request may be sent to, the first included.
     max_attempts: typing.Annotated[int, pydantic.Field(ge=1)] = 1
     public: bool = False
     resumable: bool = False
     gap_goal_ms: float | None = None
-    # Empty stands for all regions.
+    # Empty means all regions.
     allowed_regions: tuple[str, ...] = ()
 
 
@@ -58,7 +58,7 @@
     link_mbps: float = 0.0
     moves: bool = False
     backups: bool = False
-    # Tokens that one event of a stream holds.
+    # Number of tokens in one event of a stream.
     stride: typing.Annotated[int, pydantic.Field(ge=1)] = 1
     handle_s: float = 0.0
 
@@ -69,7 +69,7 @@
     max_connections: typing.Annotated[int, pydantic.Field(ge=1)]
     engine: _Engine | None = None
     cold_start_s: typing.Annotated[float, pydantic.Field(ge=0)] = 0.0
-    # 0 stands for no bound.
+    # 0 means no limit.
     cold_per_s: typing.Annotated[float, pydantic.Field(ge=0)] = 0.0
 
 
@@ -83,7 +83,7 @@
 class _Tenant(_Body):
     name: str
     api_keys: tuple[str, ...] = ()
-    # Replaces the rank of the route.
+    # Overrides the priority of the route.
     priority: int | None = None
     allowed_regions: tuple[str, ...] = ()
 
@@ -97,7 +97,7 @@
 
 
 def decode(document: bytes) -> models.Configuration:
-    """Read a manifest.
+    """Decode a manifest.
 
     :param document: JSON.
     :raises CodedError: ``config_invalid``, naming the first offending field and value.
--- a/hornbeamglade/platform/replicarows.py
+++ b/hornbeamglade/platform/replicarows.py
@@ -1,12 +1,12 @@
-"""Entries of the platform's list of servers, decoded into replicas.
+"""Decodes entries of the platform's server list into replicas.
 
 Explanation
 ===========
 
-Other writers may leave entries in the list. An entry is read strictly: whatever misses a
-field, has one of another type, or names a state that the platform does not have, names no
-replica. Numbers that come as texts, and texts that would break a header or an address, are
-such cases too.
+Other programs may write to the list, so an entry is validated strictly: one that lacks a
+field, has a field of another type, or has a state unknown to the platform does not yield a
+replica. The same holds for numbers given as strings, and for strings that would break a header
+or an address.
 """
 
 import ipaddress
@@ -23,19 +23,19 @@
 
 _MS = 1000.0
 _MAX_PORT = 65_535
-# Goes out as the value of a header, which bears neither spaces nor line ends.
+# Sent as a header value, which must not contain spaces or line breaks.
 _NAME = re.compile(r"[!-.0-~]{1,200}", re.ASCII)
 
 
 def _checked_address(address: str) -> str:
-    """Return an address that is ``ip:port``.
+    """Return the address if it has the form ``ip:port``.
 
-    :raises ValueError: for any other text.
+    :raises ValueError: for any other string.
     """
     host, _, port = address.rpartition(":")
     ipaddress.IPv4Address(host)
     if not port.isascii() or not port.isdecimal() or not 0 < int(port) <= _MAX_PORT:
-        raise ValueError("the port is none")
+        raise ValueError("not a valid port")
     return address
 
 
@@ -50,30 +50,31 @@
     state: typing.Literal["ready", "draining"]
     cold_remaining_ms: typing.Annotated[float, pydantic.Field(ge=0, allow_inf_nan=False)]
     sequence: typing.Annotated[int, pydantic.Field(ge=0)]
-    # Unix milliseconds of the start that wrote the entry; not every platform tells them.
+    # Start time of the server that wrote the entry, in Unix milliseconds; not every platform
+    # provides it.
     born: typing.Annotated[int, pydantic.Field(gt=0)] | None = None
 
     @pydantic.field_validator("born", mode="before")
     @classmethod
-    def _is_told(cls, born: object) -> object:
+    def _reject_null(cls, born: object) -> object:
         if born is None:
-            raise ValueError("null is no time")
+            raise ValueError("null is not a time")
         return born
 
 
 def server_name(key: str) -> str:
-    """Return the name of the server whose entry a row's key names."""
+    """Return the name of the server whose entry has this row key."""
     return key.partition("/")[2]
 
 
 def decode(row: contract.Row) -> models.Replica:
-    """Read one entry; its key is the server's name.
+    """Decode one entry; its key contains the server's name.
 
     :raises CodedError: ``replica_entry_invalid``, naming the entry, field and value.
     """
     name = server_name(row.key)
     if not _NAME.fullmatch(name):
-        raise codederrors.CodedError(ENTRY_INVALID, f"{row.key!r:.80}: key: no server's name")
+        raise codederrors.CodedError(ENTRY_INVALID, f"{row.key!r:.80}: key: not a server name")
     if row.problem is not None:
         raise codederrors.CodedError(ENTRY_INVALID, f"{row.key}: value: {row.problem}")
     try:
--- a/hornbeamglade/platform/requestdialect.py
+++ b/hornbeamglade/platform/requestdialect.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers on the platform, decoded into our types."""
+"""Decodes the platform's request and response headers, and encodes those of dispatches."""
 
 import re
 
@@ -9,7 +9,7 @@
 
 REQUEST_INVALID = "request_invalid"
 DEFAULT_DEADLINE_S = 60.0
-"""For a caller that does not say how long it waits; the route's own bound is shorter."""
+"""For callers that do not state a deadline; the route's own timeout is shorter."""
 
 _MS = 1000
 
@@ -18,21 +18,21 @@
 _KEY = b"authorization"
 _LAST_EVENT = b"last-event-id"
 _MODEL = b"model"
-# Two numbers: tokens of the prompt, and the bound on those of the answer.
+# Two numbers: tokens of the prompt, and the maximum number of tokens of the answer.
 _TOKENS = b"token-usage"
-# The prompt's parts in order, as ID:TOKENS.
+# The parts of the prompt in order, as ID:TOKENS.
 _PARTS = b"prompt-prefix"
-# The caller's estimate of the answer's tokens.
+# The caller's estimate of the answer's length in tokens.
 _LENGTH_ESTIMATE = b"length-hint"
 
 _SEAL = b"response-seal"
 _NOT_RUN = b"not-executed"
 _LOAD = b"replica-load"
-# Requests a second from all instances together, as a decimal number.
+# Requests per second from all instances together, as a decimal number.
 _LIMIT = b"server-limit"
 _MISDIRECTED = 421
 
-# The system's own to set, whatever a caller sends.
+# Set only by this system; values sent by callers are discarded.
 _RESERVED = frozenset(
     (
         b"authorization",
@@ -56,16 +56,16 @@
 
 
 class PlatformDialect(dialect.Dialect):
-    """The platform's headers."""
+    """The platform's header format."""
 
     def parse_request(self, request: serverside.Request) -> calls.Call | outcomes.Refusal:
-        """Read a caller's request."""
+        """Parse a caller's request."""
         request_ids = fields.values(request.fields, _REQUEST_ID)
         if len(request_ids) != 1 or not request_ids[0]:
-            return _invalid("the request has no single id")
+            return _invalid("the request must have exactly one id")
         time_left = fields.value(request.fields, _TIME_LEFT)
         if time_left is not None and not _DIGITS.fullmatch(time_left):
-            return _invalid("the time left is not a number of milliseconds")
+            return _invalid("the deadline is not a number of milliseconds")
         remaining_s = DEFAULT_DEADLINE_S if time_left is None else int(time_left) / _MS
         try:
             generation = _generation(request.fields)
@@ -86,7 +86,7 @@
         )
 
     def dispatch_fields(self, call: calls.Call, dispatch: calls.Dispatch) -> fields.Fields:
-        """Return the fields with which a request goes to a replica."""
+        """Return the header fields of a request that is dispatched to a replica."""
         sent = [(b"Deadline-Ms", b"%d" % max(1, int(dispatch.remaining_s * _MS)))]
         sent.append((b"Expect-Instance", dispatch.replica_name.encode()))
         if dispatch.team is not None:
@@ -102,7 +102,7 @@
         return (*fields.without(call.fields, (_LAST_EVENT,)), *sent)
 
     def parse_response_head(self, head: clientside.Head) -> calls.ResponseHead:
-        """Read the head of a replica's answer."""
+        """Parse the head of a replica's response."""
         is_marked = fields.value(head.fields, _NOT_RUN) is not None
         encoding = fields.value(head.fields, b"content-encoding")
         return calls.ResponseHead(
@@ -132,7 +132,7 @@
         return None
     counts = usage.split(b",")
     if len(counts) != 2 or not all(_DIGITS.fullmatch(each.strip()) for each in counts):
-        raise ValueError("the numbers of tokens cannot be read")
+        raise ValueError("the token counts are malformed")
     estimate = fields.value(request_fields, _LENGTH_ESTIMATE)
     is_number = estimate is not None and _DIGITS.fullmatch(estimate)
     return calls.Generation(
@@ -140,7 +140,7 @@
         prompt_tokens=int(counts[0]),
         max_tokens=int(counts[1]),
         parts=_parts(fields.value(request_fields, _PARTS)),
-        # An estimate only: one that cannot be read is left out.
+        # Only an estimate, so a malformed one is ignored.
         expected_tokens=int(estimate) if is_number else None,
     )
 
@@ -152,13 +152,13 @@
     for entry in listed.split(b","):
         name, _, tokens = entry.strip().partition(b":")
         if not _DIGITS.fullmatch(tokens):
-            raise ValueError("the parts of the prompt cannot be read")
+            raise ValueError("the prompt prefix is malformed")
         parts.append(calls.PromptPart(_text(name), int(tokens)))
     return tuple(parts)
 
 
-def _load(told: bytes | None) -> calls.Load | None:
-    numbers = [] if told is None else [each.strip() for each in told.split(b",")]
+def _load(value: bytes | None) -> calls.Load | None:
+    numbers = [] if value is None else [each.strip() for each in value.split(b",")]
     if len(numbers) != 3 or not all(_DIGITS.fullmatch(each) for each in numbers):
         return None
     running, waiting, slots = (int(each) for each in numbers)
@@ -166,10 +166,10 @@
 
 
 def rate_limit(answer_fields: fields.Fields) -> ratelimits.RateLimit | None:
-    """Return the limit that an answer's head names, or None.
+    """Return the rate limit in a response head, or None.
 
-    Of several the lowest holds; one that cannot be read stands for 0, since only a replica in
-    need names any.
+    Of several limits the lowest applies. A malformed one counts as 0, since only an overloaded
+    replica sends any.
 
     Examples
     ========
@@ -181,13 +181,13 @@
     >>> rate_limit(()) is None
     True
     """
-    named = [each.strip() for each in fields.values(answer_fields, _LIMIT)]
-    if not named:
+    limits = [each.strip() for each in fields.values(answer_fields, _LIMIT)]
+    if not limits:
         return None
-    if not all(_DECIMAL.fullmatch(each) for each in named):
+    if not all(_DECIMAL.fullmatch(each) for each in limits):
         return ratelimits.RateLimit(0.0, LIMIT_INVALID)
-    problem = LIMITS_SEVERAL if len(named) > 1 else None
-    return ratelimits.RateLimit(min(map(float, named)), problem)
+    problem = LIMITS_SEVERAL if len(limits) > 1 else None
+    return ratelimits.RateLimit(min(map(float, limits)), problem)
 
 
 def _invalid(detail: str) -> outcomes.Refusal:
--- a/hornbeamglade/platform/storebodies.py
+++ b/hornbeamglade/platform/storebodies.py
@@ -1,4 +1,4 @@
-"""Validated models of the bodies of the platform's metadata store."""
+"""Validated models of the request and response bodies of the platform's metadata store."""
 
 import base64
 import binascii
@@ -14,7 +14,7 @@
 
 
 class RowName(_Body):
-    """Where a row lies: three texts of at most 200 bytes each."""
+    """The location of a row: three strings of at most 200 bytes each."""
 
     table: str
     part: str = ""
@@ -22,7 +22,7 @@
 
     @classmethod
     def from_key(cls, key: str) -> "RowName":
-        """Return the place of one of our keys: its first segment is the table.
+        """Return the location for a key of this project, whose first segment is the table.
 
         Examples
         ========
@@ -34,32 +34,32 @@
         return cls(table=table, key=rest)
 
     def full_key(self) -> str:
-        """Return our key."""
+        """Return the key that this project uses for the row."""
         return f"{self.table}/{self.key}" if self.key else self.table
 
 
 class Row(RowName):
-    """A row as it is read."""
+    """A row in a response."""
 
     # Absent in a feed's row that is marked as deleted.
     value: str = ""
-    # The number of the transaction that wrote the row, from one counter for all tables.
+    # Number of the transaction that wrote the row, from one counter for all tables.
     ver: int
     deleted: bool = False
 
     @classmethod
     def from_row(cls, row: contract.Row) -> "Row":
-        """Return the body for a row of the contract."""
+        """Return the body for a contract row."""
         version = positions.version(row.version)
         return cls(**dict(RowName.from_key(row.key)), value=encode_value(row.value), ver=version)
 
     def to_row(self, era: int) -> contract.Row:
-        """Return the row as a value of the contract.
+        """Return the contract row.
 
-        :param era: of the answer that it came in.
+        :param era: the era of the response.
 
-        One whose value cannot be read says so: any program may write to a table, and a
-        row of another one must not keep this one from reading the rest.
+        If the value cannot be decoded, the row carries the problem instead: any program may
+        write to a table, and another program's row must not prevent reading the rest.
         """
         at = positions.position(era, self.ver)
         try:
@@ -69,16 +69,16 @@
 
 
 class Rows(_Body):
-    """The answer of a read or of a feed."""
+    """The response to a read or a feed."""
 
     rows: tuple[Row, ...]
-    # The newest version of the whole store as of the answer.
+    # The newest version of the whole store at the time of the response.
     ver: int
     truncated: bool = False
 
 
 class Expected(RowName):
-    """A row that must be at a version; 0 means that it does not exist."""
+    """A row's expected version; 0 means that the row must not exist."""
 
     ver: int
 
@@ -90,7 +90,7 @@
 
 
 class Transaction(_Body):
-    """A change that is made as a whole or not at all."""
+    """An atomic set of writes and deletions."""
 
     expected: tuple[Expected, ...]
     writes: tuple[Write, ...]
@@ -102,7 +102,7 @@
         conditions: tuple[contract.Condition, ...],
         writes: tuple[contract.Put | contract.Delete, ...],
     ) -> "Transaction":
-        """Return the body for values of the contract."""
+        """Return the body for contract conditions and writes."""
         puts = [write for write in writes if isinstance(write, contract.Put)]
         deletes = [write for write in writes if isinstance(write, contract.Delete)]
         return cls(
@@ -119,26 +119,26 @@
 
 
 class Committed(_Body):
-    """The answer to a change that was made."""
+    """The response to a committed transaction."""
 
     ver: int
 
 
 class Conflict(_Body):
-    """The answer to a change whose condition did not hold: the rows as they are."""
+    """The response to a failed condition, with the current rows."""
 
     rows: tuple[Row, ...] = ()
 
 
 def encode_value(value: str) -> str:
-    """Return a text as the store keeps it."""
+    """Encode a string as the store keeps it."""
     return base64.b64encode(value.encode()).decode()
 
 
 def decode_value(value: str) -> str:
-    """Return a text that the store keeps.
+    """Decode a string that the store keeps.
 
-    :raises ValueError: when it is not base64 of a text.
+    :raises ValueError: if it is not base64 of UTF-8 text.
     """
     try:
         return base64.b64decode(value, validate=True).decode()
--- a/hornbeamglade/platform/storeera.py
+++ b/hornbeamglade/platform/storeera.py
@@ -1,4 +1,4 @@
-"""The era of the platform's store, as its answers tell it."""
+"""Tracks the era of the platform's store, as stated in its responses."""
 
 import dataclasses
 import re
@@ -13,22 +13,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Late:
-    """An answer of an era that was over when it came."""
+class StaleResponse:
+    """A response of an era that had ended when it arrived."""
 
 
 class StoreEra:
-    """The newest era that any answer has told; thread-safe.
+    """The newest era stated in any response; thread-safe.
 
     Examples
     ========
 
     >>> known = StoreEra()
-    >>> known.of_answer("2", known_before=0)
+    >>> known.from_response("2", known_at_start=0)
     2
-    >>> known.of_answer("1", known_before=0)
-    Late()
-    >>> known.of_answer("1", known_before=2), known.of_answer(None, known_before=2)
+    >>> known.from_response("1", known_at_start=0)
+    StaleResponse()
+    >>> known.from_response("1", known_at_start=2), known.from_response(None, known_at_start=2)
     (2, 2)
     """
 
@@ -39,43 +39,43 @@
 
     @property
     def known(self) -> int:
-        """The newest era, 0 before the first answer."""
+        """The newest era, or 0 before the first response."""
         return self._era or 0
 
-    def of_answer(self, told: str | None, known_before: int) -> int | Late:
-        """Return the era of an answer.
+    def from_response(self, header: str | None, known_at_start: int) -> int | StaleResponse:
+        """Return the era of a response.
 
-        :param told: the header's value, or None.
-        :param known_before: the newest era when the call was begun.
+        :param header: the header's value, or None.
+        :param known_at_start: the newest era known when the call began.
         """
         with self._lock:
-            era, problem = self._read(told)
+            era, problem = self._parse(header)
             if era is not None and (self._era is None or era > self._era):
-                self._rise_to(era)
+                self._advance_to(era)
             elif era is not None and era < self.known:
-                if known_before < self.known:
-                    return Late()
+                if known_at_start < self.known:
+                    return StaleResponse()
                 problem = "store_era_lower"
-            self._note(problem)
+            self._record_problem(problem)
             return self.known
 
-    def _read(self, told: str | None) -> tuple[int | None, str | None]:
-        """Return the era that a header names, or what is wrong with it."""
-        if told is None:
-            # A store that has never told an era has none.
+    def _parse(self, header: str | None) -> tuple[int | None, str | None]:
+        """Return the era in a header, or what is wrong with the header."""
+        if header is None:
+            # A store that has never stated an era has none.
             return None, None if self._era is None else "store_era_missing"
-        is_number = _DIGITS.fullmatch(told.strip())
-        if not is_number or int(told) > positions.MAX_ERA:
+        is_number = _DIGITS.fullmatch(header.strip())
+        if not is_number or int(header) > positions.MAX_ERA:
             return None, "store_era_invalid"
-        return int(told), None
+        return int(header), None
 
-    def _rise_to(self, era: int) -> None:
+    def _advance_to(self, era: int) -> None:
         is_first = self._era is None
         before, self._era = self.known, era
         if not is_first:
             logs.state_changed("store_era", str(before), str(era), source="store")
 
-    def _note(self, problem: str | None) -> None:
-        """Write a line when what is wrong with the header changes."""
+    def _record_problem(self, problem: str | None) -> None:
+        """Log what is wrong with the header whenever that changes."""
         before, self._problem = self._problem, problem
         logs.state_changed("store_era_header", before or "read", problem or "read")
--- a/hornbeamglade/platform/sweeptables.py
+++ b/hornbeamglade/platform/sweeptables.py
@@ -1,4 +1,4 @@
-"""The table that the operators' bench prints of one day at several sizes, decoded."""
+"""Decodes the table that the operators' bench prints for one day at several site sizes."""
 
 import dataclasses
 import re
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Figures:
-    """A quantity at one size.
+    """The values of a quantity at one size.
 
-    :param median: of the middle machine, or the middle one of its times.
-    :param maximum: of the busiest machine, or the longest of its times.
+    :param median: the value of the median machine, or the median of the times.
+    :param maximum: the value of the busiest machine, or the longest of the times.
     """
 
     median: float
@@ -29,10 +29,10 @@
 class Quantity:
     """How one quantity grows with the number of machines.
 
-    :param name: what it is, with its unit.
-    :param by_size: its figures, by the number of machines.
-    :param power: the power of the number of machines to which its most grows.
-    :param extrapolated: its most at the size of the target, by that power.
+    :param name: the quantity's name, with its unit.
+    :param by_size: its values, by the number of machines.
+    :param power: exponent of the number of machines with which its maximum grows.
+    :param extrapolated: its maximum extrapolated to the target size with that exponent.
     """
 
     name: str
@@ -45,7 +45,7 @@
 class Sweep:
     """One day at several sizes.
 
-    :param target: the number of machines that the quantities are carried to.
+    :param target: number of machines to which the quantities are extrapolated.
     :param quantities: in the order of the table.
     """
 
@@ -54,10 +54,10 @@
 
 
 def decode(text: str) -> Sweep:
-    """Read what the bench printed of a sweep.
+    """Decode the output of a sweep.
 
-    :raises CodedError: ``sweep_invalid`` when there is no such table, or a row of it cannot
-        be read.
+    :raises CodedError: ``sweep_invalid`` if there is no such table, or a row of it cannot
+        be parsed.
     """
     lines = iter(text.splitlines())
     if not any(line.strip() == _HEAD for line in lines):
--- a/hornbeamglade/platform/tables.py
+++ b/hornbeamglade/platform/tables.py
@@ -1,4 +1,4 @@
-"""Names of the platform's tables, and of what lies in them."""
+"""Names of the platform's tables and rows."""
 
 import collections.abc
 
@@ -12,7 +12,7 @@
 
 
 def configuration_row(rows: tuple[contract.Row, ...]) -> contract.Row | None:
-    """Return the newest row that holds the configuration, or None."""
+    """Return the newest row with the configuration, or None."""
     found = [row for row in rows if row.key == CONFIGURATION_KEY]
     return found[-1] if found else None
 
@@ -23,9 +23,9 @@
 
 
 def evacuated_domain(key: str) -> str | None:
-    """Return the failure domain whose evacuation a row's key names, or None for other rows.
+    """Return the failure domain that a row's key marks as evacuated, or None for other rows.
 
-    A name that is empty or too long is that of no failure domain.
+    A name that is empty or too long does not denote a failure domain.
 
     Examples
     ========
@@ -40,5 +40,5 @@
 
 
 def evacuated_domains(keys: collections.abc.Iterable[str]) -> frozenset[str]:
-    """Return the failure domains that some rows' keys name as evacuated."""
+    """Return the failure domains that the keys mark as evacuated."""
     return frozenset(filter(None, map(evacuated_domain, keys)))
--- a/tests/platform/test_directorycalls.py
+++ b/tests/platform/test_directorycalls.py
@@ -7,16 +7,16 @@
 
 def test_question_says_where_the_caller_is():
     target = b"/v1/resolve?name=a.example&region=krk&zone=krk-a"
-    assert directorycalls.question(target) == directorycalls.Question("krk-a", "krk")
-    assert directorycalls.question(b"/v1/resolve") == directorycalls.Question("", "")
-    assert directorycalls.question(b"/v1/readyz") is None
+    assert directorycalls.parse_query(target) == directorycalls.AddressQuery("krk-a", "krk")
+    assert directorycalls.parse_query(b"/v1/resolve") == directorycalls.AddressQuery("", "")
+    assert directorycalls.parse_query(b"/v1/readyz") is None
 
 
 def test_readiness_is_told_by_its_path():
-    assert directorycalls.is_readiness(b"/v1/readyz")
-    assert not directorycalls.is_readiness(b"/v1/resolve")
+    assert directorycalls.is_readiness_check(b"/v1/readyz")
+    assert not directorycalls.is_readiness_check(b"/v1/resolve")
 
 
 def test_answer_names_addresses_and_their_life():
-    body = json.loads(directorycalls.answer(("10.0.0.1:80",), 2.0))
+    body = json.loads(directorycalls.encode_response(("10.0.0.1:80",), 2.0))
     assert body == {"addresses": ["10.0.0.1:80"], "ttl_s": 2.0}
--- a/tests/platform/test_storeera.py
+++ b/tests/platform/test_storeera.py
@@ -78,11 +78,11 @@
     assert isinstance(outcome, contract.Unknown)
 
 
-@pytest.mark.parametrize("told", ["", "-1", "two", "1.5", "99999999", "٣"])
-def test_a_header_that_is_no_era_stands_for_the_one_last_known(told):
+@pytest.mark.parametrize("header", ["", "-1", "two", "1.5", "99999999", "٣"])
+def test_a_header_that_is_no_era_stands_for_the_one_last_known(header):
     known = storeera.StoreEra()
-    known.of_answer("3", known_before=0)
-    assert known.of_answer(told, known_before=3) == 3
+    known.from_response("3", known_at_start=0)
+    assert known.from_response(header, known_at_start=3) == 3
 
 
 def test_bad_headers_are_logged_once(monkeypatch):
@@ -90,13 +90,13 @@
     monkeypatch.setattr(
         storeera.logs,
         "state_changed",
-        lambda *told, **_: told[1] != told[2] and lines.append(told),
+        lambda *change, **_: change[1] != change[2] and lines.append(change),
     )
     known = storeera.StoreEra()
-    known.of_answer("3", known_before=0)
+    known.from_response("3", known_at_start=0)
     for _ in range(5):
-        known.of_answer("two", known_before=3)
-    known.of_answer("3", known_before=3)
+        known.from_response("two", known_at_start=3)
+    known.from_response("3", known_at_start=3)
     assert lines == [
         ("store_era_header", "read", "store_era_invalid"),
         ("store_era_header", "store_era_invalid", "read"),
@@ -105,5 +105,5 @@
 
 def test_a_store_without_eras_is_no_problem():
     known = storeera.StoreEra()
-    assert known.of_answer(None, known_before=0) == 0
+    assert known.from_response(None, known_at_start=0) == 0
     assert known.known == 0
