--- a/hornbeamglade/fairness/refusals.py
+++ b/hornbeamglade/fairness/refusals.py
@@ -6,8 +6,8 @@
     "cannot_start_in_time": "the queue is too long for the request to start in time",
     "deadline_passed": "the request did not start before its deadline",
     "displaced": "the queue is full and other teams are below their share",
-    "queue_full": "the queue is full",
-    "team_queue_full": "the team has reached its limit of queued requests",
+    "queue_full": "as many requests wait as may wait",
+    "team_queue_full": "as many requests of this team wait as may wait",
 }
 _TOO_MANY_REQUESTS = 429
 _UNAVAILABLE = 503
--- a/hornbeamglade/grants/grantresponses.py
+++ b/hornbeamglade/grants/grantresponses.py
@@ -69,7 +69,7 @@
 def owner_refusal(replica: str, response: messages.GrantResponse) -> outcomes.Refusal:
     """Return the refusal that an owner sent."""
     retry_after_s = response.retry_after_ms / MILLISECONDS_PER_SECOND or None
-    detail = f"the owner of replica {replica} refused the request"
+    detail = f"replica {replica} takes no more work now"
     status = TEAM_STATUS if response.code in TEAM_CODES else 503
     return outcomes.Refusal(response.code, status, detail, retry_after_s=retry_after_s)
 
@@ -85,32 +85,32 @@
 
 def owner_silent(replica: str, owner: str) -> outcomes.Refusal:
     """Return the refusal for an owner that did not respond in time."""
-    detail = f"node {owner}, the owner of replica {replica}, did not respond in time"
+    detail = f"node {owner}, which admits to replica {replica}, did not answer"
     return outcomes.Refusal(OWNER_SILENT, 503, detail, retry_after_s=NO_REPLICA_RETRY_S)
 
 
 def names_unknown() -> outcomes.Refusal:
     """Return the refusal of a grant request with names that the owner has not configured."""
-    detail = "the grant request names a replica, service or team that is not configured here"
+    detail = "the ask names a replica, service or team that is not configured here"
     return outcomes.Refusal(NAMES_UNKNOWN, 503, detail, retry_after_s=NAMES_RETRY_S)
 
 
 def no_headroom_now(replica: str) -> outcomes.Refusal:
     """Return the refusal of a request that is to start immediately or not at all."""
-    detail = f"replica {replica} has no free capacity at the moment"
+    detail = f"replica {replica} has no room just now"
     return outcomes.Refusal(NO_ROOM_NOW, 503, detail, retry_after_s=NO_REPLICA_RETRY_S)
 
 
 def queue_timeout(replica: str) -> outcomes.Refusal:
     """Return the refusal of a request that waited in the queue until its deadline."""
-    detail = f"the request could not start on replica {replica} before its deadline"
+    detail = f"the request could not start on replica {replica} in time"
     return outcomes.Refusal("queue_timeout", 503, detail, retry_after_s=NO_REPLICA_RETRY_S)
 
 
 def earliest_retry(refused: list[outcomes.Refusal]) -> outcomes.Refusal:
     """Return the refusal with the shortest time until a retry."""
     if not refused:
-        detail = "no available replica can serve the request"
+        detail = "no replica that could serve the request is in use"
         return outcomes.Refusal("no_replica", 503, detail, retry_after_s=NO_REPLICA_RETRY_S)
     return min(refused, key=lambda each: each.retry_after_s or NO_REPLICA_RETRY_S)
 
--- a/hornbeamglade/grants/remotescheduler.py
+++ b/hornbeamglade/grants/remotescheduler.py
@@ -245,7 +245,7 @@
 
 
 def _none_left() -> outcomes.Refusal:
-    detail = "this node owns no replica that the request may use"
+    detail = "none of the replicas that this node admits to will do"
     return outcomes.Refusal(NONE_LEFT, 503, detail, retry_after_s=NONE_LEFT_RETRY_S)
 
 
--- a/hornbeamglade/grants/replicascheduler.py
+++ b/hornbeamglade/grants/replicascheduler.py
@@ -367,12 +367,12 @@
 
 def owner_moved(replica: str) -> outcomes.Refusal:
     """Return the refusal of a node that does not own the replica, or no longer does."""
-    detail = f"another node owns replica {replica} now"
+    detail = f"another node admits to replica {replica} now"
     return outcomes.Refusal(OWNER_MOVED, 503, detail, retry_after_s=LEAVING_RETRY_S)
 
 
 def _no_room(replica: str) -> outcomes.Refusal:
-    detail = f"replica {replica} has no memory for a run from another replica"
+    detail = f"replica {replica} has no memory for a run that comes from another one"
     return outcomes.Refusal("no_room", 503, detail, retry_after_s=LEAVING_RETRY_S)
 
 
@@ -382,7 +382,7 @@
 
 
 def _replica_unreached(replica: str) -> outcomes.Refusal:
-    detail = f"the owner of replica {replica} cannot reach it"
+    detail = f"replica {replica} cannot be reached by the node that admits to it"
     return outcomes.Refusal("replica_unreached", 503, detail, retry_after_s=LEAVING_RETRY_S)
 
 
--- a/hornbeamglade/grants/schedulerset.py
+++ b/hornbeamglade/grants/schedulerset.py
@@ -345,5 +345,5 @@
 
 
 def _unknown_replica(replica: str) -> outcomes.Refusal:
-    detail = f"replica {replica} is not configured at this node"
+    detail = f"this node knows no replica {replica}"
     return outcomes.Refusal("replica_unknown", 503, detail, retry_after_s=UNKNOWN_REPLICA_RETRY_S)
