--- a/tests/claims/test_claimstore.py
+++ b/tests/claims/test_claimstore.py
@@ -1,4 +1,4 @@
-"""What a second request with the same idempotency key is told."""
+"""Outcomes of repeated requests with the same idempotency key."""
 
 import pytest
 
@@ -39,13 +39,13 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"1\xff", b"a long answer"])
-def test_recorded_answer_is_given_again(nodes, body):
+def test_recorded_answer_is_returned_again(nodes, body):
     answer = claims.RecordedAnswer(200, "text/plain", body)
     assert nodes[0].finish(granted(nodes[0]), answer)
     assert nodes[1].claim(KEY, "f") == claims.Recorded(answer)
 
 
-def test_marked_unknown_is_told_at_once(nodes):
+def test_unknown_outcome_is_reported_at_once(nodes):
     nodes[0].mark_unknown(granted(nodes[0]))
     outcome = nodes[1].claim(KEY, "f")
     assert outcome.refusal.run is outcomes.RunStatus.UNKNOWN
@@ -62,7 +62,7 @@
     assert nodes[1].may_dispatch(granted(nodes[1]))
 
 
-def test_store_down_is_refused_and_the_attempt_is_not_run(nodes, platform):
+def test_attempt_during_a_store_outage_is_refused_as_not_run(nodes, platform):
     platform.set_faults(memory.Faults(down=True))
     refusal = nodes[0].claim(KEY, "f")
     assert (refusal.http_status, refusal.run) == (503, outcomes.RunStatus.UNKNOWN)
@@ -70,21 +70,21 @@
     assert refusal.retry_after_s == SETTINGS.retry_after_s
 
 
-def test_lost_answer_is_read_back(nodes, platform):
+def test_claim_with_a_lost_response_is_read_back(nodes, platform):
     platform.set_faults(memory.Faults(lose_answers=True))
     assert nodes[0].may_dispatch(granted(nodes[0]))
 
 
-def test_row_of_a_later_release_is_never_claimed(nodes, platform):
+def test_row_of_a_newer_software_release_is_never_claimed(nodes, platform):
     platform.transact((), (memory.contract.Put(KEY.row_key, '{"state":"paused"}'),))
     assert nodes[0].claim(KEY, "f") == claims.OutcomeUnknown()
 
 
 def test_refused_attempt_does_not_lock_its_key(nodes, platform):
-    """A caller is told "not run, come back" and comes back to the same node.
+    """A caller gets a retryable "not run" response and retries at the same node.
 
-    The store had lost the answers; the claim stood all the same. The caller
-    would be told "in progress" of a request that nobody runs.
+    The store had lost the responses, but the claim was written. The caller would be told "in
+    progress" for a request that nobody runs.
     """
     platform.set_faults(memory.Faults(stall_writes=True))
     assert isinstance(nodes[0].claim(KEY, "f"), outcomes.Refusal)
@@ -94,11 +94,11 @@
     assert nodes[0].may_dispatch(granted(nodes[0]))
 
 
-def test_late_end_leaves_another_attempts_row_alone(nodes, platform, clock):
-    """A node is paused for longer than the retention, then writes its end.
+def test_late_end_does_not_overwrite_another_attempts_row(nodes, platform, clock):
+    """A node is paused for longer than the retention period, then records its end.
 
-    Its row was swept, and the key is another attempt's now, at the same version.
-    That attempt's caller would be given the answer to a request of last week.
+    Its row was swept, and the key now belongs to another attempt, at the same version. That
+    attempt's caller would get the answer to a much older request.
     """
     old = granted(nodes[0])
     clock.advance(SETTINGS.retention_s + 1)
@@ -111,7 +111,7 @@
     assert nodes[1].claim(KEY, "f") == claims.Recorded(answer)
 
 
-def test_unreadable_recorded_answer_is_said_to_have_run(nodes, platform):
+def test_unreadable_recorded_answer_is_reported_as_run(nodes, platform):
     nodes[0].finish(granted(nodes[0]), claims.RecordedAnswer(200, "text/plain", b"a long answer"))
     platform.get = lambda key: memory.contract.Unavailable("down")
     assert nodes[1].claim(KEY, "f").run is outcomes.RunStatus.RAN
@@ -122,22 +122,22 @@
         claims.ClaimSettings(retention_s=10.0)
 
 
-def test_stalled_store_is_given_up_after_one_write(nodes, platform):
-    """A person waits while each write to the store times out after six seconds.
+def test_claim_at_a_stalled_store_fails_after_one_write(nodes, platform):
+    """Each write to the store times out after six seconds while a caller waits.
 
-    The request could no longer be dispatched in time, so trying on only keeps
-    them waiting.
+    The request could no longer be dispatched in time, so further writes would only prolong
+    the wait.
     """
     platform.set_faults(memory.Faults(lose_writes=True, delay_s=6.0))
     assert nodes[0].claim(KEY, "f").attempt_run is outcomes.RunStatus.NOT_RUN
     assert platform.transaction_count == 1
 
 
-def test_conflict_that_cannot_be_read_is_not_said_to_be_not_run(nodes, platform):
-    """A caller loses its connection and comes back as the store goes down.
+def test_unreadable_conflict_is_not_reported_as_not_run(nodes, platform):
+    """A caller loses its connection and retries while the store goes down.
 
-    The claim meets the first one, and then its row cannot be read. Told "not
-    run", the caller would hold the unit once more under a new key.
+    The claim conflicts with the first one, and then its row cannot be read. Told "not run",
+    the caller would send the request again under a new key.
     """
     granted(nodes[0])
     platform.read = lambda key: memory.contract.Unavailable("down")
@@ -148,8 +148,8 @@
 def test_paused_node_never_dispatches_late(nodes, clock):
     """A node is paused between its claim and the dispatch.
 
-    When it goes on, its caller is long gone; were it to send then, the request
-    would run without anybody to get its answer.
+    When it resumes, its caller is long gone. A dispatch then would run the request with nobody
+    to receive the answer.
     """
     claim = granted(nodes[0])
     clock.advance(SETTINGS.dispatch_within_s + 0.1)
--- a/tests/claims/test_claimstore_machine.py
+++ b/tests/claims/test_claimstore_machine.py
@@ -1,10 +1,9 @@
-"""At most one run of a key, whatever fails at whatever moment.
+"""A key runs at most once, whatever fails at any moment.
 
-The machine drives two real ``ClaimStore`` over one ``MemoryPlatform``. Each call
-of the table is a point at which the script of a rule may let something happen:
-an outage, lost answers, a stalled write, a pause, or another node's whole request.
-One key and two nodes, so that most
-steps meet. A ledger keeps what a backend server would have run.
+The state machine drives two real ``ClaimStore`` objects over one ``MemoryPlatform``. At each
+call of the table, the script of a rule may inject an event: an outage, lost responses, a
+stalled write, a pause, or another node's complete request. There are only one key and two
+nodes, so that most steps interact. A ledger records what a backend server would have run.
 """
 
 import hypothesis
@@ -23,7 +22,7 @@
 NODES = range(2)
 PAUSE_S_BY_EVENT = {"pause": 3.0, "long_pause": 120.0}
 EVENTS = [
-    *["nothing", "nothing", "nothing", "heal", "heal"],  # so that some things go well
+    *["nothing", "nothing", "nothing", "heal", "heal"],  # so that some steps succeed
     *interruption.FAULTS_BY_EVENT,
     *PAUSE_S_BY_EVENT,
     *["deliver", "other_node", "sweep"],
@@ -42,9 +41,9 @@
         self.script = []
         self.busy = []
         self.key = KEYS[0]
-        self.claims = []  # (node, key, claim), every one that was ever granted
+        self.claims = []  # (node, key, claim) for every claim ever granted
         self.runs_by_key = {key: [] for key in KEYS}  # (attempt, time)
-        self.said_not_run = set()
+        self.reported_not_run = set()
         self.answers_by_key = {key: [] for key in KEYS}
         self.crashed = False
 
@@ -83,7 +82,7 @@
         store = self.stores[node]
         if not store.may_dispatch(claim):
             return
-        assert claim.attempt not in self.said_not_run
+        assert claim.attempt not in self.reported_not_run
         for _, run_at in self.runs_by_key[key]:
             apart_s = self.clock.now() - run_at
             assert apart_s >= SETTINGS.retention_s - SETTINGS.dispatch_within_s
@@ -101,16 +100,19 @@
             self.runs_by_key[key].remove(run)
             store.note_not_run(claim)
             if ending == "refused_release":
-                self.said_not_run.add(claim.attempt)
+                self.reported_not_run.add(claim.attempt)
                 store.release(claim)
         self.busy.remove(node)
 
     @stateful.rule(
-        node=st.sampled_from(NODES), key=st.sampled_from(KEYS), script=SCRIPTS, go=st.booleans()
+        node=st.sampled_from(NODES),
+        key=st.sampled_from(KEYS),
+        script=SCRIPTS,
+        dispatches=st.booleans(),
     )
-    def claim(self, node, key, script, go):
+    def claim(self, node, key, script, dispatches):
         self.script, self.key = script, key
-        if isinstance(self.request(node, key), claims.Granted) and go:
+        if isinstance(self.request(node, key), claims.Granted) and dispatches:
             self.dispatch_newest("finish")
 
     @stateful.precondition(lambda self: self.claims)
@@ -127,7 +129,7 @@
         if any(attempt == claim.attempt for attempt, _ in self.runs_by_key[key]):
             return
         self.script, self.key = script, key
-        self.said_not_run.add(claim.attempt)
+        self.reported_not_run.add(claim.attempt)
         self.busy.append(node)
         self.stores[node].release(claim)
         self.busy.remove(node)
@@ -140,7 +142,7 @@
         self.busy.remove(node)
 
     @stateful.rule(event=st.sampled_from(EVENTS))
-    def happen(self, event):
+    def inject(self, event):
         self.script = [event]
         self.interrupt()
 
@@ -150,7 +152,7 @@
         self.stores[node] = self.new_store(node)
 
     def teardown(self):
-        """Without a crash, a key that never ran can be claimed when all is well again."""
+        """Without a crash, a key that never ran can be claimed after all faults have ended."""
         self.script = []
         self.platform.set_faults(memory.Faults())
         for node, _, claim in self.claims:
@@ -168,4 +170,4 @@
 ClaimMachine.TestCase.settings = hypothesis.settings(
     derandomize=True, database=None, deadline=None, max_examples=800, stateful_step_count=15
 )
-test_claims_whatever_fails = ClaimMachine.TestCase
+test_claims_under_faults = ClaimMachine.TestCase
--- a/tests/claims/test_claimsweep.py
+++ b/tests/claims/test_claimsweep.py
@@ -8,7 +8,7 @@
 SETTINGS = claims.ClaimSettings()
 
 
-def test_only_expired_claims_are_removed_also_beyond_one_scan(monkeypatch):
+def test_only_expired_claims_are_removed_even_beyond_one_scan(monkeypatch):
     monkeypatch.setattr(claimsweep, "SCAN_LIMIT", 10)
     clock = clocks.ManualClock()
     platform = memory.MemoryPlatform(clock)
@@ -21,7 +21,7 @@
     assert [row.key for row in platform.scan("")] == [claims.ClaimKey("t", "s", "new").row_key]
 
 
-def test_sweep_waits_while_the_table_is_down():
+def test_sweep_deletes_nothing_while_the_table_is_down():
     platform = memory.MemoryPlatform(clocks.ManualClock())
     platform.set_faults(memory.Faults(down=True))
     assert claims.sweep(platform, 1e9, SETTINGS) == 0
--- a/tests/claims/test_groupcommit.py
+++ b/tests/claims/test_groupcommit.py
@@ -1,4 +1,4 @@
-"""Units of many threads share transactions without failing each other."""
+"""Units of many threads share transactions without failing one another."""
 
 import concurrent.futures
 import threading
@@ -10,15 +10,15 @@
 
 
 class GatedTable(memory.MemoryPlatform):
-    """Holds each transaction until the gate opens, so that units gather."""
+    """Blocks each transaction until the gate opens, so that units queue up."""
 
     def __init__(self):
         super().__init__()
         self.gate = threading.Event()
-        self.begun = threading.Semaphore(0)
+        self.started = threading.Semaphore(0)
 
     def transact(self, conditions, writes):
-        self.begun.release()
+        self.started.release()
         assert self.gate.wait(10)
         return super().transact(conditions, writes)
 
@@ -28,10 +28,10 @@
 
 
 def submit_together(commits, table, units):
-    """Submit one unit and, while it is under way, the others; return all outcomes."""
+    """Submit one unit and, while it is in flight, the others; return all outcomes."""
     with concurrent.futures.ThreadPoolExecutor(len(units)) as pool:
         first = pool.submit(commits.submit, units[0])
-        assert table.begun.acquire(timeout=10)
+        assert table.started.acquire(timeout=10)
         others = [pool.submit(commits.submit, unit) for unit in units[1:]]
         while len(commits._queue) < len(others):
             threading.Event().wait(0.001)
@@ -57,10 +57,10 @@
 
 
 def test_two_claims_of_one_key_are_never_both_committed():
-    """A caller's request and its retry reach one node at the same moment.
+    """A caller's request and its retry reach one node simultaneously.
 
-    Both claims wait for the same transaction. Were they sent in one, both
-    conditions would hold, both would be committed, and the request run twice.
+    Both claims wait for the next transaction. If it contained both, both conditions would hold
+    and both would commit, so the request would run twice.
     """
     table = GatedTable()
     commits = groupcommit.GroupCommit(table)
@@ -80,10 +80,10 @@
     assert table.transaction_count == 3
 
 
-def test_raising_table_leaves_nobody_waiting():
-    """The table's adapter raises because of a fault of its own.
+def test_exception_of_the_table_leaves_no_thread_waiting():
+    """The table's adapter raises because of a bug.
 
-    The thread that commits sees the exception; the others would wait forever.
+    The committing thread sees the exception; the other threads would wait forever.
     """
 
     class Raising(GatedTable):
--- a/tests/leases/test_leaseholder.py
+++ b/tests/leases/test_leaseholder.py
@@ -34,7 +34,7 @@
     assert not holders[0].may_act(TERM_S)
 
 
-def test_lapsed_lease_passes_on_with_a_larger_number(holders, clock):
+def test_expired_lease_is_acquired_with_a_larger_number(holders, clock):
     holders[0].acquire()
     waiting = holders[1].acquire()
     clock.advance(waiting.wait_s)
@@ -44,13 +44,13 @@
     assert holders[0].fencing is None
 
 
-def test_released_lease_passes_on_at_once(holders):
+def test_released_lease_is_acquired_at_once(holders):
     holders[0].acquire()
     assert holders[0].release()
     assert holders[1].acquire() == leases.Held(2)
 
 
-def test_new_holder_waits_for_orders_under_way(holders, clock):
+def test_new_holder_waits_for_orders_in_flight(holders, clock):
     holders[0].acquire()
     holders[0].release()
     holders[1].acquire()
@@ -60,12 +60,12 @@
     assert holders[1].may_act(0.0, engine_checks_fencing=False)
 
 
-def test_acquisition_with_a_lost_answer_is_read_back(holders, table):
+def test_acquisition_with_a_lost_response_is_read_back(holders, table):
     table.set_faults(memory.Faults(lose_answers=True))
     assert holders[0].acquire() == leases.Held(1)
 
 
-def test_outage_leaves_the_hold_until_its_deadline(holders, table, clock):
+def test_lease_is_held_through_an_outage_until_its_deadline(holders, table, clock):
     holders[0].acquire()
     table.set_faults(memory.Faults(down=True))
     clock.advance(TERM_S - 1)
@@ -75,11 +75,11 @@
     assert not holders[0].may_act(0.0)
 
 
-def test_stalled_renewal_that_lands_later_is_known_again(holders, table, clock):
-    """The store answers no writes for a while, then all of them take effect.
+def test_late_renewal_is_recognized(holders, table, clock):
+    """The store confirms no writes for a while, then all of them take effect.
 
-    The holder would take its own late renewal for another's and let go of the
-    lease: the pool then gets no orders for a whole term.
+    The holder would mistake its own late renewal for another holder's and give up the lease:
+    the pool would then get no orders for a whole term.
     """
     holders[0].acquire()
     table.set_faults(memory.Faults(stall_writes=True))
@@ -90,16 +90,16 @@
     assert holders[0].renew() == leases.Held(1)
 
 
-def test_unreadable_row_is_not_taken(holders, table):
+def test_unreadable_row_is_not_overwritten(holders, table):
     table.transact((), (contract.Put("leases/pool", "{}"),))
     assert isinstance(holders[0].acquire(), leases.LeaseUnavailable)
 
 
-def test_late_release_never_ends_a_new_hold(holders, table):
-    """A node gives the lease up, the write stalls, and it wants the lease back.
+def test_late_release_never_ends_a_new_holding(holders, table):
+    """A node releases the lease, the write stalls, and the node wants the lease back.
 
-    Its own row is still there. Were it to count as held, the late release would let
-    another node in at once: two give orders to the same engines.
+    Its own row is still there. If that counted as holding the lease, the late release would
+    let another node acquire it at once, and two nodes would send orders to the same engines.
     """
     holders[0].acquire()
     table.set_faults(memory.Faults(stall_writes=True))
@@ -111,8 +111,8 @@
     assert [holder.may_act(0.0) for holder in holders] == [False, True]
 
 
-def test_a_holder_after_a_drill_has_a_number_above_all_before(holders, table, clock):
-    """Guards engines against orders of a holder whose number the store gives out again."""
+def test_holder_after_a_restore_has_a_larger_number_than_all_before(holders, table, clock):
+    """A restored store reuses numbers; engines must not accept orders of an earlier holder."""
     holders[0].acquire()
     holders[0].release()
     backup = table.backup()
--- a/tests/leases/test_leaseholder_machine.py
+++ b/tests/leases/test_leaseholder_machine.py
@@ -1,8 +1,8 @@
-"""One holder at a time, and no old order after a new one, whatever fails.
+"""One holder at a time, and no earlier order after a later one, whatever fails.
 
-Each call of the table is a point at which the script of a rule may let something
-happen: a fault, a pause, or another holder's call. The engine does not check
-fencing numbers; the machine keeps the orders under way to it.
+At each call of the table, the script of a rule may inject an event: a fault, a pause, or
+another holder's call. The engine does not check fencing numbers; the state machine tracks the
+orders in flight to it.
 """
 
 import hypothesis
@@ -29,7 +29,7 @@
         self.clock = clocks.ManualClock(1000.0)
         self.platform = memory.MemoryPlatform(self.clock)
         self.table = interruption.InterruptedTable(self.platform, self.interrupt)
-        self.starts = 0
+        self.start_count = 0
         self.holders = [self.new_holder() for _ in HOLDERS]
         self.script = []
         self.busy = []
@@ -38,8 +38,8 @@
         self.holder_by_fencing = {}
 
     def new_holder(self):
-        self.starts += 1
-        holder = f"n{self.starts}"
+        self.start_count += 1
+        holder = f"n{self.start_count}"
         return leases.LeaseHolder(self.table, self.clock, "pool", holder, TERM_S, FLIGHT_S)
 
     def interrupt(self):
@@ -57,8 +57,8 @@
 
     def advance(self, seconds):
         self.clock.advance(seconds)
-        due = sorted(order for order in self.orders if order[0] <= self.clock.now())
-        self.orders = [order for order in self.orders if order not in due]
+        due = sorted(send_order for send_order in self.orders if send_order[0] <= self.clock.now())
+        self.orders = [send_order for send_order in self.orders if send_order not in due]
         for _, fencing in due:
             assert fencing >= self.newest_arrived
             self.newest_arrived = fencing
@@ -80,19 +80,19 @@
         method=st.sampled_from(["acquire", "acquire", "acquire", "renew", "release"]),
         script=SCRIPTS,
     )
-    def use(self, number, method, script):
+    def call_holder(self, number, method, script):
         self.script = script
         self.call(number, method)
 
     @stateful.rule(number=st.sampled_from(HOLDERS), flight_s=st.sampled_from([0.0, FLIGHT_S]))
-    def order(self, number, flight_s):
+    def send_order(self, number, flight_s):
         holder = self.holders[number]
         if holder.may_act(MARGIN_S, engine_checks_fencing=False):
             self.orders.append((self.clock.now() + flight_s, holder.fencing))
             self.advance(0.0)
 
     @stateful.rule(event=st.sampled_from(EVENTS))
-    def happen(self, event):
+    def inject(self, event):
         self.script = [event]
         self.interrupt()
 
@@ -101,7 +101,7 @@
         self.holders[number] = self.new_holder()
 
     def teardown(self):
-        """When all is well again, a waiting holder gets the lease after a term."""
+        """After all faults have ended, a waiting holder gets the lease within a term."""
         self.script = []
         self.platform.set_faults(memory.Faults())
         self.platform.deliver_stalled()
@@ -113,4 +113,4 @@
 LeaseMachine.TestCase.settings = hypothesis.settings(
     derandomize=True, database=None, deadline=None, max_examples=800, stateful_step_count=15
 )
-test_lease_whatever_fails = LeaseMachine.TestCase
+test_lease_under_faults = LeaseMachine.TestCase
--- a/tests/platform/test_dayreports.py
+++ b/tests/platform/test_dayreports.py
@@ -1,4 +1,4 @@
-"""Reports of played days."""
+"""Decoding of day reports."""
 
 import json
 
@@ -10,17 +10,17 @@
 
 def report(**changes):
     kind = {"name": "draft", "n": 50, "not_owed": 5, "late": 3, "refused": 1, "failed": 4}
-    told = {
+    fields = {
         "G": 0.5,
         "classes": [kind],
         "breaks": {},
         "fault": None,
         "unserved_by": [["503", 5, ["a line"]]],
     }
-    return json.dumps(told | changes).encode()
+    return json.dumps(fields | changes).encode()
 
 
-def test_a_report_tells_worth_and_what_callers_got():
+def test_report_is_decoded():
     outcome = dayreports.decode(report())
     assert outcome.worth == 0.5
     assert outcome.by_kind == {"draft": dayreports.KindOutcome(45, 3, 5)}
@@ -28,13 +28,13 @@
     assert outcome.unserved_by_end == {"503": 5}
 
 
-def test_broken_rules_and_faults_are_told():
+def test_violated_rules_and_faults_are_reported():
     outcome = dayreports.decode(report(breaks={"TWICE": [1]}, fault="memory"))
     assert outcome.broken == ("TWICE", "fault: memory")
 
 
 @pytest.mark.parametrize("document", [b"", b"[]", b"{}", report(G="much"), report(classes=3)])
-def test_what_is_no_report_has_a_code(document):
-    with pytest.raises(codederrors.CodedError) as told:
+def test_malformed_report_is_rejected_with_its_code(document):
+    with pytest.raises(codederrors.CodedError) as fields:
         dayreports.decode(document)
-    assert told.value.code == dayreports.REPORT_INVALID
+    assert fields.value.code == dayreports.REPORT_INVALID
--- a/tests/platform/test_enginecalls.py
+++ b/tests/platform/test_enginecalls.py
@@ -1,4 +1,4 @@
-"""Calls to engines beside their streams, against the stand-in and raw answers."""
+"""Calls to engines apart from streams, against the stand-in and raw responses."""
 
 import pytest
 
@@ -36,7 +36,7 @@
     )
 
 
-def test_report_tells_memory_and_runs():
+def test_report_contains_memory_and_runs():
     async def test(source, _target, control):
         first = await control.report(source.address)
         source.is_leaving = True
@@ -47,18 +47,18 @@
     assert (second.is_leaving, second.leaves_in_s) == (True, 1.5)
 
 
-def test_run_is_copied_and_goes_on_until_the_last_copy():
+def test_run_continues_until_the_last_copy():
     async def test(source, target, control):
         first = await copy(source, target, control, is_last=False)
-        goes_on = not source.run_by_id["r1"].is_stopped
+        continues = not source.run_by_id["r1"].is_stopped
         last = await copy(source, target, control, is_last=True)
-        return first, goes_on, last, source.run_by_id["r1"].is_stopped
+        return first, continues, last, source.run_by_id["r1"].is_stopped
 
     made = models.CopySucceeded("copy-r1", 4)
     assert with_engines(test) == (made, True, made, True)
 
 
-def test_failed_copy_says_why_and_what_the_source_keeps():
+def test_failed_copy_reports_the_cause_and_what_the_source_keeps():
     async def test(source, target, control):
         target.faults = routedfaults.RoutedFaults(no_room=True)
         first = await copy(source, target, control, is_last=False)
@@ -73,7 +73,7 @@
     )
 
 
-def test_engine_that_is_gone_gives_nothing():
+def test_calls_to_a_stopped_engine_fail():
     async def test(source, target, control):
         await source.stop()
         return (
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"{", b'{"kv_used":1}', b'{"kv_used":1,"kv_total":2,"runs":[["a"]]}']
 )
-def test_malformed_report_is_no_report(body):
+def test_malformed_report_fails(body):
     async def main():
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
         server = raw.ScriptedServer(head + body)
--- a/tests/platform/test_manifest.py
+++ b/tests/platform/test_manifest.py
@@ -1,4 +1,4 @@
-"""The operator's manifest, decoded or refused with the offending field."""
+"""Decoding of the operator's manifest, or its rejection with the offending field."""
 
 import json
 
@@ -63,7 +63,7 @@
     return [document()["routes"][0] | changes]
 
 
-def test_manifest_becomes_a_configuration():
+def test_manifest_is_decoded():
     configuration = decode()
     engine = models.EngineTraits(32, 34316, 163840, 3e9, True, False, 4, 5.0)
     assert configuration == models.Configuration(
@@ -110,7 +110,7 @@
         ({"limits": {}}, "limits.max_header_bytes"),
     ],
 )
-def test_bad_manifest_names_its_field(changes, named):
+def test_invalid_manifest_is_rejected_with_its_field(changes, named):
     with pytest.raises(codederrors.CodedError) as raised:
         decode(**changes)
     assert raised.value.code == manifest.CONFIG_INVALID
@@ -118,6 +118,6 @@
 
 
 @pytest.mark.parametrize("raw", [b"", b"{", b"[]", b"\xff", b"null"])
-def test_what_is_no_manifest_is_refused(raw):
+def test_malformed_manifest_is_rejected(raw):
     with pytest.raises(codederrors.CodedError):
         manifest.decode(raw)
--- a/tests/platform/test_replicarows.py
+++ b/tests/platform/test_replicarows.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's list of servers."""
+"""Decoding of the platform's server list."""
 
 import json
 
@@ -27,17 +27,17 @@
     return contract.Row("servers/i-1", json.dumps(ENTRY | changes), 9)
 
 
-def test_entry_becomes_a_replica():
+def test_entry_is_decoded():
     replica = replicarows.decode(row())
     assert replica == models.Replica("i-1", "llm", "10.1.0.9:8080", "krk-a", 32, False, "v1", 0.5)
     assert replica.name == "i-1"
 
 
-def test_one_that_drains_takes_no_new_work():
+def test_draining_server_is_leaving():
     assert replicarows.decode(row(state="draining")).is_leaving
 
 
-def test_start_is_part_of_the_id():
+def test_start_time_is_part_of_the_id():
     replica = replicarows.decode(row(born=1769769571006))
     assert (replica.id, replica.name) == ("i-1@1769769571006", "i-1")
     assert replica.started_ms == 1769769571006
@@ -57,10 +57,11 @@
         ("sequence", "4"),
     ],
 )
-def test_entry_of_another_writer_names_no_replica(field, value):
-    """Another program writes to the list, and what it means by a field is not known.
+def test_entry_with_an_invalid_field_is_rejected(field, value):
+    """Another program writes to the list, with its own meaning of a field.
 
-    Taken as good, requests go to addresses that are none, or to servers that never asked.
+    If such an entry were accepted, requests would go to invalid addresses, or to servers that
+    never registered.
     """
     with pytest.raises(codederrors.CodedError) as raised:
         replicarows.decode(row(**{field: value}))
@@ -68,27 +69,27 @@
 
 
 @pytest.mark.parametrize("field", ENTRY)
-def test_entry_that_misses_a_field_names_no_replica(field):
-    told = {name: value for name, value in ENTRY.items() if name != field}
+def test_entry_without_a_field_is_rejected(field):
+    fields = {name: value for name, value in ENTRY.items() if name != field}
     with pytest.raises(codederrors.CodedError):
-        replicarows.decode(contract.Row("servers/i-1", json.dumps(told), 9))
+        replicarows.decode(contract.Row("servers/i-1", json.dumps(fields), 9))
 
 
 @pytest.mark.parametrize("name", ["", "a/b", "a b", "a\r\nHost: x", "\u00e9", "a" * 201])
-def test_key_that_is_no_name_names_no_replica(name):
+def test_key_that_is_not_a_server_name_is_rejected(name):
     with pytest.raises(codederrors.CodedError):
         replicarows.decode(contract.Row(f"servers/{name}", json.dumps(ENTRY), 9))
 
 
 @hypothesis.given(strategies.text())
-def test_any_text_names_a_replica_or_raises_its_code(text):
+def test_any_text_is_decoded_or_rejected_with_its_code(text):
     try:
         replicarows.decode(contract.Row("servers/i-1", text, 9))
     except codederrors.CodedError as error:
         assert error.code == replicarows.ENTRY_INVALID
 
 
-def test_bad_entry_names_its_row_and_field():
+def test_error_names_the_row_and_field():
     with pytest.raises(codederrors.CodedError) as raised:
         replicarows.decode(row(slots=-1))
     assert raised.value.code == replicarows.ENTRY_INVALID
--- a/tests/platform/test_requestdialect.py
+++ b/tests/platform/test_requestdialect.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers on the platform."""
+"""Headers of requests and responses on the platform."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from hornbeamglade.platform import requestdialect
 from hornbeamglade.routed import calls
 
-WORDS = requestdialect.PlatformDialect()
+DIALECT = requestdialect.PlatformDialect()
 PLAIN = ((b"Host", b"a.example"), (b"Attempt-Id", b"r1"), (b"Deadline-Ms", b"1500"))
 GENERATION = (
     (b"Model", b"m"),
@@ -21,8 +21,8 @@
     return serverside.Request(b"POST", b"/x?y=1", (*PLAIN, *fields), b"body", 10.0)
 
 
-def test_request_is_read():
-    call = WORDS.parse_request(request((b"Authorization", b"Bearer k"), *GENERATION))
+def test_request_is_parsed():
+    call = DIALECT.parse_request(request((b"Authorization", b"Bearer k"), *GENERATION))
     assert (call.request_id, call.host, call.deadline) == ("r1", "a.example", 11.5)
     assert call.authorization == "Bearer k"
     parts = tuple(calls.PromptPart(*part) for part in (("5c", 800), ("91", 410), ("e4", 250)))
@@ -51,24 +51,24 @@
         b"TE",
     ],
 )
-def test_what_is_not_the_callers_to_set_never_passes(name):
-    """A caller names another tenant, or a copy of another caller's memory.
+def test_reserved_headers_of_callers_are_dropped(name):
+    """A caller sends the name of another tenant, or of another caller's KV cache copy.
 
-    Passed on, a replica would believe it.
+    If the header were forwarded, a replica would trust it.
     """
-    passed = WORDS.parse_request(request((name, b"forged"))).fields
+    passed = DIALECT.parse_request(request((name, b"forged"))).fields
     assert b"forged" not in [value for _, value in passed]
 
 
-def test_what_a_connection_field_names_never_passes():
-    passed = WORDS.parse_request(
+def test_headers_listed_in_connection_are_dropped():
+    passed = DIALECT.parse_request(
         request((b"Connection", b"X-Hop, close"), (b"X-Hop", b"1"))
     ).fields
     assert [name for name, _ in passed] == [b"Host", b"Attempt-Id"]
 
 
-def test_other_fields_pass_as_they_are():
-    passed = WORDS.parse_request(request((b"X-oDD", b"  v "), *GENERATION)).fields
+def test_other_headers_are_forwarded_unchanged():
+    passed = DIALECT.parse_request(request((b"X-oDD", b"  v "), *GENERATION)).fields
     assert (b"X-oDD", b"  v ") in passed
     assert set(GENERATION) <= set(passed)
 
@@ -86,22 +86,22 @@
         (*PLAIN, (b"Token-Usage", b"1,2"), (b"Prompt-Prefix", b"5c")),
     ],
 )
-def test_request_that_cannot_be_read_is_refused(fields):
-    refusal = WORDS.parse_request(serverside.Request(b"GET", b"/", fields, b"", 0.0))
+def test_malformed_request_is_refused(fields):
+    refusal = DIALECT.parse_request(serverside.Request(b"GET", b"/", fields, b"", 0.0))
     assert isinstance(refusal, outcomes.Refusal)
     assert (refusal.http_status, refusal.run) == (400, outcomes.RunStatus.NOT_RUN)
 
 
-def test_estimate_that_cannot_be_read_is_left_out():
+def test_malformed_estimate_is_ignored():
     fields = (*GENERATION[:2], (b"Length-Hint", b"many"))
-    assert WORDS.parse_request(request(*fields)).generation.expected_tokens is None
+    assert DIALECT.parse_request(request(*fields)).generation.expected_tokens is None
 
 
-def test_dispatch_says_what_is_left_and_who_is_meant():
-    call = WORDS.parse_request(request((b"Last-Event-Id", b"3")))
+def test_dispatch_states_the_remaining_time_and_the_replica():
+    call = DIALECT.parse_request(request((b"Last-Event-Id", b"3")))
     copy = calls.KvCopy("10.0.0.1:80", "h1")
     dispatch = calls.Dispatch("i-1", "clinic", 1.2345, 2, "9", copy)
-    value_by_name = dict(WORDS.dispatch_fields(call, dispatch))
+    value_by_name = dict(DIALECT.dispatch_fields(call, dispatch))
     assert value_by_name == {
         b"Host": b"a.example",
         b"Attempt-Id": b"r1",
@@ -114,17 +114,17 @@
     }
 
 
-def test_dispatch_keeps_the_callers_own_last_event():
-    call = WORDS.parse_request(request((b"Last-Event-Id", b"3")))
-    sent = WORDS.dispatch_fields(call, calls.Dispatch("i-1", None, 1.0))
+def test_dispatch_keeps_the_callers_last_event_id():
+    call = DIALECT.parse_request(request((b"Last-Event-Id", b"3")))
+    sent = DIALECT.dispatch_fields(call, calls.Dispatch("i-1", None, 1.0))
     assert (b"Last-Event-Id", b"3") in sent
 
 
 def head(status, *fields):
-    return WORDS.parse_response_head(clientside.Head(status, fields))
+    return DIALECT.parse_response_head(clientside.Head(status, fields))
 
 
-def test_answer_is_read():
+def test_response_head_is_parsed():
     answer = head(
         200,
         (b"Attempt-Id", b"r1"),
@@ -140,21 +140,21 @@
 
 
 @pytest.mark.parametrize("told", [b"", b"1,2", b"a,b,c", b"-1,0,8"])
-def test_load_that_cannot_be_read_is_none(told):
+def test_malformed_load_is_ignored(told):
     assert head(200, (b"Replica-Load", told)).load is None
 
 
-def test_not_run_is_believed_only_from_its_mark_or_a_misdirection():
-    """A replica answers 503 to a request that it has run.
+def test_not_run_requires_its_header_or_a_misdirected_status():
+    """A replica responds 503 to a request that it has run.
 
-    Told "not run" on the status alone, the caller would send a reservation once more.
+    If the status alone meant "not run", the caller would repeat a non-repeatable request.
     """
     assert not head(503).is_not_run
     assert head(503, (b"Not-Executed", b"1")).is_not_run
     assert head(421).is_not_run
 
 
-def test_encoded_body_is_not_the_replicas_own():
+def test_content_encoding_marks_the_body_as_encoded():
     assert head(200, (b"Content-Encoding", b"gzip")).is_encoded
     assert not head(200, (b"Content-Encoding", b"identity")).is_encoded
 
@@ -177,12 +177,12 @@
         ((b"\xd9\xa3",), 0.0, requestdialect.LIMIT_INVALID),
     ],
 )
-def test_named_limit_is_read_and_a_bad_one_stands_for_none_at_all(named, requests_per_s, problem):
-    """Guards a server in need against a limit that is misread as a high one."""
+def test_limit_is_parsed_and_a_malformed_one_counts_as_zero(named, requests_per_s, problem):
+    """A malformed limit of an overloaded server must not be misread as a high one."""
     head = clientside.Head(200, tuple((b"Server-Limit", each) for each in named))
-    limit = WORDS.parse_response_head(head).limit
+    limit = DIALECT.parse_response_head(head).limit
     assert (limit.requests_per_s, limit.problem) == (requests_per_s, problem)
 
 
-def test_answer_without_a_limit_names_none():
-    assert WORDS.parse_response_head(clientside.Head(200, ())).limit is None
+def test_response_without_a_limit_has_none():
+    assert DIALECT.parse_response_head(clientside.Head(200, ())).limit is None
--- a/tests/platform/test_storeclient.py
+++ b/tests/platform/test_storeclient.py
@@ -1,4 +1,4 @@
-"""What the client says of a write when the answer is late, lost or malformed."""
+"""What the client reports about a write whose response is late, lost or malformed."""
 
 import json
 import socket
@@ -14,10 +14,10 @@
 
 
 class RawServer:
-    """Answers each connection with the same bytes, then closes or trickles."""
+    """Sends the same bytes on each connection, then closes it or trickles more bytes."""
 
-    def __init__(self, answer, trickle=False):
-        self._answer = answer
+    def __init__(self, response, trickle=False):
+        self._answer = response
         self._trickle = trickle
         self.client_waited = False
         self._stopping = threading.Event()
@@ -54,8 +54,8 @@
 def raw_server():
     started = []
 
-    def start(answer, trickle=False):
-        server = RawServer(answer, trickle)
+    def start(response, trickle=False):
+        server = RawServer(response, trickle)
         started.append(server)
         server.client = storeclient.StoreClient(server.url, timeout_s=0.2)
         return server
@@ -65,7 +65,7 @@
         server.stop()
 
 
-def answer(status, body):
+def response(status, body):
     return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
 
 
@@ -80,52 +80,52 @@
     "raw",
     [
         b"",
-        answer(b"500 Internal Server Error", b""),
-        answer(b"200 OK", b"{"),
-        answer(b"200 OK", b'{"now_ms":1}'),
-        answer(b"412 Precondition Failed", b"{"),
-        answer(b"412 Precondition Failed", b'{"rows":[]}'),
+        response(b"500 Internal Server Error", b""),
+        response(b"200 OK", b"{"),
+        response(b"200 OK", b'{"now_ms":1}'),
+        response(b"412 Precondition Failed", b"{"),
+        response(b"412 Precondition Failed", b'{"rows":[]}'),
         b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{}",
     ],
 )
-def test_write_without_a_proper_answer_is_unknown(raw_server, raw):
+def test_write_without_a_valid_response_is_unknown(raw_server, raw):
     assert isinstance(raw_server(raw).client.transact(*WRITE), contract.Unknown)
 
 
-def test_row_of_another_table_is_not_taken(raw_server):
-    """An answer to another call comes where that of a read is due.
+def test_row_of_another_table_is_rejected(raw_server):
+    """The response to another call arrives in place of that to a read.
 
-    Taken for it, the rows of one table would be believed to be those of another.
+    Otherwise the rows of one table would be taken for those of another.
     """
     row = b'{"table":"b","part":"","key":"x","value":"MQ==","ver":1}'
-    server = raw_server(answer(b"200 OK", b'{"rows":[%s],"ver":1}' % row))
+    server = raw_server(response(b"200 OK", b'{"rows":[%s],"ver":1}' % row))
     assert isinstance(server.client.read("a/x"), contract.Unavailable)
     assert isinstance(server.client.snapshot("a"), contract.Unavailable)
 
 
 @pytest.mark.parametrize("value", [b"!!", b"/////w=="])
-def test_value_that_is_no_text_is_not_taken(raw_server, value):
+def test_value_that_is_not_text_is_rejected(raw_server, value):
     row = b'{"table":"a","part":"","key":"x","value":"%s","ver":1}' % value
-    server = raw_server(answer(b"200 OK", b'{"rows":[%s],"ver":1}' % row))
+    server = raw_server(response(b"200 OK", b'{"rows":[%s],"ver":1}' % row))
     assert isinstance(server.client.read("a/x"), contract.Unavailable)
 
 
 @pytest.mark.parametrize("value", [b"!!", b"/////w=="])
-def test_row_that_cannot_be_read_hides_no_other(raw_server, value):
-    """Another program writes bytes to a table that are no text.
+def test_undecodable_row_does_not_affect_others(raw_server, value):
+    """Another program writes bytes to a table that are not text.
 
-    Taken for an outage, an instance that starts never learned a replica, and one that
-    followed the table stood still at that row.
+    When this counted as an outage, a starting instance never learned of any replica, and one
+    that followed the table got stuck at that row.
     """
     rows = (
         b'{"table":"a","part":"","key":"x","value":"%s","ver":1}' % value,
         b'{"table":"a","part":"","key":"y","value":"MQ==","ver":2}',
     )
-    told = answer(b"200 OK", b'{"rows":[%s],"ver":2}' % b",".join(rows))
+    raw_response = response(b"200 OK", b'{"rows":[%s],"ver":2}' % b",".join(rows))
     for read in (
-        raw_server(told).client.snapshot("a").rows,
-        raw_server(told).client.changes("a", 0, 0.0).written_rows,
-        raw_server(told).client.scan("a/"),
+        raw_server(raw_response).client.snapshot("a").rows,
+        raw_server(raw_response).client.changes("a", 0, 0.0).written_rows,
+        raw_server(raw_response).client.scan("a/"),
     ):
         assert [(row.key, row.value, row.problem is None) for row in read] == [
             ("a/x", "", False),
@@ -134,28 +134,28 @@
 
 
 @pytest.mark.parametrize("status", [b"429 Too Many Requests", b"503 Service Unavailable"])
-def test_refused_write_took_no_effect(raw_server, status):
-    """The store turns calls away beyond its rates, or while it is busy.
+def test_refused_write_has_no_effect(raw_server, status):
+    """The store refuses calls beyond its rate limits, or while it is busy.
 
-    Called unknown, each such write would be looked up by another call.
+    If the outcome were unknown, each such write would cost another call to look it up.
     """
     assert isinstance(
-        raw_server(answer(status, b"")).client.transact(*WRITE), contract.Unavailable
+        raw_server(response(status, b"")).client.transact(*WRITE), contract.Unavailable
     )
 
 
-def test_trickling_answer_is_given_up(raw_server):
-    """A platform sends one byte of its answer now and then, without end.
+def test_trickling_response_times_out(raw_server):
+    """A platform sends one byte of its response now and then, without end.
 
-    The caller would wait forever: each byte renews an ordinary timeout.
+    The caller would wait forever, because each byte restarts an ordinary timeout.
     """
     server = raw_server(b"HTTP/1.1 200 OK\r\nX-Long: ", trickle=True)
     assert isinstance(server.client.transact(*WRITE), contract.Unknown)
     assert not server.client_waited
 
 
-def feed_answer(*rows):
-    """Return a feed's answer that names one row in several states."""
+def feed_response(*rows):
+    """Return a feed's response that contains one row in several states."""
     body = json.dumps({"rows": rows, "ver": 9}).encode()
     head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     return head.encode() + body
@@ -166,15 +166,15 @@
 
 
 @pytest.mark.parametrize("is_reversed", [False, True])
-def test_of_several_states_of_a_row_the_newest_counts(raw_server, is_reversed):
-    """Guards against a row that was deleted and written again between two calls of a feed."""
+def test_newest_of_several_states_of_a_row_counts(raw_server, is_reversed):
+    """A row may be deleted and written again between two calls of a feed."""
     rows = [
         state("again", 3, deleted=True),
         state("again", 5),
         state("over", 4),
         state("over", 6, deleted=True),
     ]
-    server = raw_server(feed_answer(*(reversed(rows) if is_reversed else rows)))
+    server = raw_server(feed_response(*(reversed(rows) if is_reversed else rows)))
     changes = server.client.changes("op", 1, 0.01)
     assert [(row.key, row.version) for row in changes.written_rows] == [("op/again", 5)]
     assert changes.deleted_keys == ("op/over",)
--- a/tests/platform/test_storeera.py
+++ b/tests/platform/test_storeera.py
@@ -1,4 +1,4 @@
-"""The client of a store that comes back from an older copy."""
+"""The client of a store that is restored from an older copy."""
 
 import threading
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def store():
-    """Return a stand-in, with one row that a copy has and one that it lacks."""
+    """Return a stand-in, with one row that is in its backup and one that is not."""
     server = standin.serve("127.0.0.1:0")
     server.start()
     server.client = storeclient.StoreClient(server.address)
@@ -26,7 +26,7 @@
     return server.client.transact((), (contract.Put(key, "1"),))
 
 
-def test_what_is_read_after_a_drill_comes_after_all_that_was_read_before(store):
+def test_positions_after_a_restore_exceed_all_earlier_ones(store):
     before = store.client.snapshot("t")
     store.platform.restore(store.copied)
     after = store.client.snapshot("t")
@@ -36,8 +36,8 @@
     assert store.client.read("t/kept").row.version == positions.position(1, 1)
 
 
-def test_a_feed_of_an_era_that_is_over_has_no_history(store):
-    """Guards followers against changes that the version given out again hides."""
+def test_feed_of_an_earlier_era_has_no_history(store):
+    """A reused version would hide changes from followers."""
     before = store.client.snapshot("t")
     store.platform.restore(store.copied)
     for name in ("a", "b", "c"):
@@ -48,16 +48,16 @@
     assert store.client.changes("t", at, 0.0).written_rows[0].key == "t/d"
 
 
-def test_a_feed_that_is_held_during_a_drill_has_no_history(store):
+def test_long_poll_during_a_restore_has_no_history(store):
     before = store.client.snapshot("t")
-    drill = threading.Timer(0.1, store.platform.restore, (store.copied,))
-    drill.start()
+    restore = threading.Timer(0.1, store.platform.restore, (store.copied,))
+    restore.start()
     assert store.client.changes("t", before.version, 2.0) == contract.HistoryLost()
-    drill.join()
+    restore.join()
 
 
-def test_a_condition_on_a_version_of_an_era_that_is_over_does_not_hold(store):
-    """Guards a row against a writer that saw the version before it was given out again."""
+def test_condition_on_a_version_of_an_earlier_era_fails(store):
+    """A writer may hold a version from before the restore that was reused since."""
     seen = store.client.read("t/lost").row.version
     store.platform.restore(store.copied)
     put(store, "t/lost")
@@ -70,7 +70,7 @@
     assert isinstance(held, contract.Committed)
 
 
-def test_a_conditional_write_that_meets_the_drill_is_not_taken_for_done(store):
+def test_conditional_write_across_a_restore_is_unknown(store):
     seen = store.client.read("t/kept").row.version
     store.platform.restore(store.copied)
     write = (contract.Put("t/kept", "2"),)
@@ -79,13 +79,13 @@
 
 
 @pytest.mark.parametrize("header", ["", "-1", "two", "1.5", "99999999", "٣"])
-def test_a_header_that_is_no_era_stands_for_the_one_last_known(header):
+def test_invalid_header_counts_as_the_last_known_era(header):
     known = storeera.StoreEra()
     known.from_response("3", known_at_start=0)
     assert known.from_response(header, known_at_start=3) == 3
 
 
-def test_bad_headers_are_logged_once(monkeypatch):
+def test_invalid_headers_are_logged_once(monkeypatch):
     lines = []
     monkeypatch.setattr(
         storeera.logs,
@@ -103,7 +103,7 @@
     ]
 
 
-def test_a_store_without_eras_is_no_problem():
+def test_store_without_eras_is_accepted():
     known = storeera.StoreEra()
     assert known.from_response(None, known_at_start=0) == 0
     assert known.known == 0
--- a/tests/platform/test_sweeptables.py
+++ b/tests/platform/test_sweeptables.py
@@ -1,4 +1,4 @@
-"""The bench's table of one day at several sizes."""
+"""Decoding of the bench's table of one day at several sizes."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 """
 
 
-def test_the_table_is_read_by_quantity_and_size():
+def test_table_is_decoded_by_quantity_and_size():
     sweep = sweeptables.decode(TABLE)
     assert sweep.target == 360
     processor, config = sweep.quantities
@@ -35,7 +35,7 @@
         TABLE.replace("-0.01", "none"),
     ],
 )
-def test_what_is_no_table_has_a_code(text):
-    with pytest.raises(codederrors.CodedError) as told:
+def test_malformed_table_is_rejected_with_its_code(text):
+    with pytest.raises(codederrors.CodedError) as raised:
         sweeptables.decode(text)
-    assert told.value.code == sweeptables.SWEEP_INVALID
+    assert raised.value.code == sweeptables.SWEEP_INVALID
--- a/tests/store/interruption.py
+++ b/tests/store/interruption.py
@@ -1,4 +1,4 @@
-"""What state machines need to let things happen at each call of the table."""
+"""Helpers for state machines that act around each call of the table."""
 
 from hornbeamglade.store import contract, memory
 
@@ -12,7 +12,7 @@
 
 
 class InterruptedTable(contract.Table):
-    """Lets the machine act before and after each call of one node."""
+    """Lets the state machine act before and after each call of one node."""
 
     def __init__(self, platform, interrupt):
         self._platform = platform
--- a/tests/store/test_memory.py
+++ b/tests/store/test_memory.py
@@ -1,4 +1,4 @@
-"""MemoryPlatform keeps the contract at its weakest."""
+"""MemoryPlatform provides the weakest guarantees that the contract allows."""
 
 from hornbeamglade.core import clocks
 from hornbeamglade.store import contract, memory
@@ -18,14 +18,14 @@
     assert platform.read("b") == contract.Missing("b")
 
 
-def test_versions_start_anew_after_a_delete():
+def test_versions_restart_after_a_delete():
     platform = memory.MemoryPlatform(clocks.ManualClock())
     put_new(platform)
     platform.transact((), (contract.Delete("a"),))
     assert put_new(platform) == contract.Committed({"a": 1})
 
 
-def test_down_takes_no_effect():
+def test_write_during_an_outage_has_no_effect():
     platform = memory.MemoryPlatform(clocks.ManualClock())
     platform.set_faults(memory.Faults(down=True))
     assert put_new(platform) == contract.Unavailable("down")
@@ -33,7 +33,7 @@
     assert platform.scan("") == ()
 
 
-def test_lost_answer_took_effect():
+def test_write_with_a_lost_response_takes_effect():
     platform = memory.MemoryPlatform(clocks.ManualClock())
     platform.set_faults(memory.Faults(lose_answers=True))
     assert isinstance(put_new(platform), contract.Unknown)
@@ -50,7 +50,7 @@
 
 
 def test_feed_lags():
-    """The nodes' list of themselves is followed by a feed, which may be late."""
+    """The list of nodes is followed through a feed, which may lag."""
     clock = clocks.ManualClock()
     platform = memory.MemoryPlatform(clock)
     platform.set_faults(memory.Faults(lag_s=5.0))
@@ -62,7 +62,7 @@
     assert platform.changes("instances", 0, 0.0) == contract.Changes((row,), (), 1, 1)
 
 
-def test_feed_shows_the_newest_of_each_row_and_what_was_deleted():
+def test_feed_returns_the_newest_state_of_rows_and_deletions():
     platform = memory.MemoryPlatform(clocks.ManualClock(), shared_version_counter=True)
     put_new(platform, "a/1")
     put_new(platform, "a/2")
@@ -73,7 +73,7 @@
     assert platform.snapshot("b") == contract.Snapshot((contract.Row("b/1", "1", 3),), 4)
 
 
-def test_history_that_is_gone_is_said_to_be():
+def test_discarded_history_is_reported():
     platform = memory.MemoryPlatform(clocks.ManualClock(), shared_version_counter=True)
     put_new(platform, "a/1")
     platform.forget_history()
