--- a/hornbeamglade/claims/groupcommit.py
+++ b/hornbeamglade/claims/groupcommit.py
@@ -133,13 +133,13 @@
         # succeed, so the request would run twice. Each key is therefore included once, and
         # later units with that key wait.
         seen: set[str] = set()
-        taken = []
+        batch = []
         for waiter in self._queue:
-            if len(taken) < self._max_units and seen.isdisjoint(waiter.unit.keys):
-                taken.append(waiter)
+            if len(batch) < self._max_units and seen.isdisjoint(waiter.unit.keys):
+                batch.append(waiter)
             seen |= waiter.unit.keys
-        self._queue = [waiter for waiter in self._queue if waiter not in taken]
-        return taken
+        self._queue = [waiter for waiter in self._queue if waiter not in batch]
+        return batch
 
     def _commit(self, batch: list[_Waiter]) -> None:
         # If the table raises, the other threads must not wait forever. Whether their writes
--- a/hornbeamglade/entry/callershandler.py
+++ b/hornbeamglade/entry/callershandler.py
@@ -223,7 +223,7 @@
         log: attemptlog.AttemptLog,
         run: streamrun.StreamRun | None,
     ) -> None:
-        """Log a request that ended without a response, and whose doing that was."""
+        """Log a request that was cancelled by its caller or by the drain time limit."""
         # When draining reaches its time limit, in-flight requests are cancelled just as if
         # the caller had closed the connection. Logging that as the caller's doing would
         # mislead the operator who looks for the cause.
--- a/hornbeamglade/entry/clusterstate.py
+++ b/hornbeamglade/entry/clusterstate.py
@@ -14,7 +14,7 @@
 from hornbeamglade.store import contract, positions, tablefollower
 
 REACHABLE_TIMEOUT_S = tablefollower.LONG_POLL_S + 1.5
-"""The store holds a long poll for the wait and answers within a second of its end."""
+"""The store answers a long poll within a second after its wait time has ended."""
 
 MAX_LOGGED_PROBLEMS = 100
 """Undecodable entries that are logged at a time. Any program may write to the list, and each
@@ -264,8 +264,8 @@
             self._problem_by_key.pop(key, None)
         replicas, undecodable = self._decode_rows(changes.written_rows)
         gone = [replicarows.server_name(key) for key in changes.deleted_keys]
-        made = self._replicas.update(replicas, gone, changes.newest, undecodable)
-        self._report(made, source)
+        list_changes = self._replicas.update(replicas, gone, changes.newest, undecodable)
+        self._report(list_changes, source)
 
     def _decode_rows(
         self, rows: collections.abc.Iterable[contract.Row]
--- a/hornbeamglade/entry/documentsync.py
+++ b/hornbeamglade/entry/documentsync.py
@@ -65,7 +65,7 @@
     """An ongoing fetch of a newer document."""
 
     version: int
-    since: float
+    started_at: float
     announced_by: str | None = None
     assembly: configchunks.Assembly | None = None
     requested_at: float = float("-inf")
@@ -190,7 +190,7 @@
             return None
         if fetch is None:
             fetch = self._fetch_by_subject[subject] = _Fetch(version, now)
-        if fetch.announced_by is None and now - fetch.since < FETCH_DELAY_S:
+        if fetch.announced_by is None and now - fetch.started_at < FETCH_DELAY_S:
             return None
         if now - fetch.requested_at < REQUEST_RETRY_S:
             return None
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -77,7 +77,7 @@
         self.incarnation = int(clock.wall() * 1000)
         self.instruments = metrics.NodeMetrics()
         rng = random.Random(self.incarnation ^ hash(instance_settings.name))
-        self._views = views.CurrentView()
+        self._current_view = views.CurrentView()
         self._startup = startupgate.StartupGate()
         self._replicas = replicalist.ReplicaList()
         self._available = availability.Availability(
@@ -91,7 +91,7 @@
         self._schedulers = schedulerset.SchedulerSet(clock, self._lengths, self._available)
         digests = digestcache.DigestCache(clock)
         self.cluster_state = clusterstate.ClusterState(
-            self._views,
+            self._current_view,
             self._available,
             clock,
             self._on_list_changed,
@@ -165,9 +165,9 @@
             lambda replica, lost: self.quarantine.crashed(replica.id, lost),
             clock,
         )
-        rates = componentsettings.routing(instance_settings)
+        routing_settings = componentsettings.routing(instance_settings)
         self.catalog = enginecatalog.EngineCatalog(
-            self._available, self._schedulers, digests, self.peering.owned, rates
+            self._available, self._schedulers, digests, self.peering.owned, routing_settings
         )
         self.peering.set_alternatives(self.catalog.owned_alternatives)
         self.acquirer = asyncgrantacquirer.AsyncGrantAcquirer(
@@ -176,7 +176,7 @@
             self.peering.grants,
             self.peering,
             rng,
-            rates,
+            routing_settings,
         )
         migrations = migration.MigrationDependencies(
             engine_calls,
@@ -206,7 +206,7 @@
             rate_limit_queue,
             clock,
         )
-        plain = bufferedexchange.BufferedExchange(
+        buffered = bufferedexchange.BufferedExchange(
             self._available,
             self._sender,
             self._loads,
@@ -220,8 +220,8 @@
             callershandler.HandlerDependencies(
                 self._dialect,
                 self._startup,
-                self._views,
-                plain,
+                self._current_view,
+                buffered,
                 runs,
                 self.quarantine,
                 self._budgets,
@@ -239,7 +239,7 @@
         self._was_introduced = False
         self._gauges = gauges.Gauges(
             self.instruments,
-            self._views,
+            self._current_view,
             self._available,
             self.cluster_state,
             self.quarantine,
@@ -257,7 +257,7 @@
         # Without a replica list every request would be refused for want of replicas; without
         # the evacuations some would be sent to evacuated failure domains.
         has_list = self._replicas.version > 0 and self._available.evacuations.is_known
-        return self._views.routes is not None and has_list
+        return self._current_view.routes is not None and has_list
 
     def _open_gate_when_ready(self) -> None:
         if self._has_complete_state:
@@ -426,7 +426,7 @@
         return versions.configuration, versions.replicas
 
     def _engines(self) -> collections.abc.Iterator[replicamodels.Replica]:
-        view = self._views.routes
+        view = self._current_view.routes
         if view is None:
             return
         for name, service in view.configuration.service_by_name.items():
@@ -454,7 +454,7 @@
         return [replica for replica in self._engines() if replica.id in owned]
 
     def _on_configured(self) -> None:
-        view = self._views.routes
+        view = self._current_view.routes
         configuration = view.configuration
         self.instruments.config_revision.set(configuration.revision)
         self._available.configure(configuration.service_by_name)
@@ -482,7 +482,7 @@
 
     def _update_engines(self) -> None:
         self._open_gate_when_ready()
-        view = self._views.routes
+        view = self._current_view.routes
         if view is None:
             return
         engines = list(self._engines())
--- a/hornbeamglade/entry/peering.py
+++ b/hornbeamglade/entry/peering.py
@@ -194,14 +194,14 @@
             (ownership.Participant(each.id, each.failure_domain) for each in self._engines()),
             service_by_id.__getitem__,
         )
-        moves = self._ownership.update(engines, nodes)
-        if not moves:
+        reassignments = self._ownership.update(engines, nodes)
+        if not reassignments:
             return
         self._schedulers.set_owned(self.owned())
-        for move in moves:
-            peer = None if move.after is None else self.heartbeats.peer(move.after)
-            if peer is not None and move.after != self._identity.name:
-                self.grants.redirect(move.replica, peer)
+        for reassignment in reassignments:
+            peer = None if reassignment.after is None else self.heartbeats.peer(reassignment.after)
+            if peer is not None and reassignment.after != self._identity.name:
+                self.grants.redirect(reassignment.replica, peer)
 
     def _digest(self) -> heartbeats.Digest:
         owned = self.owned()
--- a/tests/entry/site.py
+++ b/tests/entry/site.py
@@ -227,10 +227,10 @@
     def is_ready(self):
         """Return whether each node knows the others and all engines have free capacity."""
         views = [node.instance.peering.heartbeats.live() for node in self.nodes]
-        heard = all(len(view) == len(self.nodes) for view in views)
-        return heard and all(self._knows_room(node) for node in self.nodes)
+        are_connected = all(len(view) == len(self.nodes) for view in views)
+        return are_connected and all(self._knows_capacity(node) for node in self.nodes)
 
-    def _knows_room(self, node):
+    def _knows_capacity(self, node):
         known = node.instance.catalog.candidates("llm", ())
         return len(known) == len(self.engines) and all(each.room_tokens for each in known)
 
--- a/tests/entry/test_clusterstate.py
+++ b/tests/entry/test_clusterstate.py
@@ -157,8 +157,8 @@
     harness = Harness()
     newest = {"a": 0, "b": 0}
     for version, (name, value) in enumerate(rows, 1):
-        made = contract.Row(f"servers/{name}", value, version)
-        harness.state.on_replicas(contract.Changes((made,), (), version, version))
+        changed_row = contract.Row(f"servers/{name}", value, version)
+        harness.state.on_replicas(contract.Changes((changed_row,), (), version, version))
         for born in (5, 6):
             if value == site.server_row(Server, "web", born=born):
                 newest[name] = max(newest[name], born)
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -7,11 +7,13 @@
 REGIONS = {"a": "north", "b": "north", "c": "south"}
 
 
-def member(name, domain, state=messages.NodeState.LIVE, revision=3, listed=5, *, heard=True):
+def member(
+    name, domain, state=messages.NodeState.LIVE, revision=3, listed=5, *, has_heartbeat=True
+):
     identity = view.Identity(name, domain, f"{name}:80", f"{name}:72")
     live = messages.NodeState.LIVE
     heartbeat = messages.Heartbeat(live, 1, revision, domain, "", "", list_version=listed)
-    return view.Member(identity, 1, 1, 0, state, 0.0, heartbeat if heard else None)
+    return view.Member(identity, 1, 1, 0, state, 0.0, heartbeat if has_heartbeat else None)
 
 
 def addresses(members, domain="a", region="north", own="n0", *, ready=True):
@@ -46,7 +48,7 @@
         member("n2", "a", leaving),
         member("n3", "a", messages.NodeState.SUSPECT),
         member("n4", "a", revision=0),
-        member("n5", "a", heard=False),
+        member("n5", "a", has_heartbeat=False),
         member("n6", "a", listed=0),
     ]
     assert addresses(members) == ("n0:80",)
@@ -58,4 +60,4 @@
 
 
 def test_instance_without_peers_returns_itself():
-    assert addresses([member("n0", "a", heard=False)]) == ("n0:80",)
+    assert addresses([member("n0", "a", has_heartbeat=False)]) == ("n0:80",)
--- a/tests/entry/test_membership.py
+++ b/tests/entry/test_membership.py
@@ -20,8 +20,8 @@
     """The wall clock jumps ahead, an instance starts and is killed, and the clock jumps back.
 
     The restarted instance has a lower incarnation than the others remember. They dropped all
-    its messages for a minute and a half: no owner granted it anything, and it considered the
-    engines that it owned to be its own alone.
+    its messages for a minute and a half: it got no grants from other owners, and considered
+    itself the sole owner of its engines.
     """
 
     async def test(site):
--- a/tests/platform/test_requestdialect.py
+++ b/tests/platform/test_requestdialect.py
@@ -139,9 +139,9 @@
     assert names == [b"Attempt-Id", b"Response-Seal", b"Replica-Load"]
 
 
-@pytest.mark.parametrize("told", [b"", b"1,2", b"a,b,c", b"-1,0,8"])
-def test_malformed_load_is_ignored(told):
-    assert head(200, (b"Replica-Load", told)).load is None
+@pytest.mark.parametrize("value", [b"", b"1,2", b"a,b,c", b"-1,0,8"])
+def test_malformed_load_is_ignored(value):
+    assert head(200, (b"Replica-Load", value)).load is None
 
 
 def test_not_run_requires_its_header_or_a_misdirected_status():
