--- a/hornbeamglade/capacity/checksrouting.py
+++ b/hornbeamglade/capacity/checksrouting.py
@@ -83,10 +83,10 @@
         ),
         checkvalues.Check(
             "first token's wait for each owner that has just died",
-            grantrequests.ANSWER_BOUND_S,
+            grantrequests.RESPONSE_TIMEOUT_S,
             1.1 / 2,
             "s",
-            "exchange/grantrequests.py (ANSWER_BOUND_S)",
+            "exchange/grantrequests.py (RESPONSE_TIMEOUT_S)",
             "two in a row leave half of the 1.1 s",
         ),
     )
--- a/hornbeamglade/capacity/duties.py
+++ b/hornbeamglade/capacity/duties.py
@@ -136,7 +136,7 @@
 def _limits(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> dutyvalues.Duty:
     ticks = 1 / daemon.TICK_S
     passes = dutyvalues.place_passes_per_day(size)
-    telling_s = messages.DEMANDS_EVERY * dissemination.SAMPLED_PERIOD_S
+    telling_s = messages.DEMANDS_INTERVAL_BEATS * dissemination.SAMPLED_PERIOD_S
     return dutyvalues.Duty(
         "Keeping team limits",
         f"a share of each of {size.teams:,} teams' limits, at every node",
--- a/hornbeamglade/capacity/losses.py
+++ b/hornbeamglade/capacity/losses.py
@@ -82,5 +82,5 @@
     )
 
 
-ASK_WAIT_S = grantrequests.ANSWER_BOUND_S
+ASK_WAIT_S = grantrequests.RESPONSE_TIMEOUT_S
 DIGEST_LIFE_S = replicacatalog.REPORT_LIFE_S
--- a/hornbeamglade/capacity/measuringgrants.py
+++ b/hornbeamglade/capacity/measuringgrants.py
@@ -152,7 +152,7 @@
         self._own = own
         self._life = life
         self.other: codec.Codec | None = None
-        self.handle: transport.Handler | None = None
+        self.handle: transport.MessageHandler | None = None
 
     def send(self, peer: transport.Peer, message: messages.Message) -> None:
         frame = self._own.encode(peer.name, message)
@@ -181,7 +181,7 @@
         self._server = grantserver.GrantServer(scheduler, to_asker, self._clock)
         scheduler.set_push(self._server.push)
         to_owner.other, to_owner.handle = owner, self._at_owner
-        to_asker.other, to_asker.handle = asker, self._client.answered
+        to_asker.other, to_asker.handle = asker, self._client.on_response
         self._peer = transport.Peer(nodes[1], _ENDPOINT)
 
     def run(self) -> None:
@@ -202,7 +202,7 @@
         number = self._ask()
         for produced in (190, 286):
             self._pass(ANSWER_S / 2)
-            self._client.note(number, produced)
+            self._client.record_progress(number, produced)
         self._client.close(number)
         for _ in range(_REPORTS_AFTER_END):
             self._pass(5.0)
@@ -234,6 +234,6 @@
         self, message: messages.Message, sender: codec.Sender, source: transport.Endpoint
     ) -> None:
         if isinstance(message, messages.GrantRequest):
-            self._server.asked(message, sender, source)
+            self._server.on_request(message, sender, source)
         else:
-            self._server.progressed(message, sender, source)
+            self._server.on_progress(message, sender, source)
--- a/hornbeamglade/entry/documentsync.py
+++ b/hornbeamglade/entry/documentsync.py
@@ -67,7 +67,7 @@
     version: int
     started_at: float
     announced_by: str | None = None
-    assembly: configchunks.Assembly | None = None
+    assembly: configchunks.ChunkAssembler | None = None
     requested_at: float = float("-inf")
     since_version: int = 0
 
@@ -201,7 +201,7 @@
     ) -> OutgoingRequest | None:
         if fetch.assembly is None or fetch.version != version:
             fetch.version = version
-            fetch.assembly = configchunks.Assembly(version, subject)
+            fetch.assembly = configchunks.ChunkAssembler(version, subject)
             fetch.since_version = self.versions().of(subject)
         fetch.requested_at = self._clock.now()
         request = _with_since(fetch.assembly.next_request(), fetch.since_version)
--- a/hornbeamglade/entry/peering.py
+++ b/hornbeamglade/entry/peering.py
@@ -155,7 +155,7 @@
         for change in changes:
             membershiplog.log_member_change(change)
             if change.member.state is messages.NodeState.GONE:
-                self._server.holder_gone(change.member.identity.name)
+                self._server.expire_holder(change.member.identity.name)
         self._server.tick()
         self.grants.tick()
         self.migration_slots.tick()
@@ -230,11 +230,11 @@
                 self._events.on_evacuations(message.evacuations)
                 self._events.on_quarantine_digest(sender.name, message.quarantine_digest)
         elif isinstance(message, messages.GrantRequest):
-            self._server.asked(message, sender, source)
+            self._server.on_request(message, sender, source)
         elif isinstance(message, messages.GrantResponse):
-            self.grants.answered(message, sender, source)
+            self.grants.on_response(message, sender, source)
         elif isinstance(message, messages.Progress):
-            self._server.progressed(message, sender, source)
+            self._server.on_progress(message, sender, source)
         elif isinstance(message, messages.MigrationSlot):
             self.migration_slots.handle_message(message, sender, source)
         elif isinstance(message, messages.VersionAnnouncement):
--- a/hornbeamglade/exchange/asyncgrantclient.py
+++ b/hornbeamglade/exchange/asyncgrantclient.py
@@ -22,9 +22,9 @@
         self._clock = clock
         self._answered_by_number: dict[int, asyncio.Event] = {}
 
-    def rise_to(self, incarnation: int) -> None:
+    def set_incarnation(self, incarnation: int) -> None:
         """Go on under another incarnation."""
-        self._tracker.rise_to(incarnation)
+        self._tracker.set_incarnation(incarnation)
 
     async def request_grant(
         self, owner: transport.Peer, ask: messages.GrantRequest
@@ -50,9 +50,9 @@
             if not _is_granted(outcome):
                 self.close(number)
 
-    def note(self, number: int, produced: int) -> None:
+    def record_progress(self, number: int, produced: int) -> None:
         """Note how many tokens a granted request has produced."""
-        self._tracker.note(number, produced)
+        self._tracker.record_progress(number, produced)
 
     def close(self, number: int) -> None:
         """Return a grant, at the end of its request; idempotent."""
@@ -66,12 +66,12 @@
         """Send reports of progress and repeated returns that are due."""
         self._send(self._tracker.tick(self._clock.now()))
 
-    def answered(
+    def on_response(
         self, answer: messages.GrantResponse, origin: codec.Sender, source: transport.Endpoint
     ) -> None:
         """Take an answer from the transport."""
         owner = transport.Peer(origin.name, source)
-        outgoing = self._tracker.answered(owner, answer, self._clock.now())
+        outgoing = self._tracker.on_response(owner, answer, self._clock.now())
         answered = self._answered_by_number.get(answer.grant_id)
         if answered is not None:
             answered.set()
@@ -90,7 +90,9 @@
                 return outcome
             if now >= ends_at:
                 owner = self._tracker.owner(number)
-                return None if self._tracker.was_heard(number) else grantrequests.NoResponse(owner)
+                return (
+                    None if self._tracker.has_response(number) else grantrequests.NoResponse(owner)
+                )
             wait_s = min(self._tracker.wake_at(number), ends_at) - now
             try:
                 async with asyncio.timeout(max(_SHORTEST_WAIT_S, wait_s)):
--- a/hornbeamglade/exchange/asyncudp.py
+++ b/hornbeamglade/exchange/asyncudp.py
@@ -16,13 +16,16 @@
     """
 
     def __init__(
-        self, frames: codec.Codec, handler: transport.Handler, failed: transport.Failed
+        self,
+        frames: codec.Codec,
+        handler: transport.MessageHandler,
+        failed: transport.FailureHandler,
     ) -> None:
         self._codec = frames
         self._handler = handler
         self._failed = failed
         self._socket: asyncio.DatagramTransport | None = None
-        self.traffic = transport.Counts()
+        self.traffic = transport.TrafficCounters()
 
     async def listen(self, endpoint: transport.Endpoint) -> transport.Endpoint:
         """Bind the socket; return where it receives."""
--- a/hornbeamglade/exchange/codec.py
+++ b/hornbeamglade/exchange/codec.py
@@ -42,7 +42,7 @@
 import threading
 
 from hornbeamglade.core import clocks, codederrors
-from hornbeamglade.exchange import messages, replay, wireforms
+from hornbeamglade.exchange import messages, replay, wireformat
 
 FRAME_BOUND = 1400
 TAG_BYTES = 16
@@ -155,7 +155,7 @@
         :param clock: for freshness.
         :param sent_before: the number of the frame before the first.
         """
-        self._name = wireforms.checked_name(name)
+        self._name = wireformat.checked_name(name)
         self._mark = _mark(name)
         self._incarnation = incarnation
         self._keys = keys
@@ -166,7 +166,7 @@
         self._lock = threading.Lock()
         self.dropped_by_reason: collections.Counter[str] = collections.Counter()
 
-    def rise_above(self, incarnation: int) -> int:
+    def raise_incarnation_above(self, incarnation: int) -> int:
         """Go on under a higher incarnation than one that others know; return it.
 
         Explanation
@@ -193,14 +193,14 @@
         :raises CodedError: ``exchange_message_too_large`` when the message is
             beyond its bounds or the frame would be.
         """
-        envelope = wireforms.SCHEMA.Envelope.new_message()
+        envelope = wireformat.SCHEMA.Envelope.new_message()
         envelope.sender = self._name
         envelope.incarnation = self._incarnation
         envelope.sequence = self._next_sequence()
         envelope.wallS = max(0, int(self._clock.wall()))
         envelope.elapsedTenths = max(0, int((self._clock.now() - self._started) * 10))
         try:
-            wireforms.fill(envelope, message)
+            wireformat.fill(envelope, message)
         except ValueError as error:
             raise codederrors.CodedError("exchange_message_too_large", str(error)) from error
         body = envelope.to_bytes_packed()
@@ -225,17 +225,17 @@
         if reason is not None:
             return Dropped(reason)
         try:
-            envelope = wireforms.SCHEMA.Envelope.from_bytes_packed(
+            envelope = wireformat.SCHEMA.Envelope.from_bytes_packed(
                 frame[_BODY_START:], traversal_limit_in_words=_TRAVERSAL_WORDS
             )
-            stamp = replay.Stamp(
-                wireforms.checked_name(envelope.sender),
+            stamp = replay.FrameStamp(
+                wireformat.checked_name(envelope.sender),
                 envelope.incarnation,
                 envelope.sequence,
                 envelope.wallS,
                 envelope.elapsedTenths / 10,
             )
-            message = wireforms.read(envelope)
+            message = wireformat.read(envelope)
         # A key holder of another release, or one with a fault, may send what
         # no reader foresees, and the decoder's own exceptions share no narrower
         # base. Raising here would end the receiver thread and silence the node.
--- a/hornbeamglade/exchange/configchunks.py
+++ b/hornbeamglade/exchange/configchunks.py
@@ -48,13 +48,13 @@
     )
 
 
-class Assembly:
+class ChunkAssembler:
     """Puts one revision's chunks together again.
 
     Examples
     ========
 
-    >>> assembly = Assembly(3)
+    >>> assembly = ChunkAssembler(3)
     >>> for offer in split(3, b"x" * 1500):
     ...     document = assembly.add(offer)
     >>> len(document)
--- a/hornbeamglade/exchange/framesizes.py
+++ b/hornbeamglade/exchange/framesizes.py
@@ -29,19 +29,19 @@
 class RequestCost:
     """What one request costs that is granted by another node.
 
-    :param asker_bytes: bytes that the asking node sends.
+    :param requester_bytes: bytes that the asking node sends.
     :param owner_bytes: bytes that the owner sends.
     :param frames: frames of both.
     """
 
-    asker_bytes: float
+    requester_bytes: float
     owner_bytes: float
     frames: float
 
     @property
     def total_bytes(self) -> float:
         """Bytes of both; where all ask all, this is what a node sends for each."""
-        return self.asker_bytes + self.owner_bytes
+        return self.requester_bytes + self.owner_bytes
 
 
 def packet_bytes(message: messages.Message) -> int:
@@ -72,7 +72,9 @@
     >>> expected_reports(2.0), expected_reports(10.0)
     (0.0, 1.5)
     """
-    return max(0.0, duration_s - grantrequests.REPORT_FROM_S) / grantrequests.REPORT_S
+    return (
+        max(0.0, duration_s - grantrequests.FIRST_REPORT_AFTER_S) / grantrequests.REPORT_INTERVAL_S
+    )
 
 
 def remote_request_bytes(duration_s: float, queued_s: float = 0.0) -> RequestCost:
@@ -96,15 +98,15 @@
     )
     queued = dataclasses.replace(granted, kind=messages.GrantKind.QUEUED)
     running = messages.Progress((messages.GrantProgress(_ASK, _HASH, _TOKENS),))
-    returned = messages.Progress((), (messages.GrantRelease(_ASK, _TOKENS),))
-    waits = 1 + math.floor(queued_s / grantrequests.POLL_S) if queued_s else 0
+    released = messages.Progress((), (messages.GrantRelease(_ASK, _TOKENS),))
+    waits = 1 + math.floor(queued_s / grantrequests.POLL_INTERVAL_S) if queued_s else 0
     reports = expected_reports(duration_s)
-    returns = 1 + grantrequests.RETURN_REPEATS
-    asker_bytes = (
+    returns = 1 + grantrequests.RELEASE_REPEATS
+    requester_bytes = (
         max(1, waits) * packet_bytes(ask)
         + reports * packet_bytes(running)
-        + returns * packet_bytes(returned)
+        + returns * packet_bytes(released)
     )
     owner_bytes = packet_bytes(granted) + waits * packet_bytes(queued)
     frames = max(1, waits) + 1 + waits + reports + returns
-    return RequestCost(asker_bytes, owner_bytes, frames)
+    return RequestCost(requester_bytes, owner_bytes, frames)
--- a/hornbeamglade/exchange/grantclient.py
+++ b/hornbeamglade/exchange/grantclient.py
@@ -27,10 +27,10 @@
         self._lock = threading.Lock()
         self._event_by_number: dict[int, threading.Event] = {}
 
-    def rise_to(self, incarnation: int) -> None:
+    def set_incarnation(self, incarnation: int) -> None:
         """Go on under another incarnation."""
         with self._lock:
-            self._tracker.rise_to(incarnation)
+            self._tracker.set_incarnation(incarnation)
 
     def request_grant(
         self,
@@ -68,10 +68,10 @@
             if not granted:
                 self.close(number)
 
-    def note(self, number: int, produced: int) -> None:
+    def record_progress(self, number: int, produced: int) -> None:
         """Note how many tokens a granted request has produced."""
         with self._lock:
-            self._tracker.note(number, produced)
+            self._tracker.record_progress(number, produced)
 
     def close(self, number: int) -> None:
         """Return a grant, at the end of its request; idempotent."""
@@ -90,7 +90,7 @@
             outgoing = self._tracker.tick(self._clock.now())
         self._send(outgoing)
 
-    def answered(
+    def on_response(
         self,
         answer: messages.GrantResponse,
         origin: codec.Sender,
@@ -99,7 +99,7 @@
         """Take an answer from the transport."""
         owner = transport.Peer(origin.name, source)
         with self._lock:
-            outgoing = self._tracker.answered(owner, answer, self._clock.now())
+            outgoing = self._tracker.on_response(owner, answer, self._clock.now())
             event = self._event_by_number.get(answer.grant_id)
         if event is not None:
             event.set()
--- a/hornbeamglade/exchange/grantrequests.py
+++ b/hornbeamglade/exchange/grantrequests.py
@@ -6,17 +6,17 @@
 Datagrams get lost, doubled and overtaken, so the asking side carries the whole
 protocol and the owner only ever answers:
 
-- An ask is sent again each :data:`RESEND_S` until something is heard; it keeps its
+- An ask is sent again each :data:`RESEND_INTERVAL_S` until something is heard; it keeps its
   number, so the owner treats it as one.
-- While queued, the ask is repeated each :data:`POLL_S`. This recovers a lost push
+- While queued, the ask is repeated each :data:`POLL_INTERVAL_S`. This recovers a lost push
   and tells the owner that someone still waits.
-- Silence of :data:`ANSWER_BOUND_S` (:data:`QUEUED_BOUND_S` while queued) gives the ask
+- Silence of :data:`RESPONSE_TIMEOUT_S` (:data:`QUEUED_TIMEOUT_S` while queued) gives the ask
   up, so the caller can try another replica; the owner may still have granted
   it, so the give-up is announced by :class:`messages.GrantRelease`.
 - An answer that comes for an ask that was given up is returned at once.
-- Progress of all grants is reported each :data:`REPORT_S`, in one message for each
-  owner, but of none younger than :data:`REPORT_FROM_S`, which has little to tell.
-- A return is sent at once, and again with the next :data:`RETURN_REPEATS` reports; if
+- Progress of all grants is reported each :data:`REPORT_INTERVAL_S`, in one message for each
+  owner, but of none younger than :data:`FIRST_REPORT_AFTER_S`, which has little to tell.
+- A return is sent at once, and again with the next :data:`RELEASE_REPEATS` reports; if
   all are lost the grant lapses at the owner, as no progress is reported for it.
 
 A frame costs far more bytes than an entry in it, so reports are rare and joined:
@@ -34,15 +34,15 @@
 
 from hornbeamglade.exchange import messages, transport
 
-RESEND_S = 0.1
-ANSWER_BOUND_S = 0.3
-POLL_S = 1.0
-QUEUED_BOUND_S = 3.0
-REPORT_S = 5.0
-REPORT_FROM_S = REPORT_S / 2
+RESEND_INTERVAL_S = 0.1
+RESPONSE_TIMEOUT_S = 0.3
+POLL_INTERVAL_S = 1.0
+QUEUED_TIMEOUT_S = 3.0
+REPORT_INTERVAL_S = 5.0
+FIRST_REPORT_AFTER_S = REPORT_INTERVAL_S / 2
 # With one datagram in 100 lost, one return in 10,000 is lost twice, and holds its
 # room until it lapses.
-RETURN_REPEATS = 1
+RELEASE_REPEATS = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     """Whatever names this node's incarnation in what it asks."""
 
     @abc.abstractmethod
-    def rise_to(self, incarnation: int) -> None:
+    def set_incarnation(self, incarnation: int) -> None:
         """Go on under another incarnation."""
 
 
@@ -119,7 +119,7 @@
     ['GrantRequest']
     >>> kind = messages.GrantKind.GRANTED
     >>> granted = messages.GrantResponse(number, kind, incarnation=1)
-    >>> tracker.answered(owner, granted, now=0.01)
+    >>> tracker.on_response(owner, granted, now=0.01)
     ()
     >>> tracker.outcome(number) == granted
     True
@@ -136,7 +136,7 @@
         self._returns: list[_Return] = []
         self._report_at = 0.0
 
-    def rise_to(self, incarnation: int) -> None:
+    def set_incarnation(self, incarnation: int) -> None:
         """Go on under another incarnation; answers to asks under the former one are void."""
         self._incarnation = incarnation
 
@@ -162,7 +162,7 @@
         """Return the name of the node that an ask goes to."""
         return self._ask_by_number[number].peer.name
 
-    def was_heard(self, number: int) -> bool:
+    def has_response(self, number: int) -> bool:
         """Tell whether the owner has answered the ask at all."""
         return self._ask_by_number[number].state is not _State.UNANSWERED
 
@@ -181,10 +181,10 @@
             return self._return(number, ask)
         if now < ask.send_at:
             return ()
-        ask.send_at = now + (POLL_S if ask.state is _State.QUEUED else RESEND_S)
+        ask.send_at = now + (POLL_INTERVAL_S if ask.state is _State.QUEUED else RESEND_INTERVAL_S)
         return (Outgoing(ask.peer, ask.ask),)
 
-    def answered(
+    def on_response(
         self, owner: transport.Peer, answer: messages.GrantResponse, now: float
     ) -> tuple[Outgoing, ...]:
         """Take an answer.
@@ -215,10 +215,10 @@
             ask.ask = dataclasses.replace(ask.ask, replica=answer.replica)
         ask.state = _State.GRANTED if granted else _State.SETTLED
         ask.outcome = answer
-        ask.report_from = now + REPORT_FROM_S
+        ask.report_from = now + FIRST_REPORT_AFTER_S
         return ()
 
-    def note(self, number: int, produced: int) -> None:
+    def record_progress(self, number: int, produced: int) -> None:
         """Note the tokens that a granted request has produced so far."""
         ask = self._ask_by_number.get(number)
         if ask is not None:
@@ -252,7 +252,7 @@
         """Return the reports that are due: progress, and returns once more."""
         if now < self._report_at:
             return ()
-        self._report_at = now + REPORT_S
+        self._report_at = now + REPORT_INTERVAL_S
         entries_by_peer: dict[transport.Peer, list[_Entry]] = {}
         for entry in (*self._running(now), *self._repeated_returns()):
             entries_by_peer.setdefault(entry.peer, []).append(entry)
@@ -265,8 +265,8 @@
     def _return(self, number: int, ask: _Ask) -> tuple[Outgoing, ...]:
         ask.state = _State.SETTLED
         grant = messages.GrantRelease(number, ask.produced)
-        self._returns.append(_Return(ask.peer, grant, RETURN_REPEATS))
-        return (Outgoing(ask.peer, messages.Progress(returned=(grant,))),)
+        self._returns.append(_Return(ask.peer, grant, RELEASE_REPEATS))
+        return (Outgoing(ask.peer, messages.Progress(released=(grant,))),)
 
     def _running(self, now: float) -> collections.abc.Iterator[_Entry]:
         for number, ask in self._ask_by_number.items():
@@ -287,7 +287,7 @@
     # Only the first "queued" moves the next poll: each poll is answered by another
     # "queued", and the polls would come ever later behind slow answers.
     if ask.state is _State.UNANSWERED:
-        ask.send_at = now + POLL_S
+        ask.send_at = now + POLL_INTERVAL_S
     ask.state = _State.QUEUED
 
 
@@ -298,7 +298,7 @@
     # went elsewhere, and the owner would hold memory for it. The returns that
     # were scheduled at the give-up may all be lost.
     return (
-        Outgoing(owner, messages.Progress(returned=(messages.GrantRelease(answer.grant_id),))),
+        Outgoing(owner, messages.Progress(released=(messages.GrantRelease(answer.grant_id),))),
     )
 
 
@@ -312,4 +312,4 @@
 
 
 def _silence_bound_s(ask: _Ask) -> float:
-    return QUEUED_BOUND_S if ask.state is _State.QUEUED else ANSWER_BOUND_S
+    return QUEUED_TIMEOUT_S if ask.state is _State.QUEUED else RESPONSE_TIMEOUT_S
--- a/hornbeamglade/exchange/grantserver.py
+++ b/hornbeamglade/exchange/grantserver.py
@@ -6,14 +6,15 @@
 The scheduler decides; this module makes its decisions safe against a network that
 loses, doubles and reorders:
 
-- The answer to an ask is remembered, so a repeated ask gets the same answer and
-  the scheduler sees it once.
-- An ask that was returned is remembered as such for :data:`REMEMBER_S`, so a delayed
-  copy of it isn't granted to nobody. The codec lets no frame live longer than
-  :data:`replay.MAX_FLIGHT_S <hornbeamglade.exchange.replay.MAX_FLIGHT_S>`, a third of that.
-- A grant of which nothing is heard for :data:`LAPSE_S` lapses, and so does a queued
-  ask that is no longer repeated: the asker died, or its returns were lost. All of
-  a node's lapse at once by :meth:`GrantServer.holder_gone`.
+- The response to a grant request is stored, so a repeated request gets the same response
+  and the scheduler sees it once.
+- A request whose grant was released is stored as such for :data:`RECORD_RETENTION_S`, so a
+  delayed copy of it is not granted to nobody. The codec accepts no frame older than
+  :data:`replay.MAX_FRAME_DELAY_S
+  <hornbeamglade.exchange.replay.MAX_FRAME_DELAY_S>`, a third of that.
+- A grant of which nothing is heard for :data:`GRANT_TIMEOUT_S` expires, and so does a queued
+  request that is no longer repeated: the requester failed, or its releases were lost. All
+  grants of a node expire at once through :meth:`GrantServer.expire_holder`.
 
 An owner that is new, or that let a grant lapse whose holder was merely cut off,
 hears of running requests that it did not admit; they are offered to the scheduler by
@@ -29,8 +30,8 @@
 from hornbeamglade.core import clocks
 from hornbeamglade.exchange import codec, grantrequests, messages, replay, transport
 
-LAPSE_S = 4 * grantrequests.REPORT_S
-REMEMBER_S = 3 * replay.MAX_FLIGHT_S
+GRANT_TIMEOUT_S = 4 * grantrequests.REPORT_INTERVAL_S
+RECORD_RETENTION_S = 3 * replay.MAX_FRAME_DELAY_S
 MAX_RECORDS = 20_000
 
 RETURNED = "grant_returned"
@@ -118,7 +119,7 @@
         self._record_by_key: dict[GrantKey, _Record] = {}
         self._incarnation_by_holder: dict[str, int] = {}
 
-    def asked(
+    def on_request(
         self, ask: messages.GrantRequest, origin: codec.Sender, source: transport.Endpoint
     ) -> None:
         """Take an ask from the transport and answer it."""
@@ -141,7 +142,7 @@
         if answer is not None:
             self._reply(key, peer, answer)
 
-    def progressed(
+    def on_progress(
         self,
         progress: messages.Progress,
         origin: codec.Sender,
@@ -149,7 +150,7 @@
     ) -> None:
         """Take a report of progress from the transport."""
         peer = transport.Peer(origin.name, source)
-        for grant in progress.returned:
+        for grant in progress.released:
             self._returned(GrantKey(origin.name, origin.incarnation, grant.grant_id), peer, grant)
         for grant in progress.running:
             self._advanced(GrantKey(origin.name, origin.incarnation, grant.grant_id), peer, grant)
@@ -171,19 +172,19 @@
         self._reply(key, peer, answer)
         return True
 
-    def holder_gone(self, name: str) -> None:
+    def expire_holder(self, name: str) -> None:
         """Let all grants of a node lapse; membership holds it for dead."""
         self._lapse(lambda key, record: key.holder == name)
 
     def tick(self) -> None:
         """Let silent asks lapse and forget what ended long ago."""
         now = self._clock.now()
-        self._lapse(lambda key, record: now - record.heard_at > LAPSE_S)
+        self._lapse(lambda key, record: now - record.heard_at > GRANT_TIMEOUT_S)
         with self._lock:
             forgotten = [
                 key
                 for key, record in self._record_by_key.items()
-                if not _is_open(record) and now - record.heard_at > REMEMBER_S
+                if not _is_open(record) and now - record.heard_at > RECORD_RETENTION_S
             ]
             for key in forgotten:
                 del self._record_by_key[key]
--- a/hornbeamglade/exchange/messages.py
+++ b/hornbeamglade/exchange/messages.py
@@ -29,8 +29,8 @@
 """Failure domains in one state of the evacuations, and bytes of all their names."""
 
 # Demands change slowly and are half of a heartbeat's bytes.
-DEMANDS_EVERY = 4
-IDENTITY_EVERY = 4
+DEMANDS_INTERVAL_BEATS = 4
+IDENTITY_INTERVAL_BEATS = 4
 
 # As many grants of the larger kind still fit one datagram.
 MAX_PROGRESS = 48
@@ -141,7 +141,7 @@
         grantrequests for a heartbeat in return.
     :param replicas: digests of the replicas that the sender owns.
     :param demands: teams, :data:`MAX_DEMANDS` at most, in each beat that
-        :data:`DEMANDS_EVERY` divides; none in the others.
+        :data:`DEMANDS_INTERVAL_BEATS` divides; none in the others.
     :param updates: recent changes of state of other nodes.
     :param refutation: grows each time the sender hears that it is held for dead.
     :param list_version: the version of the platform's list of replicas that the sender
@@ -182,12 +182,12 @@
     :param deadline_ms: milliseconds that the request may still queue.
     :param produced: tokens of the answer that a run has already, which is to go on at
         this replica; 0 for a new one.
-    :param or_other: another replica of the same service that the owner admits to will do.
+    :param allow_other: another replica of the same service that the owner admits to will do.
     :param avoid: :func:`key_hash` of the names of replicas that will not do, at most
         :data:`MAX_AVOIDED`.
     :param due_ms: milliseconds until it must start to be on time; 0 for one that is late,
         None without an aim.
-    :param at_once: whether it may only start now: it is refused rather than queued.
+    :param immediate: whether it may only start now: it is refused rather than queued.
     """
 
     grant_id: int
@@ -200,10 +200,10 @@
     weight: float
     deadline_ms: int
     produced: int = 0
-    or_other: bool = False
+    allow_other: bool = False
     avoid: tuple[int, ...] = ()
     due_ms: int | None = None
-    at_once: bool = False
+    immediate: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -259,7 +259,7 @@
     """News of the sender's grants of one owner, :data:`MAX_PROGRESS` at most."""
 
     running: tuple[GrantProgress, ...] = ()
-    returned: tuple[GrantRelease, ...] = ()
+    released: tuple[GrantRelease, ...] = ()
 
 
 class MigrationSlotKind(enum.IntEnum):
--- a/hornbeamglade/exchange/replay.py
+++ b/hornbeamglade/exchange/replay.py
@@ -15,12 +15,12 @@
 old, which the protocols above tolerate as they tolerate delay.
 
 A known sender's frame that is older by the *sender's own* monotonic time than
-its newest by more than :data:`MAX_FLIGHT_S` is dropped too. So no frame lives
+its newest by more than :data:`MAX_FRAME_DELAY_S` is dropped too. So no frame lives
 longer than that after a newer one has arrived, which is what bounds the memory
 of answers in :mod:`hornbeamglade.exchange.grantserver`, and steps of the
 wall clock do not matter between nodes that know each other.
 
-A sender that is silent for :data:`FORGET_AFTER_S` is forgotten. This is safe, as
+A sender that is silent for :data:`SENDER_RETENTION_S` is forgotten. This is safe, as
 everything recorded before is stale by then, and it is needed: a node that
 comes back under its old name with its clock a little behind has a lower
 incarnation, and would otherwise never be heard again. It need not wait for that: who drops
@@ -36,9 +36,9 @@
 import dataclasses
 
 MAX_SKEW_S = 30.0
-MAX_FLIGHT_S = 10.0
-FORGET_AFTER_S = 3 * MAX_SKEW_S
-TELL_EVERY_S = 0.5
+MAX_FRAME_DELAY_S = 10.0
+SENDER_RETENTION_S = 3 * MAX_SKEW_S
+NOTIFY_INTERVAL_S = 0.5
 """A sender that was outrun hears of it so often at most; a datagram may be lost."""
 
 WINDOW = 1024
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stamp:
+class FrameStamp:
     """What the envelope says of a frame's origin.
 
     :param sender: the sending node's name.
@@ -59,7 +59,7 @@
     :param sequence: the frame's number within the incarnation; from 1.
     :param wall_s: the sender's wall clock, in seconds since the Unix epoch.
     :param elapsed_s: the sender's monotonic seconds since its start; the frame
-        carries tenths, fine enough for :data:`MAX_FLIGHT_S`.
+        carries tenths, fine enough for :data:`MAX_FRAME_DELAY_S`.
     """
 
     sender: str
@@ -86,7 +86,7 @@
     ========
 
     >>> guard = ReplayGuard()
-    >>> stamp = Stamp("a", incarnation=1, sequence=1, wall_s=0.0, elapsed_s=0.0)
+    >>> stamp = FrameStamp("a", incarnation=1, sequence=1, wall_s=0.0, elapsed_s=0.0)
     >>> guard.admit(stamp, now=0.0, wall=0.0)
     >>> guard.admit(stamp, now=0.0, wall=0.0)
     'replayed'
@@ -95,7 +95,7 @@
     def __init__(self) -> None:
         self._window_by_sender: dict[str, _Window] = {}
 
-    def admit(self, stamp: Stamp, now: float, wall: float) -> str | None:
+    def admit(self, stamp: FrameStamp, now: float, wall: float) -> str | None:
         """Take note of a frame.
 
         :param stamp: the frame's origin; its authenticity has been checked.
@@ -104,7 +104,7 @@
         :returns: None if the frame is new, else the reason to drop it.
         """
         window = self._window_by_sender.get(stamp.sender)
-        if window is not None and now - window.heard_at > FORGET_AFTER_S:
+        if window is not None and now - window.heard_at > SENDER_RETENTION_S:
             window = None
         if window is not None and stamp.incarnation < window.incarnation:
             return OLD_INCARNATION
@@ -112,21 +112,21 @@
             return self._begin(stamp, now, wall)
         return _advance(window, stamp, now)
 
-    def superseding_incarnation(self, stamp: Stamp, now: float, wall: float) -> int | None:
+    def superseding_incarnation(self, stamp: FrameStamp, now: float, wall: float) -> int | None:
         """Return the incarnation that a frame's sender must go above, or None.
 
         A frame that is not fresh is one that was recorded, and is not answered; nor is more
-        than one frame of a sender in :data:`TELL_EVERY_S`.
+        than one frame of a sender in :data:`NOTIFY_INTERVAL_S`.
         """
         window = self._window_by_sender.get(stamp.sender)
         if window is None or stamp.incarnation >= window.incarnation:
             return None
-        if abs(wall - stamp.wall_s) > MAX_SKEW_S or now - window.told_at < TELL_EVERY_S:
+        if abs(wall - stamp.wall_s) > MAX_SKEW_S or now - window.told_at < NOTIFY_INTERVAL_S:
             return None
         window.told_at = now
         return window.incarnation
 
-    def _begin(self, stamp: Stamp, now: float, wall: float) -> str | None:
+    def _begin(self, stamp: FrameStamp, now: float, wall: float) -> str | None:
         # Guards against a recorded frame of a dead node that is played to a
         # node started since, which would show as that node coming to life:
         # nothing older than the skew bound opens a window.
@@ -145,13 +145,13 @@
         self._window_by_sender = {
             name: window
             for name, window in self._window_by_sender.items()
-            if now - window.heard_at <= FORGET_AFTER_S
+            if now - window.heard_at <= SENDER_RETENTION_S
         }
         return len(self._window_by_sender) < MAX_SENDERS
 
 
-def _advance(window: _Window, stamp: Stamp, now: float) -> str | None:
-    if window.elapsed_s - stamp.elapsed_s > MAX_FLIGHT_S:
+def _advance(window: _Window, stamp: FrameStamp, now: float) -> str | None:
+    if window.elapsed_s - stamp.elapsed_s > MAX_FRAME_DELAY_S:
         return STALE
     behind = window.newest - stamp.sequence
     if behind >= WINDOW:
--- a/hornbeamglade/exchange/transport.py
+++ b/hornbeamglade/exchange/transport.py
@@ -91,7 +91,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Counts:
+class TrafficCounters:
     """What a transport of an event loop has carried since its start."""
 
     bytes_in: int = 0
@@ -101,14 +101,14 @@
     send_failures: int = 0
 
 
-Failed = collections.abc.Callable[[Exception, str], None]
-Handler = collections.abc.Callable[[messages.Message, codec.Sender, Endpoint], None]
+FailureHandler = collections.abc.Callable[[Exception, str], None]
+MessageHandler = collections.abc.Callable[[messages.Message, codec.Sender, Endpoint], None]
 
 
 class UdpTransport(Transport):
     """One UDP socket and the thread that receives from it."""
 
-    def __init__(self, endpoint: Endpoint, frames: codec.Codec, handler: Handler) -> None:
+    def __init__(self, endpoint: Endpoint, frames: codec.Codec, handler: MessageHandler) -> None:
         """Bind the socket; nothing is received before :meth:`start`.
 
         :param endpoint: where to receive; port 0 takes a free port.
--- a/hornbeamglade/exchange/wireforms.py
+++ b/hornbeamglade/exchange/wireformat.py
@@ -178,8 +178,8 @@
     builder.weight = message.weight
     builder.deadlineMs = _clip(message.deadline_ms)
     builder.produced = _clip(message.produced)
-    builder.orOther = message.or_other
-    builder.atOnce = message.at_once
+    builder.orOther = message.allow_other
+    builder.atOnce = message.immediate
     _checked_length(message.avoid, messages.MAX_AVOIDED)
     builder.dueMs = _NO_AIM if message.due_ms is None else _clip(message.due_ms, _NO_AIM - 1)
     avoid = builder.init("avoid", len(message.avoid))
@@ -202,8 +202,8 @@
         weight=weight,
         deadline_ms=reader.deadlineMs,
         produced=reader.produced,
-        or_other=reader.orOther,
-        at_once=reader.atOnce,
+        allow_other=reader.orOther,
+        immediate=reader.atOnce,
         due_ms=None if reader.dueMs == _NO_AIM else reader.dueMs,
         avoid=tuple(reader.avoid)[: messages.MAX_AVOIDED],
     )
@@ -230,16 +230,16 @@
 
 
 def _fill_progress(builder: _Builder, message: messages.Progress) -> None:
-    running, returned = message.running, message.returned
-    _checked_length(running + returned, messages.MAX_PROGRESS)
+    running, released = message.running, message.released
+    _checked_length(running + released, messages.MAX_PROGRESS)
     # An empty list that is not made costs nothing.
     if running:
         for entry, grant in zip(builder.init("running", len(running)), running, strict=True):
             entry.ask = grant.grant_id
             entry.replica = grant.replica
             entry.produced = _clip(grant.produced)
-    if returned:
-        for entry, grant in zip(builder.init("returned", len(returned)), returned, strict=True):
+    if released:
+        for entry, grant in zip(builder.init("returned", len(released)), released, strict=True):
             entry.ask = grant.grant_id
             entry.produced = _clip(grant.produced)
 
@@ -252,7 +252,7 @@
             messages.GrantProgress(entry.ask, entry.replica, entry.produced)
             for entry in reader.running
         ),
-        returned=tuple(
+        released=tuple(
             messages.GrantRelease(entry.ask, entry.produced) for entry in reader.returned
         ),
     )
--- a/hornbeamglade/grants/asyncgrantacquirer.py
+++ b/hornbeamglade/grants/asyncgrantacquirer.py
@@ -229,7 +229,7 @@
         if grant.grant_id is None:
             self._schedulers.progress(grant.replica, grant.admission_id, produced)
         else:
-            self._client.note(grant.grant_id, produced)
+            self._client.record_progress(grant.grant_id, produced)
 
     def release(self, grant: Grant) -> None:
         """Release a grant at its owner; idempotent."""
@@ -337,8 +337,8 @@
                 placement.produced,
                 placement.avoid,
                 placement.due - self._clock.now(),
-                or_other=not placement.known_only,
-                at_once=wait_s <= 0.0,
+                allow_other=not placement.known_only,
+                immediate=wait_s <= 0.0,
             )
             answer = await self._request_remotely(placement, replica, owner.name, message)
         self._log(placement, replica, wait_s, answer)
--- a/hornbeamglade/grants/grantacquirer.py
+++ b/hornbeamglade/grants/grantacquirer.py
@@ -290,7 +290,7 @@
             self._schedulers.progress(grant.replica, grant.request_id, grant.produced)
             self._schedulers.finish(grant.replica, grant.request_id)
         else:
-            self._client.note(grant.grant_id, grant.produced)
+            self._client.record_progress(grant.grant_id, grant.produced)
             self._client.close(grant.grant_id)
 
     def report_progress(self) -> None:
@@ -301,7 +301,7 @@
             if grant.grant_id is None:
                 self._schedulers.progress(grant.replica, grant.request_id, grant.produced)
             else:
-                self._client.note(grant.grant_id, grant.produced)
+                self._client.record_progress(grant.grant_id, grant.produced)
 
     @property
     def active_count(self) -> int:
--- a/hornbeamglade/grants/grantresponses.py
+++ b/hornbeamglade/grants/grantresponses.py
@@ -34,8 +34,8 @@
     avoid: collections.abc.Iterable[str] = (),
     due_s: float = math.inf,
     *,
-    or_other: bool = True,
-    at_once: bool = False,
+    allow_other: bool = True,
+    immediate: bool = False,
 ) -> messages.GrantRequest:
     """Return the grant request for one replica.
 
@@ -44,8 +44,8 @@
         request.
     :param avoid: replicas that the owner must not choose.
     :param due_s: seconds until the request must start to be on time.
-    :param or_other: whether the owner may choose another one of its replicas.
-    :param at_once: whether the owner is to refuse the request rather than queue it.
+    :param allow_other: whether the owner may choose another one of its replicas.
+    :param immediate: whether the owner is to refuse the request rather than queue it.
     """
     avoided = sorted(messages.key_hash(each) for each in avoid)
     return messages.GrantRequest(
@@ -59,8 +59,8 @@
         weight=weight,
         deadline_ms=max(0, int(wait_s * MILLISECONDS_PER_SECOND)),
         produced=produced,
-        or_other=or_other,
-        at_once=at_once,
+        allow_other=allow_other,
+        immediate=immediate,
         avoid=tuple(avoided[: messages.MAX_AVOIDED]),
         due_ms=None if math.isinf(due_s) else max(0, int(due_s * MILLISECONDS_PER_SECOND)),
     )
--- a/hornbeamglade/grants/remotescheduler.py
+++ b/hornbeamglade/grants/remotescheduler.py
@@ -90,7 +90,7 @@
         if placement is None:
             return _response(request.grant_id, grantresponses.names_unknown())
         choices: collections.abc.Sequence[str] = ()
-        if request.or_other:
+        if request.allow_other:
             choices = self._choices(request, placement)
             if not choices:
                 return _response(request.grant_id, _none_left())
@@ -100,7 +100,7 @@
                     request.grant_id,
                     replicascheduler.Granted(placement.work.request_id, replica),
                 )
-        if request.at_once and not request.produced:
+        if request.immediate and not request.produced:
             if not choices and self._try_grant(key, request, placement):
                 return _response(
                     request.grant_id,
--- a/hornbeamglade/membership/heartbeatcosts.py
+++ b/hornbeamglade/membership/heartbeatcosts.py
@@ -30,7 +30,11 @@
     if nodes <= dissemination.FULL_MESH_MAX_NODES:
         compact = _packet_bytes(replicas_per_node, 0, updates, _NO_IDENTITY)
     demands = _packet_bytes(replicas_per_node, teams, updates, _IDENTITY) - full
-    mean = compact + (full - compact) / messages.IDENTITY_EVERY + demands / messages.DEMANDS_EVERY
+    mean = (
+        compact
+        + (full - compact) / messages.IDENTITY_INTERVAL_BEATS
+        + demands / messages.DEMANDS_INTERVAL_BEATS
+    )
     return dissemination.heartbeats_per_second(nodes) * mean
 
 
--- a/hornbeamglade/membership/heartbeats.py
+++ b/hornbeamglade/membership/heartbeats.py
@@ -149,13 +149,19 @@
                 self._dissemination.add_change(change, len(self._members))
             is_round_due = self._dissemination.is_due(now)
             targets = self._begin_round(now)
-            announces_demands = is_round_due and self._view.own_beat % messages.DEMANDS_EVERY == 0
+            announces_demands = (
+                is_round_due and self._view.own_beat % messages.DEMANDS_INTERVAL_BEATS == 0
+            )
         if announces_demands:
             self._announced_demands = self._demands()[: messages.MAX_DEMANDS]
         if targets:
             full = self._heartbeat(False)
             requesting = dataclasses.replace(full, wants_answer=True)
-            compact = _without_identity(full) if full.beat % messages.IDENTITY_EVERY != 1 else full
+            compact = (
+                _without_identity(full)
+                if full.beat % messages.IDENTITY_INTERVAL_BEATS != 1
+                else full
+            )
             for target in targets:
                 self._send_to(target.member, requesting if target.wants_answer else compact)
         return changes
--- a/hornbeamglade/membership/incarnations.py
+++ b/hornbeamglade/membership/incarnations.py
@@ -16,9 +16,9 @@
     :param incarnation: the incarnation reported by a peer; nothing changes if this node's
         incarnation is already higher.
     """
-    raised = frame_codec.rise_above(incarnation)
+    raised = frame_codec.raise_incarnation_above(incarnation)
     if raised <= incarnation:
         return
-    requester.rise_to(raised)
+    requester.set_incarnation(raised)
     own_heartbeats.raise_incarnation(raised)
     logs.state_changed("incarnation", "outrun", "raised", incarnation=raised)
--- a/hornbeamglade/membership/view.py
+++ b/hornbeamglade/membership/view.py
@@ -209,7 +209,7 @@
         if newest:
             record.identity = identity
             record.heartbeat = heartbeat
-            if heartbeat.beat % messages.DEMANDS_EVERY == 0:
+            if heartbeat.beat % messages.DEMANDS_INTERVAL_BEATS == 0:
                 record.demands = heartbeat.demands
         for update in heartbeat.updates:
             self._apply_update(update, now)
--- a/hornbeamglade/node/peering.py
+++ b/hornbeamglade/node/peering.py
@@ -77,7 +77,7 @@
             told.name, self._live_names, self._present_names, self._send, clock
         )
         self._ownership = ownership.Ownership()
-        self._assembly: configchunks.Assembly | None = None
+        self._assembly: configchunks.ChunkAssembler | None = None
         self._assembled_revision = 0
         self.codec = codec.Codec(told.name, incarnation, _ring(told), clock)
         endpoint = transport.Endpoint.parse(told.exchange)
@@ -129,7 +129,7 @@
         for change in self.heartbeats.tick():
             self._changed(change)
             if change.member.state is messages.NodeState.GONE:
-                self._server.holder_gone(change.member.identity.name)
+                self._server.expire_holder(change.member.identity.name)
         self._server.tick()
         self.grants.tick()
         self.quarantine.tick()
@@ -236,11 +236,11 @@
                 self._hear_demands(sender.name, message.demands)
                 self.quarantine.on_digest(sender.name, message.quarantine_digest)
         elif isinstance(message, messages.GrantRequest):
-            self._server.asked(message, sender, source)
+            self._server.on_request(message, sender, source)
         elif isinstance(message, messages.GrantResponse):
-            self.grants.answered(message, sender, source)
+            self.grants.on_response(message, sender, source)
         elif isinstance(message, messages.Progress):
-            self._server.progressed(message, sender, source)
+            self._server.on_progress(message, sender, source)
         elif isinstance(message, messages.CrashReport):
             self.quarantine.on_report(sender.name, message)
         elif isinstance(message, messages.QuarantineNotice):
@@ -307,7 +307,7 @@
         if now - self._behind_since < PEERS_AFTER_S:
             return
         if self._assembly is None or self._assembled_revision != newest:
-            self._assembly = configchunks.Assembly(newest)
+            self._assembly = configchunks.ChunkAssembler(newest)
             self._assembled_revision = newest
         ask = self._assembly.next_request()
         peer = self.heartbeats.peer(name_by_revision[newest])
--- a/tests/exchange/strategies.py
+++ b/tests/exchange/strategies.py
@@ -51,8 +51,8 @@
     weight=strategies.floats(0, 100, width=32),
     deadline_ms=_U32,
     produced=_U32,
-    or_other=strategies.booleans(),
-    at_once=strategies.booleans(),
+    allow_other=strategies.booleans(),
+    immediate=strategies.booleans(),
     due_ms=strategies.none() | strategies.integers(0, 2**32 - 2),
     avoid=strategies.lists(_U64, max_size=messages.MAX_AVOIDED).map(tuple),
 )
--- a/tests/exchange/test_codec.py
+++ b/tests/exchange/test_codec.py
@@ -144,10 +144,10 @@
     # A node with very many grants of one owner reports them. If the report did not
     # fit, it would never leave, and all these grants would lapse.
     most, name = 2**64 - 3, "n" * messages.MAX_NAME_BYTES
-    returned = messages.MAX_PROGRESS - running
+    released = messages.MAX_PROGRESS - running
     report = messages.Progress(
         (messages.GrantProgress(most, most, 2**32 - 1),) * running,
-        (messages.GrantRelease(most, 2**32 - 1),) * returned,
+        (messages.GrantRelease(most, 2**32 - 1),) * released,
     )
     frame = make(name, incarnation=2**63).encode(name, report)
     assert make(name).decode(frame).message == report
@@ -162,12 +162,12 @@
     peer.decode(former.encode("b", HINT))
     dropped = peer.decode(again.encode("b", HINT))
     assert dropped.superseded_by == codec.Sender("a", 9)
-    assert again.rise_above(9) == 10
+    assert again.raise_incarnation_above(9) == 10
     assert peer.decode(again.encode("b", HINT)) == codec.Decoded(HINT, codec.Sender("a", 10))
 
 
 def test_late_frame_of_a_former_run_raises_nobody():
-    assert make("a", incarnation=9).rise_above(9) == 9
+    assert make("a", incarnation=9).raise_incarnation_above(9) == 9
 
 
 @pytest.mark.parametrize(
--- a/tests/exchange/test_configchunks.py
+++ b/tests/exchange/test_configchunks.py
@@ -13,14 +13,14 @@
     document = rng.randbytes(size)
     offers = list(configchunks.split(3, document))
     rng.shuffle(offers)
-    assembly = configchunks.Assembly(3)
+    assembly = configchunks.ChunkAssembler(3)
     assert [assembly.add(offer) for offer in offers][-1] == document
     assert assembly.next_request() is None
 
 
 def test_asks_name_the_first_missing_chunk():
     offers = configchunks.split(3, b"x" * 2500)
-    assembly = configchunks.Assembly(3)
+    assembly = configchunks.ChunkAssembler(3)
     assert assembly.next_request().chunk == 0
     assembly.add(offers[0])
     assembly.add(offers[2])
@@ -31,7 +31,7 @@
     # Two peers hold different bytes under one revision, after a fault. A node that
     # mixes them would start with a configuration that nobody ever accepted.
     one, other = configchunks.split(3, b"x" * 2000), configchunks.split(3, b"y" * 2000)
-    assembly = configchunks.Assembly(3)
+    assembly = configchunks.ChunkAssembler(3)
     assert assembly.add(one[0]) is None
     assert assembly.add(other[1]) is None
     assert assembly.add(other[0]) == b"y" * 2000
@@ -44,6 +44,6 @@
 
 def test_a_document_that_does_not_match_its_digest_is_not_returned():
     (offer,) = configchunks.split(3, b"accepted")
-    assembly = configchunks.Assembly(3)
+    assembly = configchunks.ChunkAssembler(3)
     assert assembly.add(dataclasses.replace(offer, content=b"tampered")) is None
     assert assembly.next_request().chunk == 0
--- a/tests/exchange/test_grantserver.py
+++ b/tests/exchange/test_grantserver.py
@@ -30,14 +30,14 @@
         self.server = grantserver.GrantServer(self.scheduler, self.outbox, self.clock)
 
     def ask(self, number, origin=ORIGIN):
-        self.server.asked(lossynetwork.make_ask(number), origin, SOURCE)
+        self.server.on_request(lossynetwork.make_ask(number), origin, SOURCE)
         return self.outbox.sent[-1]
 
     def report(self, number, done, origin=ORIGIN):
         running = messages.GrantProgress(number, lossynetwork.REPLICA, 5)
-        returned = messages.GrantRelease(number, 5)
-        news = messages.Progress((), (returned,)) if done else messages.Progress((running,))
-        self.server.progressed(news, origin, SOURCE)
+        released = messages.GrantRelease(number, 5)
+        news = messages.Progress((), (released,)) if done else messages.Progress((running,))
+        self.server.on_progress(news, origin, SOURCE)
 
 
 def test_a_repeated_ask_gets_the_same_answer_and_reaches_the_scheduler_once():
@@ -118,7 +118,7 @@
     owner.ask(1, codec.Sender("silent", 1))
     owner.ask(1)
     for _ in range(5):
-        owner.clock.advance(grantrequests.REPORT_S)
+        owner.clock.advance(grantrequests.REPORT_INTERVAL_S)
         owner.report(1, done=False)
         owner.server.tick()
     assert owner.scheduler.granted == {grantserver.GrantKey("a", 1, 1)}
@@ -128,7 +128,7 @@
 def test_a_dead_nodes_grants_lapse_at_once():
     owner = Owner()
     owner.ask(1)
-    owner.server.holder_gone("a")
+    owner.server.expire_holder("a")
     assert not owner.scheduler.granted
 
 
@@ -153,7 +153,7 @@
     owner = Owner()
     owner.ask(1)
     owner.report(1, done=True)
-    owner.clock.advance(grantserver.REMEMBER_S + 1)
+    owner.clock.advance(grantserver.RECORD_RETENTION_S + 1)
     owner.server.tick()
     assert owner.ask(1).kind is KIND.GRANTED
 
@@ -185,7 +185,9 @@
         def handle(message, origin, source):
             server = self.server_by_owner[name]
             take = (
-                server.asked if isinstance(message, messages.GrantRequest) else server.progressed
+                server.on_request
+                if isinstance(message, messages.GrantRequest)
+                else server.on_progress
             )
             take(message, origin, source)
 
@@ -194,7 +196,7 @@
 
     def _answered(self, message, origin, source):
         owner = transport.Peer(origin.name, source)
-        self.send(self.tracker.answered(owner, message, self.clock.now()))
+        self.send(self.tracker.on_response(owner, message, self.clock.now()))
 
     def send(self, outgoing):
         for one in outgoing:
--- a/tests/exchange/test_replay.py
+++ b/tests/exchange/test_replay.py
@@ -5,7 +5,7 @@
 
 
 def stamp(sequence, incarnation=5, wall_s=100.0, elapsed_s=0.0, sender="a"):
-    return replay.Stamp(sender, incarnation, sequence, wall_s, elapsed_s)
+    return replay.FrameStamp(sender, incarnation, sequence, wall_s, elapsed_s)
 
 
 @hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=100)
@@ -54,7 +54,7 @@
     # knew the former run would never hear the new one.
     guard = replay.ReplayGuard()
     assert guard.admit(stamp(1, incarnation=5), 0.0, 100.0) is None
-    later = replay.FORGET_AFTER_S + 1
+    later = replay.SENDER_RETENTION_S + 1
     assert guard.admit(stamp(1, incarnation=4, wall_s=100 + later), later, 100 + later) is None
 
 
@@ -63,7 +63,7 @@
     for number in range(replay.MAX_SENDERS):
         guard.admit(stamp(1, sender=f"n{number}"), 0.0, 100.0)
     assert guard.admit(stamp(1, sender="late"), 0.0, 100.0) == replay.TOO_MANY_SENDERS
-    later = replay.FORGET_AFTER_S + 1
+    later = replay.SENDER_RETENTION_S + 1
     assert guard.admit(stamp(1, wall_s=100 + later, sender="late"), later, 100 + later) is None
 
 
--- a/tests/grants/test_asyncgrantacquirer.py
+++ b/tests/grants/test_asyncgrantacquirer.py
@@ -78,9 +78,9 @@
 
     def _handle(self, message, sender, source):
         take_by_type = {
-            messages.GrantRequest: self.server.asked,
-            messages.GrantResponse: self.client.answered,
-            messages.Progress: self.server.progressed,
+            messages.GrantRequest: self.server.on_request,
+            messages.GrantResponse: self.client.on_response,
+            messages.Progress: self.server.on_progress,
         }
         take_by_type[type(message)](message, sender, source)
 
@@ -371,7 +371,7 @@
         decide = remote.remote_scheduler.decide
 
         def count(key, message):
-            requested.append(message.at_once)
+            requested.append(message.immediate)
             return decide(key, message)
 
         remote.remote_scheduler.decide = count
--- a/tests/grants/test_grantacquirer.py
+++ b/tests/grants/test_grantacquirer.py
@@ -39,7 +39,7 @@
         self.requested.append(names[request.replica])
         return self.response_by_replica[self.requested[-1]]
 
-    def note(self, grant_id, produced):
+    def record_progress(self, grant_id, produced):
         self.calls.append(("note", grant_id, produced))
 
     def close(self, grant_id):
--- a/tests/grants/test_remotescheduler.py
+++ b/tests/grants/test_remotescheduler.py
@@ -58,7 +58,7 @@
     """Under overload a request asks several owners; it must not be left in all their queues."""
     owner = Owner()
     schedulers = owner.schedulers
-    now = dataclasses.replace(lossynetwork.make_ask(1), at_once=True)
+    now = dataclasses.replace(lossynetwork.make_ask(1), immediate=True)
     assert not schedulers.states()["engine-1"].headroom_tokens
     answer = owner.remote.decide(KEY, now)
     assert (answer.kind, answer.code) == (KIND.REFUSED, grantresponses.NO_ROOM_NOW)
@@ -71,7 +71,7 @@
 def test_an_immediate_request_is_told_that_the_owner_has_changed():
     owner = Owner()
     owner.schedulers.set_owned(frozenset())
-    now = dataclasses.replace(lossynetwork.make_ask(1), at_once=True)
+    now = dataclasses.replace(lossynetwork.make_ask(1), immediate=True)
     assert owner.remote.decide(KEY, now).code == replicascheduler.OWNER_MOVED
 
 
@@ -117,7 +117,7 @@
 
     def request(self, number, **changes):
         key = grantserver.GrantKey("n2", 1, number)
-        request = dataclasses.replace(lossynetwork.make_ask(number), or_other=True, **changes)
+        request = dataclasses.replace(lossynetwork.make_ask(number), allow_other=True, **changes)
         return key, self.remote.decide(key, request)
 
     def running(self):
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -69,7 +69,7 @@
     digests = (messages.ReplicaDigest(large, 400_000, 20, 3000),) * 5
     demands = (messages.TeamDemand(large, 10_000, 2**16 - 1),) * messages.MAX_DEMANDS
     identity = ("domain-3", "10.20.30.40:8080", "10.20.30.40:7000")
-    demands_by_beat = [demands] + [()] * (messages.DEMANDS_EVERY - 1)
+    demands_by_beat = [demands] + [()] * (messages.DEMANDS_INTERVAL_BEATS - 1)
     frames = [
         sender.encode(
             "entry-018",
--- a/tests/membership/test_heartbeats.py
+++ b/tests/membership/test_heartbeats.py
@@ -214,9 +214,9 @@
         clock.advance(0.25)
         node.tick()
     announcing = [each for each in sent if each.demands]
-    assert len(computed) == len(announcing) == len(sent) // messages.DEMANDS_EVERY
+    assert len(computed) == len(announcing) == len(sent) // messages.DEMANDS_INTERVAL_BEATS
     assert {len(each.demands) for each in announcing} == {messages.MAX_DEMANDS}
-    assert {each.beat % messages.DEMANDS_EVERY for each in announcing} == {0}
+    assert {each.beat % messages.DEMANDS_INTERVAL_BEATS for each in announcing} == {0}
 
 
 def test_a_heartbeat_without_identity_keeps_the_known_one_and_adds_no_node():
