--- a/hornbeamglade/backends/generations.py
+++ b/hornbeamglade/backends/generations.py
@@ -62,7 +62,7 @@
             data = self._exchange.read1(_READ_BYTES)
         except httpexchange.RESPONSE_ERRORS as error:
             return self._lost_event(repr(error))
-        return data or self._lost_event("the response ended early")
+        return data or self._lost_event("the answer ended early")
 
     def _lost_event(self, reason: str) -> eventparser.ConnectionLost | eventparser.Stalled:
         # A stalled network and an engine that hangs both show as a connection without
@@ -130,7 +130,7 @@
     try:
         if 300 <= status < 500:
             return outcomes.Rejected(status, _error_body(exchange))
-        return outcomes.Lost(f"the engine returned status {status}")
+        return outcomes.Lost(f"the engine answered {status}")
     finally:
         exchange.close()
 
@@ -172,7 +172,7 @@
     exchange.close()
     if status == 404:
         return outcomes.StreamGone()
-    return outcomes.Lost(f"the engine returned status {status}", core_outcomes.RunStatus.RAN)
+    return outcomes.Lost(f"the engine answered {status}", core_outcomes.RunStatus.RAN)
 
 
 def cancel_remote(address: str, request_id: str, timeouts: httpexchange.Timeouts) -> bool:
--- a/hornbeamglade/backends/httpexchange.py
+++ b/hornbeamglade/backends/httpexchange.py
@@ -182,7 +182,7 @@
     sock = connection.sock
     if not cancellation.attach(sock):
         connection.close()
-        return outcomes.NotRun("cancelled before it was sent", False)
+        return outcomes.NotRun("cancelled before it was offered", False)
     outcome = _send(connection, request, timeouts)
     if isinstance(outcome, urllib3.HTTPResponse):
         exchange = HttpExchange(connection, sock, outcome, cancellation)
@@ -232,11 +232,11 @@
         # byte, and a body of bytes needs no encoding: nothing was sent.
         return outcomes.NotRun(f"the request can't be sent: {error}", False)
     except (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError) as error:
-        return outcomes.Lost(f"connection lost while sending: {error}")
+        return outcomes.Lost(f"lost while sending: {error}")
     try:
         return connection.getresponse()
     except RESPONSE_ERRORS as error:
-        return outcomes.Lost(f"no response: {error!r}")
+        return outcomes.Lost(f"no answer: {error!r}")
 
 
 def _check_head(
--- a/hornbeamglade/backends/plaincalls.py
+++ b/hornbeamglade/backends/plaincalls.py
@@ -123,8 +123,8 @@
     try:
         body = httpexchange.read_body(exchange, limit)
     except httpexchange.RESPONSE_ERRORS as error:
-        return outcomes.Lost(f"the response broke off: {error!r}", ran)
+        return outcomes.Lost(f"the answer broke off: {error!r}", ran)
     if body is None:
-        return outcomes.Lost(f"the response is longer than {limit} bytes", ran)
+        return outcomes.Lost(f"the answer is longer than {limit} bytes", ran)
     response = exchange.response
     return PlainResponse(response.status, end_to_end_fields(response.headers.items()), body)
--- a/hornbeamglade/entry/callershandler.py
+++ b/hornbeamglade/entry/callershandler.py
@@ -263,9 +263,9 @@
     routed: callrouter.RoutedRequest, log: attemptlog.AttemptLog
 ) -> outcomes.Refusal:
     if log.run is outcomes.RunStatus.NOT_RUN:
-        detail = f"no replica of {routed.service.name} could start the request in time"
+        detail = f"no replica of {routed.service.name} could take the request in time"
         return outcomes.Refusal(
             "not_started_in_time", 503, detail, retry_after_s=NOT_STARTED_RETRY_S
         )
-    detail = f"the response exceeded the route timeout of {routed.route.timeout_s:g} s"
+    detail = f"the answer took longer than the {routed.route.timeout_s:g} s of its route"
     return outcomes.Refusal("answer_too_late", 504, detail, outcomes.RunStatus.UNKNOWN)
--- a/hornbeamglade/platform/requestdialect.py
+++ b/hornbeamglade/platform/requestdialect.py
@@ -62,10 +62,10 @@
         """Parse a caller's request."""
         request_ids = fields.values(request.fields, _REQUEST_ID)
         if len(request_ids) != 1 or not request_ids[0]:
-            return _invalid("the request must have exactly one id")
+            return _invalid("the request has no single id")
         time_left = fields.value(request.fields, _TIME_LEFT)
         if time_left is not None and not _DIGITS.fullmatch(time_left):
-            return _invalid("the deadline is not a number of milliseconds")
+            return _invalid("the time left is not a number of milliseconds")
         remaining_s = DEFAULT_DEADLINE_S if time_left is None else int(time_left) / _MS
         try:
             generation = _generation(request.fields)
@@ -132,7 +132,7 @@
         return None
     counts = usage.split(b",")
     if len(counts) != 2 or not all(_DIGITS.fullmatch(each.strip()) for each in counts):
-        raise ValueError("the token counts are malformed")
+        raise ValueError("the numbers of tokens cannot be read")
     estimate = fields.value(request_fields, _LENGTH_ESTIMATE)
     is_number = estimate is not None and _DIGITS.fullmatch(estimate)
     return calls.Generation(
@@ -152,7 +152,7 @@
     for entry in listed.split(b","):
         name, _, tokens = entry.strip().partition(b":")
         if not _DIGITS.fullmatch(tokens):
-            raise ValueError("the prompt prefix is malformed")
+            raise ValueError("the parts of the prompt cannot be read")
         parts.append(calls.PromptPart(_text(name), int(tokens)))
     return tuple(parts)
 
