--- a/hornbeamglade/exchange/__init__.py
+++ b/hornbeamglade/exchange/__init__.py
@@ -1,5 +1,5 @@
-"""Messages between entry nodes: codec, datagrams, and grants to use a replica.
+"""Messages between entry nodes: codec, UDP transport, and grants to use a replica.
 
-Its modules are imported one by one: an instance on an event loop uses none of the threaded
-ones, and what it imports is time until it serves.
+Its modules are imported one by one: an instance on an event loop needs none of the threaded
+ones, and each import delays the start of service.
 """
--- a/hornbeamglade/exchange/asyncudp.py
+++ b/hornbeamglade/exchange/asyncudp.py
@@ -1,4 +1,4 @@
-"""Datagrams between nodes on an event loop."""
+"""UDP transport between nodes on an event loop."""
 
 import asyncio
 
@@ -7,12 +7,12 @@
 
 
 class AsyncUdpTransport(transport.Transport, asyncio.DatagramProtocol):
-    """One UDP socket of an event loop; to be used on the loop's thread only.
+    """One UDP socket of an event loop; to be used only on the thread of the loop.
 
     :param frames: this node's codec.
     :param handler: called with each message, its sender and the endpoint it came from;
         it must not block.
-    :param failed: told of an error that a message caused here.
+    :param failed: called with each error that the handler raised.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         self.traffic = transport.TrafficCounters()
 
     async def listen(self, endpoint: transport.Endpoint) -> transport.Endpoint:
-        """Bind the socket; return where it receives."""
+        """Bind the socket; return the endpoint at which it receives."""
         loop = asyncio.get_running_loop()
         address = (endpoint.host, endpoint.port)
         self._socket, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=address)
@@ -41,7 +41,7 @@
             self._socket.close()
 
     def send(self, peer: transport.Peer, message: messages.Message) -> None:
-        """Send ``message`` to ``peer``; lost before :meth:`listen`."""
+        """Send ``message`` to ``peer``; dropped before :meth:`listen`."""
         if self._socket is None or self._socket.is_closing():
             return
         frame = self._codec.encode(peer.name, message)
@@ -50,7 +50,7 @@
         self.traffic.messages_out += 1
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take one datagram."""
+        """Handle one datagram."""
         self.traffic.bytes_in += len(data)
         self.traffic.messages_in += 1
         outcome = self._codec.decode(data)
@@ -67,9 +67,10 @@
         except codederrors.InvariantError:
             raise
         except Exception as error:  # noqa: BLE001
-            # The socket goes on: a node that no longer hears looks dead to all.
+            # The socket keeps receiving: a node that handles no messages would appear
+            # failed to all peers.
             self._failed(error, type(outcome.message).__name__)
 
     def error_received(self, exc: Exception) -> None:
-        """Count an earlier datagram that met a closed port; the socket is still good."""
+        """Count an earlier datagram sent to a closed port; the socket remains usable."""
         self.traffic.send_failures += 1
--- a/hornbeamglade/exchange/codec.py
+++ b/hornbeamglade/exchange/codec.py
@@ -1,37 +1,37 @@
-"""Frames between entry nodes: authenticated, bounded, decoded without raising.
+"""Frames between entry nodes: authenticated, bounded in size, decoded without raising.
 
 Explanation
 ===========
 
 A frame is one byte of format version, one byte of key id, a 4-byte hash of the
-recipient's name, a 16-byte tag (HMAC-SHA256, cut [1]_) over all the rest and the
-recipient's whole name, and the packed ``Envelope`` of ``exchange.capnp``. The tag
-is checked before the first byte reaches the Cap'n Proto decoder, so a stranger's
-bytes cost one hash and reach no parser. The hash of the name is there to tell
-frames for a node that had this address before from forged ones; the binding is
-the tag's.
-
-Weighed against:
-
-- *TCP connections*: 360 nodes that may each ask any other hold up to 359
-  connections each, with their buffers and keep-alives; a stalled link holds
-  up every message behind the lost one for the retransmission time-out (200 ms
-  and doubling), whereas an ask is worth nothing after about 300 ms. Every
-  message here is small, idempotent and superseded by the next, so datagrams
-  that may get lost fit. What must last never travels here.
-- *DTLS*: no well-known library offers it to Python over plain sockets; the
-  handshake and its state per pair bring back the cost of connections. What it
-  adds is secrecy, and the messages hold no caller's text: names of teams and
+recipient's name, a 16-byte tag (HMAC-SHA256, truncated [1]_) over everything else and the
+recipient's full name, and the packed ``Envelope`` of ``exchange.capnp``. The tag
+is checked before the first byte reaches the Cap'n Proto decoder, so unauthenticated
+bytes cost one hash and reach no parser. The hash of the name only distinguishes frames for
+a node that had this address before from forged frames; the tag binds a frame to its
+recipient.
+
+Alternatives considered:
+
+- *TCP connections*: with 360 nodes that may each send requests to any other, each node holds
+  up to 359 connections, with their buffers and keep-alives. A stalled connection delays
+  every message behind the lost one for the retransmission timeout (200 ms and doubling),
+  whereas a grant request is worthless after about 300 ms. Every message here is small,
+  idempotent and superseded by the next, so lossy datagrams fit. Data that must not be lost is
+  never sent this way.
+- *DTLS*: no well-known Python library offers it over plain sockets; the
+  handshake and its state per pair of nodes bring back the cost of connections. It would add
+  confidentiality, but the messages contain no caller's text, only names of teams and
   replicas and load figures, within the operator's own network.
-- *A key per pair of nodes* would keep one captured node from speaking as
-  another, but someone has to hand out keys to instances that come and go; a
+- *A key per pair of nodes* would keep one compromised node from impersonating
+  another, but keys would have to be distributed to instances that come and go; a
   shared site key with two key ids valid at a time is what operators can rotate.
 
 References
 ==========
 
 .. [1] H. Krawczyk, M. Bellare, R. Canetti: HMAC: Keyed-Hashing for Message
-   Authentication, RFC 2104 (1997), section 5 on cutting the tag.
+   Authentication, RFC 2104 (1997), section 5 on truncating the tag.
 """
 
 import collections
@@ -49,8 +49,8 @@
 MIN_SECRET_BYTES = 16
 
 _FORMAT_VERSION = 2
-_MARK_BYTES = 4
-_HEADER_BYTES = 2 + _MARK_BYTES
+_RECIPIENT_HASH_BYTES = 4
+_HEADER_BYTES = 2 + _RECIPIENT_HASH_BYTES
 _BODY_START = _HEADER_BYTES + TAG_BYTES
 _TRAVERSAL_WORDS = 64 * 1024
 
@@ -65,16 +65,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyRing:
-    """The site keys that are valid now; two during a rotation.
+    """The currently valid site keys; two during a rotation.
 
     Explanation
     ===========
 
-    To rotate: give every node the new key beside the old one, then let every
-    node sign with the new one, then take the old one away.
+    To rotate: add the new key on every node next to the old one, then let every
+    node sign with the new one, then remove the old one.
 
     :param signing_id: the id of the key that signs, 0 to 255.
-    :param secret_by_id: the keys that are accepted, at least 16 bytes each.
+    :param secret_by_id: the accepted keys, at least 16 bytes each.
     :raises CodedError: ``exchange_key_invalid`` when a key cannot be used.
     """
 
@@ -83,19 +83,19 @@
 
     def __post_init__(self) -> None:
         if self.signing_id not in self.secret_by_id:
-            raise codederrors.CodedError("exchange_key_invalid", "the signing key is not given")
+            raise codederrors.CodedError("exchange_key_invalid", "the signing key is missing")
         if not all(0 <= key_id <= 255 for key_id in self.secret_by_id):
-            raise codederrors.CodedError("exchange_key_invalid", "a key id is one byte")
+            raise codederrors.CodedError("exchange_key_invalid", "a key id does not fit one byte")
         if any(len(secret) < MIN_SECRET_BYTES for secret in self.secret_by_id.values()):
             raise codederrors.CodedError("exchange_key_invalid", "a key is shorter than 16 bytes")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sender:
-    """Who sent a frame.
+    """The sender of a frame.
 
     :param name: the node's name.
-    :param incarnation: which run of the node; grows with each start.
+    :param incarnation: the incarnation of the node; increases with each start.
     """
 
     name: str
@@ -104,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decoded:
-    """A frame that was authentic, new and well formed."""
+    """An accepted frame: authentic, new and well formed."""
 
     message: messages.Message
     sender: Sender
@@ -112,11 +112,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dropped:
-    """A frame that was not taken.
+    """A rejected frame.
 
     :param reason: a stable identifier, counted in ``dropped_by_reason``.
-    :param superseded_by: the sender, with the higher incarnation that it is to be told of;
-        else None.
+    :param superseded_by: the sender with the higher incarnation under which it is known, if it
+        is to be notified; else None.
     """
 
     reason: str
@@ -124,7 +124,7 @@
 
 
 class Codec:
-    """Encodes for and decodes at one node; safe to use from several threads.
+    """Encodes and decodes the frames of one node; safe to use from several threads.
 
     Examples
     ========
@@ -144,54 +144,54 @@
         incarnation: int,
         keys: KeyRing,
         clock: clocks.Clock,
-        sent_before: int = 0,
+        frames_before: int = 0,
     ) -> None:
-        """Make the codec of one node.
+        """Create the codec of one node.
 
         :param name: this node's name, at most 64 bytes.
-        :param incarnation: grows with each start of the node: its wall clock
+        :param incarnation: increases with each start of the node: its wall-clock time
             at the start in milliseconds.
         :param keys: the valid site keys.
-        :param clock: for freshness.
-        :param sent_before: the number of the frame before the first.
+        :param clock: used to check freshness.
+        :param frames_before: the sequence number that precedes the first frame.
         """
         self._name = wireformat.checked_name(name)
-        self._mark = _mark(name)
+        self._recipient_hash = _recipient_hash(name)
         self._incarnation = incarnation
         self._keys = keys
         self._clock = clock
         self._started = clock.now()
-        self._sequence = sent_before
+        self._sequence = frames_before
         self._guard = replay.ReplayGuard()
         self._lock = threading.Lock()
         self.dropped_by_reason: collections.Counter[str] = collections.Counter()
 
     def raise_incarnation_above(self, incarnation: int) -> int:
-        """Go on under a higher incarnation than one that others know; return it.
+        """Continue under a higher incarnation than one that peers know; return it.
 
         Explanation
         ===========
 
-        An incarnation is the time of day at a node's start. When that was set back since
-        the start before, it is lower than the former one, and everyone who heard that one
-        drops this node's frames: unheard for 90 s, it asked owners in vain and took its
-        own engines for its alone.
+        An incarnation is the wall-clock time at a node's start. If the clock was set back since
+        the previous start, the incarnation is lower than the former one, and all peers that
+        received that one drop this node's frames. Ignored for 90 s, such a node sent grant
+        requests in vain and treated its own engines as used by no other node.
         """
         with self._lock:
-            # A late frame of a former run is answered with this run's own incarnation.
+            # A late frame of a former incarnation is answered with the current incarnation.
             if incarnation > self._incarnation:
                 self._incarnation = incarnation + 1
             return self._incarnation
 
     def use_keys(self, keys: KeyRing) -> None:
-        """Replace the valid keys, at a step of a rotation."""
+        """Replace the valid keys, as a step of a rotation."""
         self._keys = keys
 
     def encode(self, recipient: str, message: messages.Message) -> bytes:
-        """Make the frame of ``message`` for the node called ``recipient``.
+        """Return the frame of ``message`` for the node named ``recipient``.
 
-        :raises CodedError: ``exchange_message_too_large`` when the message is
-            beyond its bounds or the frame would be.
+        :raises CodedError: ``exchange_message_too_large`` when the message or
+            its frame exceeds the size limit.
         """
         envelope = wireformat.SCHEMA.Envelope.new_message()
         envelope.sender = self._name
@@ -209,11 +209,11 @@
                 "exchange_message_too_large", f"{len(body)} bytes do not fit a datagram"
             )
         keys = self._keys
-        header = bytes((_FORMAT_VERSION, keys.signing_id)) + _mark(recipient)
+        header = bytes((_FORMAT_VERSION, keys.signing_id)) + _recipient_hash(recipient)
         return header + _tag(keys.secret_by_id[keys.signing_id], header, recipient, body) + body
 
     def decode(self, frame: bytes) -> Decoded | Dropped:
-        """Check and read one frame; never raises."""
+        """Check and decode one frame; never raises."""
         outcome = self._decode(frame)
         if isinstance(outcome, Dropped):
             with self._lock:
@@ -221,7 +221,7 @@
         return outcome
 
     def _decode(self, frame: bytes) -> Decoded | Dropped:
-        reason = self._unauthentic(frame)
+        reason = self._rejection_reason(frame)
         if reason is not None:
             return Dropped(reason)
         try:
@@ -236,9 +236,9 @@
                 envelope.elapsedTenths / 10,
             )
             message = wireformat.read(envelope)
-        # A key holder of another release, or one with a fault, may send what
-        # no reader foresees, and the decoder's own exceptions share no narrower
-        # base. Raising here would end the receiver thread and silence the node.
+        # A node of another release, or a faulty one, may send content that no reader
+        # expects, and the decoder's exceptions share no narrower base class. Raising
+        # here would end the receiver thread, and the node would stop responding.
         except Exception:
             return Dropped(MALFORMED)
         with self._lock:
@@ -257,7 +257,7 @@
             self._sequence += 1
             return self._sequence
 
-    def _unauthentic(self, frame: bytes) -> str | None:
+    def _rejection_reason(self, frame: bytes) -> str | None:
         if len(frame) > FRAME_BOUND:
             return OVERSIZED
         if len(frame) <= _BODY_START:
@@ -268,20 +268,20 @@
         if secret is None:
             return UNKNOWN_KEY
         header = frame[:_HEADER_BYTES]
-        if header[-_MARK_BYTES:] != self._mark:
+        if header[-_RECIPIENT_HASH_BYTES:] != self._recipient_hash:
             return NOT_FOR_US
-        wanted = _tag(secret, header, self._name, frame[_BODY_START:])
-        if not hmac.compare_digest(frame[_HEADER_BYTES:_BODY_START], wanted):
+        expected_tag = _tag(secret, header, self._name, frame[_BODY_START:])
+        if not hmac.compare_digest(frame[_HEADER_BYTES:_BODY_START], expected_tag):
             return FORGED
         return None
 
 
-def _mark(name: str) -> bytes:
-    return hashlib.blake2b(name.encode(), digest_size=_MARK_BYTES).digest()
+def _recipient_hash(name: str) -> bytes:
+    return hashlib.blake2b(name.encode(), digest_size=_RECIPIENT_HASH_BYTES).digest()
 
 
 def _tag(secret: bytes, header: bytes, recipient: str, body: bytes) -> bytes:
     name = recipient.encode()
-    # The name's length keeps its end and the body's beginning apart.
-    bound = header + len(name).to_bytes(4) + name + body
-    return hmac.digest(secret, bound, hashlib.sha256)[:TAG_BYTES]
+    # The length prefix separates the name from the body unambiguously.
+    signed = header + len(name).to_bytes(4) + name + body
+    return hmac.digest(secret, signed, hashlib.sha256)[:TAG_BYTES]
--- a/hornbeamglade/exchange/configchunks.py
+++ b/hornbeamglade/exchange/configchunks.py
@@ -1,12 +1,12 @@
-"""Configuration documents between nodes, in chunks that fit a datagram.
+"""Transfer of configuration documents between nodes, in chunks that fit a datagram.
 
 Explanation
 ===========
 
-A node that starts while the platform's store is down may read the document from
-a peer. It asks for one chunk at a time, so the receiver sets the pace and a
-lost chunk is simply asked for again. Whether a document may be *adopted* is not
-decided here; this module only yields bytes whose SHA-256 is the digest offered.
+A node that starts while the platform's store is unavailable may fetch the document from
+a peer. It requests one chunk at a time, so the receiver controls the rate and simply
+requests a lost chunk again. Whether a document may be *adopted* is not
+decided here; this module only returns bytes whose SHA-256 is the announced digest.
 """
 
 import hashlib
@@ -22,7 +22,7 @@
     document: bytes,
     subject: messages.Subject = messages.Subject.CONFIGURATION,
 ) -> tuple[messages.DocumentChunk, ...]:
-    """Cut a document into offers.
+    """Split a document into chunks.
 
     :param revision: the revision of the document.
     :param document: its bytes, at most :data:`MAX_DOCUMENT_BYTES`.
@@ -32,7 +32,7 @@
     Examples
     ========
 
-    >>> [len(offer.content) for offer in split(3, b"x" * 1500)]
+    >>> [len(chunk.content) for chunk in split(3, b"x" * 1500)]
     [1000, 500]
     """
     if len(document) > MAX_DOCUMENT_BYTES:
@@ -49,14 +49,14 @@
 
 
 class ChunkAssembler:
-    """Puts one revision's chunks together again.
+    """Reassembles the document of one revision from its chunks.
 
     Examples
     ========
 
-    >>> assembly = ChunkAssembler(3)
-    >>> for offer in split(3, b"x" * 1500):
-    ...     document = assembly.add(offer)
+    >>> assembler = ChunkAssembler(3)
+    >>> for chunk in split(3, b"x" * 1500):
+    ...     document = assembler.add(chunk)
     >>> len(document)
     1500
     """
@@ -64,9 +64,9 @@
     def __init__(
         self, revision: int, subject: messages.Subject = messages.Subject.CONFIGURATION
     ) -> None:
-        """Begin with nothing.
+        """Create an assembler without chunks.
 
-        :param revision: the wanted revision; offers of others are ignored.
+        :param revision: the revision to assemble; chunks of others are ignored.
         :param subject: which document it is.
         """
         self._revision = revision
@@ -75,7 +75,7 @@
         self._content_by_chunk: dict[int, bytes] = {}
 
     def next_request(self) -> messages.ChunkRequest | None:
-        """Return the ask for the first chunk that is missing, or None at the end."""
+        """Return the request for the first missing chunk, or None if none is missing."""
         chunks = self._source[1] if self._source else 1
         missing = (chunk for chunk in range(chunks) if chunk not in self._content_by_chunk)
         chunk = next(missing, None)
@@ -83,24 +83,26 @@
             None if chunk is None else messages.ChunkRequest(self._revision, chunk, self._subject)
         )
 
-    def add(self, offer: messages.DocumentChunk) -> bytes | None:
-        """Take one chunk.
+    def add(self, document_chunk: messages.DocumentChunk) -> bytes | None:
+        """Add one chunk.
 
-        :returns: the whole document once it is complete and matches its digest.
+        :returns: the document once it is complete and matches its digest, else None.
         """
-        if (offer.revision, offer.subject) != (self._revision, self._subject):
+        if (document_chunk.revision, document_chunk.subject) != (self._revision, self._subject):
             return None
-        source = (offer.digest, offer.chunks)
-        # Guards against a mix of two documents, when peers disagree about what
-        # the revision holds: it shows as chunks under different digests.
+        source = (document_chunk.digest, document_chunk.chunks)
+        # Guards against mixing two documents if peers have different content for the
+        # revision: their chunks then carry different digests.
         if self._source is not None and source != self._source:
             self._content_by_chunk.clear()
         self._source = source
-        self._content_by_chunk[offer.chunk] = offer.content
-        if len(self._content_by_chunk) < offer.chunks:
+        self._content_by_chunk[document_chunk.chunk] = document_chunk.content
+        if len(self._content_by_chunk) < document_chunk.chunks:
             return None
-        document = b"".join(self._content_by_chunk[chunk] for chunk in range(offer.chunks))
-        if hashlib.sha256(document).digest() == offer.digest:
+        document = b"".join(
+            self._content_by_chunk[chunk] for chunk in range(document_chunk.chunks)
+        )
+        if hashlib.sha256(document).digest() == document_chunk.digest:
             return document
         self._content_by_chunk.clear()
         self._source = None
--- a/hornbeamglade/exchange/exchange.capnp
+++ b/hornbeamglade/exchange/exchange.capnp
@@ -1,6 +1,6 @@
 @0xd3a1f5c8b2e94716;
-# Messages between entry nodes, one Envelope a datagram. Fields are only ever
-# added at the end, so nodes of two releases understand each other.
+# Messages between entry nodes, one Envelope per datagram. Fields are only
+# added at the end, so nodes of two releases can read each other's messages.
 
 struct Envelope {
   sender @0 :Text;
--- a/hornbeamglade/exchange/framesizes.py
+++ b/hornbeamglade/exchange/framesizes.py
@@ -1,9 +1,9 @@
-"""What messages cost on the wire, by encoding them, for the page on capacity.
+"""Sizes of messages on the wire, found by encoding them, for the page on capacity.
 
 Explanation
 ===========
 
-The frames are those of a node that has been up for a day, with names of a usual
+The frames are those of a node that has been up for a day, with names of a typical
 length and load figures of a large replica; the sizes are those of IP packets.
 """
 
@@ -20,18 +20,18 @@
 _START_S = 1_800_000_000.0
 _UPTIME_S = 86_400.0
 _FRAMES_BEFORE = 300_000
-_ASK = 100_000
+_GRANT_ID = 100_000
 _HASH = 2**64 // 3
 _TOKENS = 400
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestCost:
-    """What one request costs that is granted by another node.
+    """The network cost of one request that is granted by another node.
 
-    :param requester_bytes: bytes that the asking node sends.
+    :param requester_bytes: bytes that the requesting node sends.
     :param owner_bytes: bytes that the owner sends.
-    :param frames: frames of both.
+    :param frames: number of frames of both.
     """
 
     requester_bytes: float
@@ -40,7 +40,7 @@
 
     @property
     def total_bytes(self) -> float:
-        """Bytes of both; where all ask all, this is what a node sends for each."""
+        """Bytes of both; if all nodes send requests to all, a node sends this much per request."""
         return self.requester_bytes + self.owner_bytes
 
 
@@ -56,15 +56,15 @@
     clock = clocks.ManualClock(_START_S)
     ring = codec.KeyRing(1, {1: bytes(codec.MIN_SECRET_BYTES)})
     incarnation = int(_START_S * 1000)
-    sender = codec.Codec(_SENDER, incarnation, ring, clock, sent_before=_FRAMES_BEFORE)
+    sender = codec.Codec(_SENDER, incarnation, ring, clock, frames_before=_FRAMES_BEFORE)
     clock.advance(_UPTIME_S)
     return len(sender.encode(_RECIPIENT, message)) + IP_AND_UDP_HEADER_BYTES
 
 
 def expected_reports(duration_s: float) -> float:
-    """Return how many reports a grant gets on average, its return left out.
+    """Return the mean number of reports of a grant, without its release.
 
-    :param duration_s: seconds between the grant and its return.
+    :param duration_s: seconds between the grant and its release.
 
     Examples
     ========
@@ -78,35 +78,35 @@
 
 
 def remote_request_bytes(duration_s: float, queued_s: float = 0.0) -> RequestCost:
-    """Return the cost of one request, on average and with no other to share frames with.
+    """Return the mean cost of one request that shares no frames with others.
 
-    :param duration_s: seconds between the grant and its return.
+    :param duration_s: seconds between the grant and its release.
     :param queued_s: seconds in the owner's queue.
 
     Examples
     ========
 
-    >>> at_once, queued = remote_request_bytes(2.0), remote_request_bytes(2.0, queued_s=1.5)
-    >>> at_once.frames, queued.frames
+    >>> immediate, queued = remote_request_bytes(2.0), remote_request_bytes(2.0, queued_s=1.5)
+    >>> immediate.frames, queued.frames
     (4.0, 7.0)
     """
-    ask = messages.GrantRequest(
-        _ASK, _HASH, _HASH, _HASH, 2, 2 * _TOKENS, 2 * _TOKENS, 1.0, 20_000
+    request = messages.GrantRequest(
+        _GRANT_ID, _HASH, _HASH, _HASH, 2, 2 * _TOKENS, 2 * _TOKENS, 1.0, 20_000
     )
     granted = messages.GrantResponse(
-        _ASK, messages.GrantKind.GRANTED, incarnation=int(_START_S * 1000)
+        _GRANT_ID, messages.GrantKind.GRANTED, incarnation=int(_START_S * 1000)
     )
     queued = dataclasses.replace(granted, kind=messages.GrantKind.QUEUED)
-    running = messages.Progress((messages.GrantProgress(_ASK, _HASH, _TOKENS),))
-    released = messages.Progress((), (messages.GrantRelease(_ASK, _TOKENS),))
+    running = messages.Progress((messages.GrantProgress(_GRANT_ID, _HASH, _TOKENS),))
+    released = messages.Progress((), (messages.GrantRelease(_GRANT_ID, _TOKENS),))
     waits = 1 + math.floor(queued_s / grantrequests.POLL_INTERVAL_S) if queued_s else 0
     reports = expected_reports(duration_s)
-    returns = 1 + grantrequests.RELEASE_REPEATS
+    releases = 1 + grantrequests.RELEASE_REPEATS
     requester_bytes = (
-        max(1, waits) * packet_bytes(ask)
+        max(1, waits) * packet_bytes(request)
         + reports * packet_bytes(running)
-        + returns * packet_bytes(released)
+        + releases * packet_bytes(released)
     )
     owner_bytes = packet_bytes(granted) + waits * packet_bytes(queued)
-    frames = max(1, waits) + 1 + waits + reports + returns
+    frames = max(1, waits) + 1 + waits + reports + releases
     return RequestCost(requester_bytes, owner_bytes, frames)
--- a/hornbeamglade/exchange/grantclient.py
+++ b/hornbeamglade/exchange/grantclient.py
@@ -1,4 +1,4 @@
-"""Asking the owners of replicas for grants, from the threads that serve requests."""
+"""Sends grant requests to the owners of replicas, from the threads that serve requests."""
 
 import collections.abc
 import threading
@@ -6,18 +6,18 @@
 from hornbeamglade.core import clocks
 from hornbeamglade.exchange import codec, grantrequests, messages, transport
 
-_SHORTEST_WAIT_S = 0.001
-_WANTED_EVERY_S = 0.5
+_MIN_WAIT_S = 0.001
+_WANTED_CHECK_S = 0.5
 
 
 class GrantClient(grantrequests.GrantRequester):
-    """Blocking asks over a transport; safe to use from several threads.
+    """Blocking grant requests over a transport; safe to use from several threads.
 
     Explanation
     ===========
 
-    The thread that asks also sends its own repetitions, so an ask needs no other
-    thread; :meth:`tick` must be called a few times a second for reports.
+    The requesting thread also sends its own retransmissions, so a request needs no other
+    thread; :meth:`tick` must be called a few times a second to send reports.
     """
 
     def __init__(self, incarnation: int, sender: transport.Transport, clock: clocks.Clock) -> None:
@@ -25,38 +25,38 @@
         self._transport = sender
         self._clock = clock
         self._lock = threading.Lock()
-        self._event_by_number: dict[int, threading.Event] = {}
+        self._event_by_id: dict[int, threading.Event] = {}
 
     def set_incarnation(self, incarnation: int) -> None:
-        """Go on under another incarnation."""
+        """Continue under another incarnation."""
         with self._lock:
             self._tracker.set_incarnation(incarnation)
 
     def request_grant(
         self,
         owner: transport.Peer,
-        ask: messages.GrantRequest,
-        wanted: collections.abc.Callable[[], bool] = lambda: True,
+        request: messages.GrantRequest,
+        is_wanted: collections.abc.Callable[[], bool] = lambda: True,
     ) -> messages.GrantResponse | grantrequests.NoResponse | None:
-        """Ask ``owner`` and wait for a grant, a refusal or its silence.
+        """Request a grant from ``owner`` and wait for the response or a timeout.
 
         :param owner: the owner of the replica.
-        :param ask: what is wanted; its ``grant_id`` is replaced. The wait is
+        :param request: the request to send; its ``grant_id`` is replaced. The wait is
             bounded by its ``deadline_ms``.
-        :param wanted: asked at least twice a second while queued; False ends the
-            ask, for a caller who has gone.
-        :returns: a granted or refused answer; the owner's silence; or None when the
-            deadline passed or the ask was no longer wanted. Only a granted
-            answer needs :meth:`close`, by its ``grant_id``.
+        :param is_wanted: called at least twice a second while queued; False ends the
+            request, for a caller that has disconnected.
+        :returns: a granted or refused response; ``NoResponse`` if the owner did not respond in
+            time; or None if the deadline passed or the request was no longer wanted. Only
+            a granted response needs :meth:`close`, by its ``grant_id``.
         """
-        ends_at = self._clock.now() + ask.deadline_ms / 1000
-        answered = threading.Event()
+        ends_at = self._clock.now() + request.deadline_ms / 1000
+        response_event = threading.Event()
         with self._lock:
-            number = self._tracker.open(owner, ask, self._clock.now())
-            self._event_by_number[number] = answered
+            grant_id = self._tracker.open(owner, request, self._clock.now())
+            self._event_by_id[grant_id] = response_event
         granted = False
         try:
-            outcome = self._wait(number, answered, ends_at, wanted)
+            outcome = self._wait(grant_id, response_event, ends_at, is_wanted)
             granted = (
                 isinstance(outcome, messages.GrantResponse)
                 and outcome.kind is messages.GrantKind.GRANTED
@@ -64,19 +64,19 @@
             return outcome
         finally:
             with self._lock:
-                del self._event_by_number[number]
+                del self._event_by_id[grant_id]
             if not granted:
-                self.close(number)
+                self.close(grant_id)
 
-    def record_progress(self, number: int, produced: int) -> None:
-        """Note how many tokens a granted request has produced."""
+    def record_progress(self, grant_id: int, produced: int) -> None:
+        """Record how many tokens a granted request has produced."""
         with self._lock:
-            self._tracker.record_progress(number, produced)
+            self._tracker.record_progress(grant_id, produced)
 
-    def close(self, number: int) -> None:
-        """Return a grant, at the end of its request; idempotent."""
+    def close(self, grant_id: int) -> None:
+        """Release a grant at the end of its request; idempotent."""
         with self._lock:
-            outgoing = self._tracker.close(number, self._clock.now())
+            outgoing = self._tracker.close(grant_id, self._clock.now())
         self._send(outgoing)
 
     def redirect(self, replica: str, owner: transport.Peer) -> None:
@@ -85,48 +85,48 @@
             self._tracker.redirect(messages.key_hash(replica), owner)
 
     def tick(self) -> None:
-        """Send reports of progress and repeated returns that are due."""
+        """Send progress reports and repeated grant releases that are due."""
         with self._lock:
             outgoing = self._tracker.tick(self._clock.now())
         self._send(outgoing)
 
     def on_response(
         self,
-        answer: messages.GrantResponse,
-        origin: codec.Sender,
+        response: messages.GrantResponse,
+        sender: codec.Sender,
         source: transport.Endpoint,
     ) -> None:
-        """Take an answer from the transport."""
-        owner = transport.Peer(origin.name, source)
+        """Handle a grant response from the transport."""
+        owner = transport.Peer(sender.name, source)
         with self._lock:
-            outgoing = self._tracker.on_response(owner, answer, self._clock.now())
-            event = self._event_by_number.get(answer.grant_id)
+            outgoing = self._tracker.on_response(owner, response, self._clock.now())
+            event = self._event_by_id.get(response.grant_id)
         if event is not None:
             event.set()
         self._send(outgoing)
 
     def _wait(
         self,
-        number: int,
-        answered: threading.Event,
+        grant_id: int,
+        response_event: threading.Event,
         ends_at: float,
-        wanted: collections.abc.Callable[[], bool],
+        is_wanted: collections.abc.Callable[[], bool],
     ) -> messages.GrantResponse | grantrequests.NoResponse | None:
         while True:
             now = self._clock.now()
-            answered.clear()
+            response_event.clear()
             with self._lock:
-                outgoing = self._tracker.due(number, now)
-                outcome = self._tracker.outcome(number)
-                wake_at = self._tracker.wake_at(number)
+                outgoing = self._tracker.advance(grant_id, now)
+                outcome = self._tracker.outcome(grant_id)
+                wake_at = self._tracker.wake_at(grant_id)
             self._send(outgoing)
             if outcome is not None:
                 return outcome
-            if now >= ends_at or not wanted():
+            if now >= ends_at or not is_wanted():
                 return None
-            wait_s = min(wake_at - now, ends_at - now, _WANTED_EVERY_S)
-            answered.wait(max(_SHORTEST_WAIT_S, wait_s))
+            wait_s = min(wake_at - now, ends_at - now, _WANTED_CHECK_S)
+            response_event.wait(max(_MIN_WAIT_S, wait_s))
 
     def _send(self, outgoing: tuple[grantrequests.Outgoing, ...]) -> None:
-        for one in outgoing:
-            self._transport.send(one.peer, one.message)
+        for each in outgoing:
+            self._transport.send(each.peer, each.message)
--- a/hornbeamglade/exchange/grantrequests.py
+++ b/hornbeamglade/exchange/grantrequests.py
@@ -1,29 +1,30 @@
-"""The asks of one node and the grants that it holds, without I/O.
+"""The grant requests of one node and the grants that it holds, without I/O.
 
 Explanation
 ===========
 
-Datagrams get lost, doubled and overtaken, so the asking side carries the whole
-protocol and the owner only ever answers:
-
-- An ask is sent again each :data:`RESEND_INTERVAL_S` until something is heard; it keeps its
-  number, so the owner treats it as one.
-- While queued, the ask is repeated each :data:`POLL_INTERVAL_S`. This recovers a lost push
-  and tells the owner that someone still waits.
-- Silence of :data:`RESPONSE_TIMEOUT_S` (:data:`QUEUED_TIMEOUT_S` while queued) gives the ask
-  up, so the caller can try another replica; the owner may still have granted
-  it, so the give-up is announced by :class:`messages.GrantRelease`.
-- An answer that comes for an ask that was given up is returned at once.
-- Progress of all grants is reported each :data:`REPORT_INTERVAL_S`, in one message for each
-  owner, but of none younger than :data:`FIRST_REPORT_AFTER_S`, which has little to tell.
-- A return is sent at once, and again with the next :data:`RELEASE_REPEATS` reports; if
-  all are lost the grant lapses at the owner, as no progress is reported for it.
-
-A frame costs far more bytes than an entry in it, so reports are rare and joined:
-the mean answer lasts about 7 s at the target size and gets one or two.
-
-Weighed against acknowledged delivery in both directions: it needs timers and
-resends at the owner, for each of its askers, and the owner is the crowded side.
+Datagrams are lost, duplicated and reordered, so the requester drives the whole
+protocol and the owner only responds:
+
+- A request is sent again every :data:`RESEND_INTERVAL_S` until a response is received; it
+  keeps its ``grant_id``, so the owner treats all copies as one.
+- While queued, the request is repeated every :data:`POLL_INTERVAL_S`. This recovers a lost push
+  and tells the owner that the requester still waits.
+- After :data:`RESPONSE_TIMEOUT_S` (:data:`QUEUED_TIMEOUT_S` while queued) without a
+  response the request is abandoned, so that the caller can try another replica. The owner may
+  still have granted it, so the requester announces this with :class:`messages.GrantRelease`.
+- A grant that arrives for an abandoned request is released immediately.
+- Progress of all grants is reported every :data:`REPORT_INTERVAL_S`, in one message for each
+  owner, but not of grants younger than :data:`FIRST_REPORT_AFTER_S`, which have made little
+  progress.
+- A release is sent immediately, and again with the next :data:`RELEASE_REPEATS` reports; if
+  all are lost, the grant expires at the owner, as no progress is reported for it.
+
+A frame costs far more bytes than an entry in it, so reports are rare and batched:
+the mean generation lasts about 7 s at the target size and gets one or two reports.
+
+The alternative is acknowledged delivery in both directions. It needs timers and
+retransmissions at the owner for each requester, and the owner is the more loaded side.
 """
 
 import abc
@@ -40,16 +41,16 @@
 QUEUED_TIMEOUT_S = 3.0
 REPORT_INTERVAL_S = 5.0
 FIRST_REPORT_AFTER_S = REPORT_INTERVAL_S / 2
-# With one datagram in 100 lost, one return in 10,000 is lost twice, and holds its
-# room until it lapses.
+# With one datagram in 100 lost, one release in 10,000 is lost twice, and its grant
+# occupies memory until it expires.
 RELEASE_REPEATS = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoResponse:
-    """The owner was not heard in time; it was told that the ask is given up.
+    """The owner did not respond in time; it was told that the request is abandoned.
 
-    :param owner: the silent node's name.
+    :param owner: the name of the node that did not respond.
     """
 
     owner: str
@@ -57,13 +58,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message that the caller of the aggregate must send."""
+    """A message that the caller of the tracker must send."""
 
     peer: transport.Peer
     message: messages.Message
 
 
-class _State(enum.Enum):
+class _RequestState(enum.Enum):
     UNANSWERED = enum.auto()
     QUEUED = enum.auto()
     GRANTED = enum.auto()
@@ -71,41 +72,41 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Ask:
+class _OpenRequest:
     peer: transport.Peer
-    ask: messages.GrantRequest
-    heard_at: float
+    message: messages.GrantRequest
+    last_seen_at: float
     send_at: float
-    state: _State = _State.UNANSWERED
+    state: _RequestState = _RequestState.UNANSWERED
     outcome: messages.GrantResponse | NoResponse | None = None
-    report_from: float = 0.0
+    report_after: float = 0.0
     produced: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Return:
+class _PendingRelease:
     peer: transport.Peer
     grant: messages.GrantRelease
     repeats_left: int
 
 
-class _Entry(typing.NamedTuple):
-    """One line of a report."""
+class _ReportEntry(typing.NamedTuple):
+    """One entry of a progress report."""
 
     peer: transport.Peer
     grant: messages.GrantProgress | messages.GrantRelease
 
 
 class GrantRequester(abc.ABC):
-    """Whatever names this node's incarnation in what it asks."""
+    """A sender of grant requests that carry this node's incarnation."""
 
     @abc.abstractmethod
     def set_incarnation(self, incarnation: int) -> None:
-        """Go on under another incarnation."""
+        """Continue under another incarnation."""
 
 
 class GrantTracker(GrantRequester):
-    """All asks and grants of one incarnation of a node.
+    """All grant requests and grants of one incarnation of a node.
 
     Examples
     ========
@@ -113,126 +114,130 @@
     >>> owner = transport.Peer("b", transport.Endpoint("127.0.0.1", 7000))
     >>> tracker = GrantTracker(incarnation=1)
     >>> names = [messages.key_hash(name) for name in ("engine-1", "chat", "clerks")]
-    >>> ask = messages.GrantRequest(0, *names, 0, 10, None, 1.0, 500)
-    >>> number = tracker.open(owner, ask, now=0.0)
-    >>> [type(out.message).__name__ for out in tracker.due(number, now=0.0)]
+    >>> request = messages.GrantRequest(0, *names, 0, 10, None, 1.0, 500)
+    >>> grant_id = tracker.open(owner, request, now=0.0)
+    >>> [type(outgoing.message).__name__ for outgoing in tracker.advance(grant_id, now=0.0)]
     ['GrantRequest']
     >>> kind = messages.GrantKind.GRANTED
-    >>> granted = messages.GrantResponse(number, kind, incarnation=1)
+    >>> granted = messages.GrantResponse(grant_id, kind, incarnation=1)
     >>> tracker.on_response(owner, granted, now=0.01)
     ()
-    >>> tracker.outcome(number) == granted
+    >>> tracker.outcome(grant_id) == granted
     True
     """
 
     def __init__(self, incarnation: int) -> None:
-        """Make the tracker of one run of a node.
+        """Create the tracker of one incarnation of a node.
 
         :param incarnation: this node's incarnation.
         """
         self._incarnation = incarnation
-        self._last_number = 0
-        self._ask_by_number: dict[int, _Ask] = {}
-        self._returns: list[_Return] = []
+        self._last_grant_id = 0
+        self._request_by_id: dict[int, _OpenRequest] = {}
+        self._pending_releases: list[_PendingRelease] = []
         self._report_at = 0.0
 
     def set_incarnation(self, incarnation: int) -> None:
-        """Go on under another incarnation; answers to asks under the former one are void."""
+        """Continue under another incarnation; responses to the former one are ignored."""
         self._incarnation = incarnation
 
-    def open(self, owner: transport.Peer, ask: messages.GrantRequest, now: float) -> int:
-        """Begin to ask ``owner``.
+    def open(self, owner: transport.Peer, request: messages.GrantRequest, now: float) -> int:
+        """Begin a grant request to ``owner``.
 
-        :param ask: what is wanted; its ``grant_id`` is replaced.
+        :param request: the request to send; its ``grant_id`` is replaced.
         :param now: monotonic seconds.
-        :returns: the number of the ask.
+        :returns: the ``grant_id`` of the request.
         """
-        self._last_number += 1
-        number = self._last_number
-        numbered = dataclasses.replace(ask, grant_id=number)
-        self._ask_by_number[number] = _Ask(owner, numbered, heard_at=now, send_at=now)
-        return number
-
-    def outcome(self, number: int) -> messages.GrantResponse | NoResponse | None:
-        """Return how the ask ended, or None while it is open."""
-        ask = self._ask_by_number.get(number)
-        return ask.outcome if ask else None
-
-    def owner(self, number: int) -> str:
-        """Return the name of the node that an ask goes to."""
-        return self._ask_by_number[number].peer.name
-
-    def has_response(self, number: int) -> bool:
-        """Tell whether the owner has answered the ask at all."""
-        return self._ask_by_number[number].state is not _State.UNANSWERED
-
-    def wake_at(self, number: int) -> float:
-        """Return when :meth:`due` wants to be called next for an open ask."""
-        ask = self._ask_by_number[number]
-        return min(ask.send_at, ask.heard_at + _silence_bound_s(ask))
-
-    def due(self, number: int, now: float) -> tuple[Outgoing, ...]:
-        """Advance an open ask: give it up, or send it again, when the time has come."""
-        ask = self._ask_by_number[number]
-        if ask.state not in (_State.UNANSWERED, _State.QUEUED):
+        self._last_grant_id += 1
+        grant_id = self._last_grant_id
+        numbered = dataclasses.replace(request, grant_id=grant_id)
+        self._request_by_id[grant_id] = _OpenRequest(
+            owner, numbered, last_seen_at=now, send_at=now
+        )
+        return grant_id
+
+    def outcome(self, grant_id: int) -> messages.GrantResponse | NoResponse | None:
+        """Return the outcome of the request, or None while it is open."""
+        request = self._request_by_id.get(grant_id)
+        return request.outcome if request else None
+
+    def owner(self, grant_id: int) -> str:
+        """Return the name of the node that the request is sent to."""
+        return self._request_by_id[grant_id].peer.name
+
+    def has_response(self, grant_id: int) -> bool:
+        """Return whether the owner has responded to the request at all."""
+        return self._request_by_id[grant_id].state is not _RequestState.UNANSWERED
+
+    def wake_at(self, grant_id: int) -> float:
+        """Return when :meth:`advance` must be called next for an open request."""
+        request = self._request_by_id[grant_id]
+        return min(request.send_at, request.last_seen_at + _silence_timeout_s(request))
+
+    def advance(self, grant_id: int, now: float) -> tuple[Outgoing, ...]:
+        """Abandon an open request or send it again if its timeout has passed."""
+        request = self._request_by_id[grant_id]
+        if request.state not in (_RequestState.UNANSWERED, _RequestState.QUEUED):
             return ()
-        if now - ask.heard_at >= _silence_bound_s(ask):
-            ask.outcome = NoResponse(ask.peer.name)
-            return self._return(number, ask)
-        if now < ask.send_at:
+        if now - request.last_seen_at >= _silence_timeout_s(request):
+            request.outcome = NoResponse(request.peer.name)
+            return self._release(grant_id, request)
+        if now < request.send_at:
             return ()
-        ask.send_at = now + (POLL_INTERVAL_S if ask.state is _State.QUEUED else RESEND_INTERVAL_S)
-        return (Outgoing(ask.peer, ask.ask),)
+        request.send_at = now + (
+            POLL_INTERVAL_S if request.state is _RequestState.QUEUED else RESEND_INTERVAL_S
+        )
+        return (Outgoing(request.peer, request.message),)
 
     def on_response(
-        self, owner: transport.Peer, answer: messages.GrantResponse, now: float
+        self, owner: transport.Peer, response: messages.GrantResponse, now: float
     ) -> tuple[Outgoing, ...]:
-        """Take an answer.
+        """Handle a response.
 
-        :param owner: the node that answered, and where it can be reached.
+        :param owner: the node that responded, and its endpoint.
         :param answer: its answer.
         :param now: monotonic seconds.
-        :returns: a return of the grant if nobody waits for it any more.
+        :returns: the release of the grant if no request waits for it any more.
         """
-        # Numbers begin anew with each run. Guards against an answer to the former
-        # run of this node, which would show as a grant that the owner never gave.
-        if answer.incarnation != self._incarnation:
+        # Grant ids start again with each incarnation. Guards against a response to a former
+        # incarnation of this node, which would be taken for a grant the owner never gave.
+        if response.incarnation != self._incarnation:
             return ()
-        ask = self._ask_by_number.get(answer.grant_id)
-        if ask is None or ask.state is _State.SETTLED:
-            return _return_late(owner, answer)
-        # Guards against an overtaken "queued" that arrives after the grant, and
-        # against an answer of a node that this ask did not go to.
-        if ask.peer.name != owner.name or ask.state is _State.GRANTED:
+        request = self._request_by_id.get(response.grant_id)
+        if request is None or request.state is _RequestState.SETTLED:
+            return _release_late_grant(owner, response)
+        # Guards against a reordered "queued" that arrives after the grant, and
+        # against a response from a node that this request was not sent to.
+        if request.peer.name != owner.name or request.state is _RequestState.GRANTED:
             return ()
-        ask.heard_at = now
-        if answer.kind is messages.GrantKind.QUEUED:
-            _note_queued(ask, now)
+        request.last_seen_at = now
+        if response.kind is messages.GrantKind.QUEUED:
+            _set_queued(request, now)
             return ()
-        granted = answer.kind is messages.GrantKind.GRANTED
-        if granted and answer.replica:
-            # Its progress is told to whoever owns the replica that it runs on.
-            ask.ask = dataclasses.replace(ask.ask, replica=answer.replica)
-        ask.state = _State.GRANTED if granted else _State.SETTLED
-        ask.outcome = answer
-        ask.report_from = now + FIRST_REPORT_AFTER_S
+        granted = response.kind is messages.GrantKind.GRANTED
+        if granted and response.replica:
+            # Progress is reported to the owner of the replica that runs the request.
+            request.message = dataclasses.replace(request.message, replica=response.replica)
+        request.state = _RequestState.GRANTED if granted else _RequestState.SETTLED
+        request.outcome = response
+        request.report_after = now + FIRST_REPORT_AFTER_S
         return ()
 
-    def record_progress(self, number: int, produced: int) -> None:
-        """Note the tokens that a granted request has produced so far."""
-        ask = self._ask_by_number.get(number)
-        if ask is not None:
-            ask.produced = produced
+    def record_progress(self, grant_id: int, produced: int) -> None:
+        """Record how many tokens a granted request has produced so far."""
+        request = self._request_by_id.get(grant_id)
+        if request is not None:
+            request.produced = produced
 
-    def close(self, number: int, now: float) -> tuple[Outgoing, ...]:
-        """End an ask or grant: finished, failed or no longer wanted; idempotent."""
-        ask = self._ask_by_number.get(number)
-        if ask is None:
+    def close(self, grant_id: int, now: float) -> tuple[Outgoing, ...]:
+        """End a request or grant that finished, failed or is no longer wanted; idempotent."""
+        request = self._request_by_id.get(grant_id)
+        if request is None:
             return ()
         outgoing: tuple[Outgoing, ...] = ()
-        if ask.state is not _State.SETTLED:
-            outgoing = self._return(number, ask)
-        del self._ask_by_number[number]
+        if request.state is not _RequestState.SETTLED:
+            outgoing = self._release(grant_id, request)
+        del self._request_by_id[grant_id]
         return outgoing
 
     def redirect(self, replica: int, owner: transport.Peer) -> None:
@@ -241,68 +246,70 @@
         :param replica: :func:`messages.key_hash
             <hornbeamglade.exchange.messages.key_hash>` of its name.
         """
-        for ask in self._ask_by_number.values():
-            if ask.ask.replica == replica and ask.state is _State.GRANTED:
-                ask.peer = owner
-                # Guards against a new owner that plans memory which is in use: it hears
-                # of this grant by its first report only.
-                ask.report_from = 0.0
+        for request in self._request_by_id.values():
+            if request.message.replica == replica and request.state is _RequestState.GRANTED:
+                request.peer = owner
+                # Guards against a new owner that plans with memory that is in use: it learns
+                # of this grant only by its first report.
+                request.report_after = 0.0
 
     def tick(self, now: float) -> tuple[Outgoing, ...]:
-        """Return the reports that are due: progress, and returns once more."""
+        """Return the reports that are due: progress and repeated releases."""
         if now < self._report_at:
             return ()
         self._report_at = now + REPORT_INTERVAL_S
-        entries_by_peer: dict[transport.Peer, list[_Entry]] = {}
-        for entry in (*self._running(now), *self._repeated_returns()):
+        entries_by_peer: dict[transport.Peer, list[_ReportEntry]] = {}
+        for entry in (*self._progress_entries(now), *self._repeated_releases()):
             entries_by_peer.setdefault(entry.peer, []).append(entry)
         return tuple(
             Outgoing(peer, message)
             for peer, entries in entries_by_peer.items()
-            for message in _reports(entries)
+            for message in _split_reports(entries)
         )
 
-    def _return(self, number: int, ask: _Ask) -> tuple[Outgoing, ...]:
-        ask.state = _State.SETTLED
-        grant = messages.GrantRelease(number, ask.produced)
-        self._returns.append(_Return(ask.peer, grant, RELEASE_REPEATS))
-        return (Outgoing(ask.peer, messages.Progress(released=(grant,))),)
-
-    def _running(self, now: float) -> collections.abc.Iterator[_Entry]:
-        for number, ask in self._ask_by_number.items():
-            if ask.state is _State.GRANTED and now >= ask.report_from:
-                grant = messages.GrantProgress(number, ask.ask.replica, ask.produced)
-                yield _Entry(ask.peer, grant)
-
-    def _repeated_returns(self) -> collections.abc.Iterator[_Entry]:
-        returns, self._returns = self._returns, []
-        for one in returns:
-            if one.repeats_left > 1:
-                again = dataclasses.replace(one, repeats_left=one.repeats_left - 1)
-                self._returns.append(again)
-            yield _Entry(one.peer, one.grant)
-
-
-def _note_queued(ask: _Ask, now: float) -> None:
-    # Only the first "queued" moves the next poll: each poll is answered by another
-    # "queued", and the polls would come ever later behind slow answers.
-    if ask.state is _State.UNANSWERED:
-        ask.send_at = now + POLL_INTERVAL_S
-    ask.state = _State.QUEUED
-
-
-def _return_late(owner: transport.Peer, answer: messages.GrantResponse) -> tuple[Outgoing, ...]:
-    if answer.kind is messages.GrantKind.REFUSED:
+    def _release(self, grant_id: int, request: _OpenRequest) -> tuple[Outgoing, ...]:
+        request.state = _RequestState.SETTLED
+        grant = messages.GrantRelease(grant_id, request.produced)
+        self._pending_releases.append(_PendingRelease(request.peer, grant, RELEASE_REPEATS))
+        return (Outgoing(request.peer, messages.Progress(released=(grant,))),)
+
+    def _progress_entries(self, now: float) -> collections.abc.Iterator[_ReportEntry]:
+        for grant_id, request in self._request_by_id.items():
+            if request.state is _RequestState.GRANTED and now >= request.report_after:
+                grant = messages.GrantProgress(grant_id, request.message.replica, request.produced)
+                yield _ReportEntry(request.peer, grant)
+
+    def _repeated_releases(self) -> collections.abc.Iterator[_ReportEntry]:
+        releases, self._pending_releases = self._pending_releases, []
+        for each in releases:
+            if each.repeats_left > 1:
+                again = dataclasses.replace(each, repeats_left=each.repeats_left - 1)
+                self._pending_releases.append(again)
+            yield _ReportEntry(each.peer, each.grant)
+
+
+def _set_queued(request: _OpenRequest, now: float) -> None:
+    # Only the first "queued" postpones the next poll: each poll is answered by another
+    # "queued", and slow responses would delay the polls more and more.
+    if request.state is _RequestState.UNANSWERED:
+        request.send_at = now + POLL_INTERVAL_S
+    request.state = _RequestState.QUEUED
+
+
+def _release_late_grant(
+    owner: transport.Peer, response: messages.GrantResponse
+) -> tuple[Outgoing, ...]:
+    if response.kind is messages.GrantKind.REFUSED:
         return ()
-    # Guards against a grant that nobody uses: its answer was late, the request
-    # went elsewhere, and the owner would hold memory for it. The returns that
-    # were scheduled at the give-up may all be lost.
+    # Guards against an unused grant: its response was late, the request went to
+    # another replica, and the owner would reserve memory for it. The releases that
+    # were scheduled when the request was abandoned may all be lost.
     return (
-        Outgoing(owner, messages.Progress(released=(messages.GrantRelease(answer.grant_id),))),
+        Outgoing(owner, messages.Progress(released=(messages.GrantRelease(response.grant_id),))),
     )
 
 
-def _reports(entries: list[_Entry]) -> collections.abc.Iterator[messages.Progress]:
+def _split_reports(entries: list[_ReportEntry]) -> collections.abc.Iterator[messages.Progress]:
     for start in range(0, len(entries), messages.MAX_PROGRESS):
         grants = [entry.grant for entry in entries[start : start + messages.MAX_PROGRESS]]
         yield messages.Progress(
@@ -311,5 +318,5 @@
         )
 
 
-def _silence_bound_s(ask: _Ask) -> float:
-    return QUEUED_TIMEOUT_S if ask.state is _State.QUEUED else RESPONSE_TIMEOUT_S
+def _silence_timeout_s(request: _OpenRequest) -> float:
+    return QUEUED_TIMEOUT_S if request.state is _RequestState.QUEUED else RESPONSE_TIMEOUT_S
--- a/hornbeamglade/exchange/grantserver.py
+++ b/hornbeamglade/exchange/grantserver.py
@@ -1,10 +1,10 @@
-"""Answering asks at the owner of a replica, each ask once.
+"""Responds to grant requests at the owner of a replica, deciding on each one once.
 
 Explanation
 ===========
 
 The scheduler decides; this module makes its decisions safe against a network that
-loses, doubles and reorders:
+loses, duplicates and reorders messages:
 
 - The response to a grant request is stored, so a repeated request gets the same response
   and the scheduler sees it once.
@@ -12,13 +12,13 @@
   delayed copy of it is not granted to nobody. The codec accepts no frame older than
   :data:`replay.MAX_FRAME_DELAY_S
   <hornbeamglade.exchange.replay.MAX_FRAME_DELAY_S>`, a third of that.
-- A grant of which nothing is heard for :data:`GRANT_TIMEOUT_S` expires, and so does a queued
+- A grant without a report for :data:`GRANT_TIMEOUT_S` expires, and so does a queued
   request that is no longer repeated: the requester failed, or its releases were lost. All
   grants of a node expire at once through :meth:`GrantServer.expire_holder`.
 
-An owner that is new, or that let a grant lapse whose holder was merely cut off,
-hears of running requests that it did not admit; they are offered to the scheduler by
-:meth:`GrantScheduler.adopt` so that it can count their memory.
+A new owner, or one at which a grant expired while its holder was only partitioned,
+receives reports of running requests that it did not admit. They are passed to the scheduler
+by :meth:`GrantScheduler.adopt` so that it can account for their memory.
 """
 
 import abc
@@ -40,11 +40,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantKey:
-    """What names an ask at its owner.
+    """Identifies a grant request at the owner.
 
-    :param holder: the asking node's name.
-    :param incarnation: the asking node's incarnation.
-    :param grant_id: the number of the ask.
+    :param holder: the requesting node's name.
+    :param incarnation: the requesting node's incarnation.
+    :param grant_id: the identifier of the request within that incarnation.
     """
 
     holder: str
@@ -53,13 +53,13 @@
 
 
 class GrantScheduler(abc.ABC):
-    """Decides on asks for the replicas that this node owns; thread-safe.
+    """Decides on grant requests for the replicas that this node owns; thread-safe.
 
     Explanation
     ===========
 
     Called from several threads and without a lock held, so an implementation may
-    call :meth:`GrantServer.push` from within, with its own lock held.
+    call :meth:`GrantServer.push` from its methods while it holds its own lock.
     """
 
     @abc.abstractmethod
@@ -68,45 +68,45 @@
 
     @abc.abstractmethod
     def progress(self, key: GrantKey, produced: int) -> None:
-        """Take note of how many tokens a granted request has produced."""
+        """Record how many tokens a granted request has produced."""
 
     @abc.abstractmethod
     def release(self, key: GrantKey, produced: int) -> None:
-        """Free what an ask held or queued for; it produced so many tokens in all."""
+        """Free the memory or queue position of a request that produced ``produced`` tokens."""
 
     @abc.abstractmethod
     def expire(self, key: GrantKey) -> None:
-        """Free what a silent holder's ask held or queued for."""
+        """Free the memory or queue position of a request whose holder stopped reporting."""
 
     @abc.abstractmethod
     def adopt(self, key: GrantKey, progress: messages.GrantProgress) -> None:
-        """Count a running request that this scheduler did not admit."""
+        """Account for a running request that this scheduler did not admit."""
 
 
 class _Phase(enum.Enum):
-    ASKING = enum.auto()
+    DECIDING = enum.auto()
     OPEN = enum.auto()
     REFUSED = enum.auto()
     RETURNED = enum.auto()
-    LAPSED = enum.auto()
+    EXPIRED = enum.auto()
 
 
 @dataclasses.dataclass(slots=True)
 class _Record:
     peer: transport.Peer
-    heard_at: float
-    phase: _Phase = _Phase.ASKING
-    answer: messages.GrantResponse | None = None
+    last_seen_at: float
+    phase: _Phase = _Phase.DECIDING
+    response: messages.GrantResponse | None = None
 
 
 class GrantServer:
-    """Dispatches asks and progress to a scheduler; safe to use from several threads.
+    """Passes grant requests and progress to a scheduler; safe to use from several threads.
 
     Explanation
     ===========
 
-    Its lock guards the records only and is never held while the scheduler or the
-    transport is called, so no order of locks between them can deadlock.
+    The lock guards only the records and is never held while the scheduler or the
+    transport is called, so no lock order between them can cause a deadlock.
     """
 
     def __init__(
@@ -120,172 +120,184 @@
         self._incarnation_by_holder: dict[str, int] = {}
 
     def on_request(
-        self, ask: messages.GrantRequest, origin: codec.Sender, source: transport.Endpoint
+        self, request: messages.GrantRequest, sender: codec.Sender, source: transport.Endpoint
     ) -> None:
-        """Take an ask from the transport and answer it."""
-        key = GrantKey(origin.name, origin.incarnation, ask.grant_id)
-        peer = transport.Peer(origin.name, source)
-        self._lapse_former_runs(origin)
+        """Handle a grant request from the transport and respond to it."""
+        key = GrantKey(sender.name, sender.incarnation, request.grant_id)
+        peer = transport.Peer(sender.name, source)
+        self._expire_former_incarnations(sender)
         with self._lock:
             record = self._record_by_key.get(key)
             if record is not None:
-                record.heard_at = self._clock.now()
+                record.last_seen_at = self._clock.now()
                 record.peer = peer
-                answer = _remembered_answer(ask, record)
+                response = _stored_response(request, record)
             elif len(self._record_by_key) >= MAX_RECORDS:
-                answer = _refusal(ask.grant_id, OWNER_FULL)
+                response = _refusal(request.grant_id, OWNER_FULL)
             else:
-                answer = None
+                response = None
                 self._record_by_key[key] = _Record(peer, self._clock.now())
-        if record is None and answer is None:
-            answer = self._decide(key, ask)
-        if answer is not None:
-            self._reply(key, peer, answer)
+        if record is None and response is None:
+            response = self._decide(key, request)
+        if response is not None:
+            self._reply(key, peer, response)
 
     def on_progress(
         self,
         progress: messages.Progress,
-        origin: codec.Sender,
+        sender: codec.Sender,
         source: transport.Endpoint,
     ) -> None:
-        """Take a report of progress from the transport."""
-        peer = transport.Peer(origin.name, source)
+        """Handle a progress report from the transport."""
+        peer = transport.Peer(sender.name, source)
         for grant in progress.released:
-            self._returned(GrantKey(origin.name, origin.incarnation, grant.grant_id), peer, grant)
+            self._on_release(
+                GrantKey(sender.name, sender.incarnation, grant.grant_id), peer, grant
+            )
         for grant in progress.running:
-            self._advanced(GrantKey(origin.name, origin.incarnation, grant.grant_id), peer, grant)
+            self._on_progress(
+                GrantKey(sender.name, sender.incarnation, grant.grant_id), peer, grant
+            )
 
-    def push(self, key: GrantKey, answer: messages.GrantResponse) -> bool:
-        """Send the answer that a queued ask was waiting for.
+    def push(self, key: GrantKey, response: messages.GrantResponse) -> bool:
+        """Send the response that a queued request was waiting for.
 
-        :returns: False when the ask has ended meanwhile; then nothing is sent and
-            the scheduler has been, or is about to be, told so.
+        :returns: False if the request has ended in the meantime; then nothing is sent, and
+            the scheduler has been, or is about to be, notified.
         """
         with self._lock:
             record = self._record_by_key.get(key)
-            if record is None or record.phase not in (_Phase.ASKING, _Phase.OPEN):
+            if record is None or record.phase not in (_Phase.DECIDING, _Phase.OPEN):
                 return False
-            record.answer = answer
-            if _is_refused(answer):
+            record.response = response
+            if _is_refused(response):
                 record.phase = _Phase.REFUSED
             peer = record.peer
-        self._reply(key, peer, answer)
+        self._reply(key, peer, response)
         return True
 
     def expire_holder(self, name: str) -> None:
-        """Let all grants of a node lapse; membership holds it for dead."""
-        self._lapse(lambda key, record: key.holder == name)
+        """Expire all grants of a node that membership considers failed."""
+        self._expire_matching(lambda key, record: key.holder == name)
 
     def tick(self) -> None:
-        """Let silent asks lapse and forget what ended long ago."""
+        """Expire requests without reports and delete records that ended long ago."""
         now = self._clock.now()
-        self._lapse(lambda key, record: now - record.heard_at > GRANT_TIMEOUT_S)
+        self._expire_matching(lambda key, record: now - record.last_seen_at > GRANT_TIMEOUT_S)
         with self._lock:
-            forgotten = [
+            outdated = [
                 key
                 for key, record in self._record_by_key.items()
-                if not _is_open(record) and now - record.heard_at > RECORD_RETENTION_S
+                if not _is_open(record) and now - record.last_seen_at > RECORD_RETENTION_S
             ]
-            for key in forgotten:
+            for key in outdated:
                 del self._record_by_key[key]
             holders = {key.holder for key in self._record_by_key}
             for holder in self._incarnation_by_holder.keys() - holders:
                 del self._incarnation_by_holder[holder]
 
-    def _decide(self, key: GrantKey, ask: messages.GrantRequest) -> messages.GrantResponse:
-        answer = self._scheduler.decide(key, ask)
+    def _decide(self, key: GrantKey, request: messages.GrantRequest) -> messages.GrantResponse:
+        response = self._scheduler.decide(key, request)
         with self._lock:
             record = self._record_by_key[key]
-            if record.phase is _Phase.ASKING:
-                # A push that came while the scheduler was returning is newer than "queued".
-                record.answer = record.answer or answer
-                refused = _is_refused(record.answer)
+            if record.phase is _Phase.DECIDING:
+                # A push that was made while the scheduler returned is newer than "queued".
+                record.response = record.response or response
+                refused = _is_refused(record.response)
                 record.phase = _Phase.REFUSED if refused else _Phase.OPEN
-                return record.answer
+                return record.response
             if record.phase is _Phase.REFUSED:
-                return record.answer
-        # The ask was returned while the scheduler decided: free what it just gave.
+                return record.response
+        # The request was released while the scheduler decided: free what it just granted.
         self._scheduler.release(key, 0)
-        return _refusal(ask.grant_id, RETURNED)
+        return _refusal(request.grant_id, RETURNED)
 
-    def _returned(self, key: GrantKey, peer: transport.Peer, grant: messages.GrantRelease) -> None:
+    def _on_release(
+        self, key: GrantKey, peer: transport.Peer, grant: messages.GrantRelease
+    ) -> None:
         with self._lock:
             record = self._record_by_key.get(key)
             was_open = record is not None and record.phase is _Phase.OPEN
             if record is None and len(self._record_by_key) < MAX_RECORDS:
                 record = _Record(peer, self._clock.now())
                 self._record_by_key[key] = record
-            # Guards against an ask that the network delivers after its return: it
-            # would be granted, and hold memory that nobody uses. The record stays.
+            # Guards against a request that the network delivers after its release: it
+            # would be granted, and reserve unused memory. The record is kept.
             if record is not None:
                 record.phase = _Phase.RETURNED
-                record.heard_at = self._clock.now()
+                record.last_seen_at = self._clock.now()
         if was_open:
             self._scheduler.release(key, grant.produced)
 
-    def _advanced(
+    def _on_progress(
         self, key: GrantKey, peer: transport.Peer, grant: messages.GrantProgress
     ) -> None:
         with self._lock:
             record = self._record_by_key.get(key)
-            known = record is not None and record.phase is _Phase.OPEN
-            adopted = record is None or record.phase is _Phase.LAPSED
-            if known:
-                record.heard_at = self._clock.now()
-            elif adopted and (record is not None or len(self._record_by_key) < MAX_RECORDS):
-                answer = messages.GrantResponse(key.grant_id, messages.GrantKind.GRANTED)
-                self._record_by_key[key] = _Record(peer, self._clock.now(), _Phase.OPEN, answer)
+            is_known = record is not None and record.phase is _Phase.OPEN
+            is_adopted = record is None or record.phase is _Phase.EXPIRED
+            if is_known:
+                record.last_seen_at = self._clock.now()
+            elif is_adopted and (record is not None or len(self._record_by_key) < MAX_RECORDS):
+                response = messages.GrantResponse(key.grant_id, messages.GrantKind.GRANTED)
+                self._record_by_key[key] = _Record(peer, self._clock.now(), _Phase.OPEN, response)
             else:
                 return
-        if known:
+        if is_known:
             self._scheduler.progress(key, grant.produced)
         else:
             self._scheduler.adopt(key, grant)
 
-    def _lapse_former_runs(self, origin: codec.Sender) -> None:
+    def _expire_former_incarnations(self, sender: codec.Sender) -> None:
         with self._lock:
-            newest = self._incarnation_by_holder.get(origin.name)
-            self._incarnation_by_holder[origin.name] = origin.incarnation
-        if newest is not None and newest != origin.incarnation:
-            self._lapse(
+            newest = self._incarnation_by_holder.get(sender.name)
+            self._incarnation_by_holder[sender.name] = sender.incarnation
+        if newest is not None and newest != sender.incarnation:
+            self._expire_matching(
                 lambda key, record: (
-                    key.holder == origin.name and key.incarnation != origin.incarnation
+                    key.holder == sender.name and key.incarnation != sender.incarnation
                 )
             )
 
-    def _lapse(self, chosen: collections.abc.Callable[[GrantKey, _Record], bool]) -> None:
+    def _expire_matching(
+        self, matches: collections.abc.Callable[[GrantKey, _Record], bool]
+    ) -> None:
         with self._lock:
-            lapsed = [
+            expired = [
                 key
                 for key, record in self._record_by_key.items()
-                if record.phase is _Phase.OPEN and chosen(key, record)
+                if record.phase is _Phase.OPEN and matches(key, record)
             ]
-            for key in lapsed:
+            for key in expired:
                 record = self._record_by_key[key]
-                record.phase = _Phase.LAPSED
-                record.heard_at = self._clock.now()
-        for key in lapsed:
+                record.phase = _Phase.EXPIRED
+                record.last_seen_at = self._clock.now()
+        for key in expired:
             self._scheduler.expire(key)
 
-    def _reply(self, key: GrantKey, peer: transport.Peer, answer: messages.GrantResponse) -> None:
-        addressed = dataclasses.replace(answer, grant_id=key.grant_id, incarnation=key.incarnation)
+    def _reply(
+        self, key: GrantKey, peer: transport.Peer, response: messages.GrantResponse
+    ) -> None:
+        addressed = dataclasses.replace(
+            response, grant_id=key.grant_id, incarnation=key.incarnation
+        )
         self._transport.send(peer, addressed)
 
 
 def _is_open(record: _Record) -> bool:
-    return record.phase in (_Phase.ASKING, _Phase.OPEN)
+    return record.phase in (_Phase.DECIDING, _Phase.OPEN)
 
 
-def _is_refused(answer: messages.GrantResponse) -> bool:
-    return answer.kind is messages.GrantKind.REFUSED
+def _is_refused(response: messages.GrantResponse) -> bool:
+    return response.kind is messages.GrantKind.REFUSED
 
 
-def _remembered_answer(
-    ask: messages.GrantRequest, record: _Record
+def _stored_response(
+    request: messages.GrantRequest, record: _Record
 ) -> messages.GrantResponse | None:
-    if record.phase in (_Phase.RETURNED, _Phase.LAPSED):
-        return _refusal(ask.grant_id, RETURNED)
-    return record.answer
+    if record.phase in (_Phase.RETURNED, _Phase.EXPIRED):
+        return _refusal(request.grant_id, RETURNED)
+    return record.response
 
 
 def _refusal(grant_id: int, code: str) -> messages.GrantResponse:
--- a/hornbeamglade/exchange/hashednames.py
+++ b/hornbeamglade/exchange/hashednames.py
@@ -1,4 +1,4 @@
-"""Names by the hashes under which messages carry them."""
+"""Lookup of names by the hashes that messages carry."""
 
 import collections.abc
 
@@ -6,13 +6,13 @@
 
 
 class HashedNames:
-    """Finds the name of a hash among the names that are configured now.
+    """Finds the name for a hash among the currently configured names.
 
     Explanation
     ===========
 
-    Read from the receiver's thread while another replaces the names: the mapping
-    is replaced as a whole and never changed.
+    The receiver thread reads while another thread replaces the names, so the mapping
+    is replaced as a whole and never modified.
 
     Examples
     ========
@@ -29,13 +29,13 @@
         self._name_by_hash: dict[int, str] = {}
 
     def replace(self, names: collections.abc.Iterable[str]) -> None:
-        """Take the names of a new revision."""
+        """Set the names of a new revision."""
         self._name_by_hash = {messages.key_hash(name): name for name in names}
 
     def find(self, name_hash: int) -> str | None:
-        """Return the name with this hash, or None when it is not configured.
+        """Return the name with this hash, or None if it is not configured.
 
-        :param name_hash: as made by :func:`messages.key_hash
+        :param name_hash: as returned by :func:`messages.key_hash
             <hornbeamglade.exchange.messages.key_hash>`.
         """
         return self._name_by_hash.get(name_hash)
--- a/hornbeamglade/exchange/messages.py
+++ b/hornbeamglade/exchange/messages.py
@@ -3,10 +3,10 @@
 Explanation
 ===========
 
-No Cap'n Proto object leaves :mod:`hornbeamglade.exchange.codec`; the decisions
-see only these classes. Replicas, services, teams and third nodes are named by
-:func:`key_hash`, eight bytes each, since heartbeats and asks must stay small at
-hundreds of nodes; the recipient finds the names in its configuration
+No Cap'n Proto object leaves :mod:`hornbeamglade.exchange.codec`; all other modules
+use only these classes. Replicas, services, teams and third nodes are identified by
+:func:`key_hash`, eight bytes each, since heartbeats and grant requests must stay small with
+hundreds of nodes; the recipient looks up the names in its configuration
 (:mod:`hornbeamglade.exchange.hashednames`).
 """
 
@@ -17,22 +17,22 @@
 from hornbeamglade.replicas import evacuations as evacuationlib
 
 MAX_NAME_BYTES = 64
-# A heartbeat at all its bounds fits one datagram.
+# A heartbeat in which all lists have their maximum length fits one datagram.
 MAX_REPLICAS = 24
 MAX_DEMANDS = 12
 MAX_MEMBERSHIP_UPDATES = 8
 MAX_AVOIDED = 8
+# Failure domains in one evacuation state, and total bytes of their names.
 MAX_EVACUATED = 7
 MAX_EVACUATED_BYTES = 56
 MAX_REPORTED_CRASHES = 32
 MAX_QUARANTINED = 64
-"""Failure domains in one state of the evacuations, and bytes of all their names."""
 
-# Demands change slowly and are half of a heartbeat's bytes.
+# Demands change slowly and make up half of a heartbeat's bytes.
 DEMANDS_INTERVAL_BEATS = 4
 IDENTITY_INTERVAL_BEATS = 4
 
-# As many grants of the larger kind still fit one datagram.
+# This many grants of the larger kind still fit one datagram.
 MAX_PROGRESS = 48
 MAX_CHUNKS = 512
 MAX_CHUNK_BYTES = 1000
@@ -40,13 +40,13 @@
 
 
 def key_hash(name: str) -> int:
-    """Return the 64-bit hash by which heartbeats name a replica, team or node.
+    """Return the 64-bit hash that identifies a replica, team or node in messages.
 
     Explanation
     ===========
 
-    Among 10,000 names two share a hash with a probability of about 3e-12; the
-    effect would be a misread load figure, or an ask counted for another team.
+    Among 10,000 names two share a hash with a probability of about 3e-12; the effect
+    would be a misattributed load figure, or a grant request counted for another team.
 
     Examples
     ========
@@ -60,7 +60,7 @@
 
 
 class NodeState(enum.IntEnum):
-    """What a message says of a node."""
+    """State of a node as stated in a message."""
 
     LIVE = 0
     SUSPECT = 1
@@ -69,7 +69,7 @@
 
 
 class GrantKind(enum.IntEnum):
-    """How the owner of a replica answered an ask."""
+    """Response of the owner of a replica to a grant request."""
 
     GRANTED = 0
     QUEUED = 1
@@ -81,11 +81,11 @@
     """An owner's summary of one of its replicas.
 
     :param replica: :func:`key_hash` of the replica's name.
-    :param room_tokens: tokens of memory that the owner would still admit.
-    :param queued: requests in its owner's queue that a newcomer stands behind.
-    :param expected_wait_ms: milliseconds that a request asked for now would queue.
+    :param room_tokens: tokens of memory that the owner would still admit; its headroom.
+    :param queued: requests in its owner's queue ahead of a new request.
+    :param expected_wait_ms: milliseconds that a new request would queue.
     :param leaving: the replica takes no new work.
-    :param ejected: the owner holds it for failing.
+    :param ejected: the owner has ejected it as an outlier.
     """
 
     replica: int
@@ -98,11 +98,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TeamDemand:
-    """The sending node's part of one team's limit, in 1/10,000 of the limit.
+    """The sender's share of and demand for one team's limit, in 1/10,000 of the limit.
 
     :param team: :func:`key_hash` of the team's name.
-    :param share: what the node may use, or uses if that is more.
-    :param demand: what it would use if it could; may exceed 10,000.
+    :param share: what the node may use, or what it uses if that is more.
+    :param demand: what it would use without the limit; may exceed 10,000.
     """
 
     team: int
@@ -112,12 +112,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembershipUpdate:
-    """What the sender has heard of a third node.
+    """Information that the sender passes on about a third node.
 
     :param node: :func:`key_hash` of the node's name.
-    :param incarnation: the incarnation that it is about.
-    :param refutation: the newest refutation of that incarnation that the author knew.
-    :param state: the state that the author believes.
+    :param incarnation: the incarnation of the node that the update describes.
+    :param refutation: the newest refutation of that incarnation known to the originator.
+    :param state: the state that the originator believes.
     """
 
     node: int
@@ -128,27 +128,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A node's sign of life; name and incarnation are in the envelope.
+    """Periodic announcement of a node; its name and incarnation are in the envelope.
 
     :param state: ``LIVE`` or ``LEAVING``.
-    :param beat: grows with every round of heartbeats of this incarnation.
-    :param config_revision: the configuration revision in force at the sender.
-    :param failure_domain: where the sender stands.
+    :param beat: increases with every round of heartbeats of this incarnation.
+    :param config_revision: the configuration revision active at the sender.
+    :param failure_domain: the sender's failure domain.
     :param address: ``ip:port`` for callers.
-    :param exchange: ``ip:port`` (UDP) for other nodes; where it is empty, the other
-        two are as well, and the recipient keeps what it was told before.
-    :param wants_answer: the sender has not heard from the recipient lately and
-        grantrequests for a heartbeat in return.
-    :param replicas: digests of the replicas that the sender owns.
+    :param exchange: ``ip:port`` (UDP) for other nodes; if it is empty, ``failure_domain`` and
+        ``address`` are as well, and the recipient keeps the values it received before.
+    :param wants_answer: the sender has not received a message from the recipient lately and
+        requests a heartbeat in return.
+    :param replicas: digests of the replicas owned by the sender.
     :param demands: teams, :data:`MAX_DEMANDS` at most, in each beat that
         :data:`DEMANDS_INTERVAL_BEATS` divides; none in the others.
     :param updates: recent changes of state of other nodes.
-    :param refutation: grows each time the sender hears that it is held for dead.
+    :param refutation: increases each time the sender learns that it is considered failed.
     :param list_version: the version of the platform's list of replicas that the sender
         has, or 0.
     :param evacuations: the evacuated failure domains as the sender knows them.
-    :param quarantine_digest: of the requests that the sender refuses since they crash
-        replicas, or 0 for none.
+    :param quarantine_digest: digest of the quarantined requests, which the sender refuses
+        because they crash replicas, or 0 for none.
     """
 
     state: NodeState
@@ -169,25 +169,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantRequest:
-    """A request to the owner of a replica for leave to send one request to it.
+    """A request to the owner of a replica for permission to send one request to it.
 
-    :param grant_id: unique among the asks of the sender's incarnation; from 1.
+    :param grant_id: unique within the sender's incarnation; from 1.
     :param replica: :func:`key_hash` of the replica's name.
     :param service: :func:`key_hash` of the service's name.
     :param team: :func:`key_hash` of the team's name.
     :param priority: larger is more urgent.
     :param prompt_tokens: estimated tokens of the prompt.
-    :param max_tokens: the caller's bound on the answer, or None.
-    :param weight: the team's share when the owner divides a crowded replica.
+    :param max_tokens: the caller's limit on the generated tokens, or None.
+    :param weight: the team's weight when the owner divides an overloaded replica.
     :param deadline_ms: milliseconds that the request may still queue.
-    :param produced: tokens of the answer that a run has already, which is to go on at
+    :param produced: tokens already produced by a generation that is to continue at
         this replica; 0 for a new one.
-    :param allow_other: another replica of the same service that the owner admits to will do.
-    :param avoid: :func:`key_hash` of the names of replicas that will not do, at most
+    :param allow_other: the owner may admit the request to another replica of the same service.
+    :param avoid: :func:`key_hash` of the names of replicas that must not be chosen, at most
         :data:`MAX_AVOIDED`.
-    :param due_ms: milliseconds until it must start to be on time; 0 for one that is late,
-        None without an aim.
-    :param immediate: whether it may only start now: it is refused rather than queued.
+    :param due_ms: milliseconds until it must start to meet its objective; 0 if it is
+        late, None without an objective.
+    :param immediate: whether it must start now: it is refused rather than queued.
     """
 
     grant_id: int
@@ -208,15 +208,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantResponse:
-    """The owner's answer to an ask.
-
-    :param grant_id: the number of the ask; the grant goes by it too.
-    :param kind: granted, queued (another answer follows) or refused.
-    :param code: why it was refused; else empty.
-    :param retry_after_ms: milliseconds until asking again makes sense, or 0.
-    :param incarnation: the asker's incarnation, which the grant server fills in.
-    :param replica: :func:`key_hash` of the name of the replica that is meant, where it may
-        be another than the one asked for; else 0.
+    """The owner's response to a grant request.
+
+    :param grant_id: identifies the request, and the grant if it is granted.
+    :param kind: granted, queued (another response follows) or refused.
+    :param code: the reason for a refusal; else empty.
+    :param retry_after_ms: milliseconds after which a retry makes sense, or 0.
+    :param incarnation: the requester's incarnation, filled in by the grant server.
+    :param replica: :func:`key_hash` of the name of the replica granted, if it may differ
+        from the one requested; else 0.
     """
 
     grant_id: int
@@ -229,12 +229,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantProgress:
-    """How far one granted request has come.
+    """Progress of one granted request.
 
-    :param grant_id: the number of the ask that was granted.
+    :param grant_id: the identifier of the grant.
     :param replica: :func:`key_hash` of the replica's name, for an owner that did not
         admit the request.
-    :param produced: tokens of the answer so far.
+    :param produced: tokens produced so far.
     """
 
     grant_id: int
@@ -244,10 +244,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantRelease:
-    """A grant is returned, or an ask given up: finished, failed or abandoned.
+    """Release of a grant or grant request: finished, failed or abandoned.
 
-    :param grant_id: the number of the ask.
-    :param produced: tokens of the answer, 0 for none.
+    :param grant_id: the identifier of the grant request.
+    :param produced: tokens produced, 0 for none.
     """
 
     grant_id: int
@@ -256,14 +256,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """News of the sender's grants of one owner, :data:`MAX_PROGRESS` at most."""
+    """Progress and releases of the sender's grants of one owner, at most :data:`MAX_PROGRESS`."""
 
     running: tuple[GrantProgress, ...] = ()
     released: tuple[GrantRelease, ...] = ()
 
 
 class MigrationSlotKind(enum.IntEnum):
-    """What a message says of a run's turn to leave a replica."""
+    """Kind of a migration slot message."""
 
     REQUEST = 0
     GRANT = 1
@@ -273,12 +273,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MigrationSlot:
-    """The order in which runs leave a replica that is about to stop.
+    """Coordinates the order in which generations leave a replica that is about to stop.
 
-    :param kind: asked by a run's node; given, or put off, by the replica's owner; done with.
+    :param kind: requested or released by the generation's node; granted or postponed by the
+        replica's owner.
     :param replica: :func:`key_hash` of the replica's name.
     :param run: :func:`key_hash` of the request's id.
-    :param tokens: memory that the run holds, as its node asks.
+    :param tokens: memory that the generation occupies, as stated by its node in a request.
     """
 
     kind: MigrationSlotKind
@@ -288,7 +289,7 @@
 
 
 class Subject(enum.IntEnum):
-    """What nodes read from one another when the platform's store turns them away."""
+    """Documents that nodes fetch from peers when the platform's store refuses them."""
 
     CONFIGURATION = 0
     REPLICAS = 1
@@ -296,11 +297,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionAnnouncement:
-    """What the sender has of the platform's store; the recipient reads what is newer.
+    """Versions that the sender has of the store's documents; the recipient fetches newer ones.
 
     :param revision: the configuration's revision.
     :param list_version: the version of the list of replicas, or 0.
-    :param is_reached: whether the store answers the sender.
+    :param is_reached: whether the sender reaches the store.
     :param evacuations: the evacuated failure domains.
     """
 
@@ -312,12 +313,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkRequest:
-    """Ask a peer for one chunk of a configuration document.
+    """Request to a peer for one chunk of a document.
 
-    :param revision: the revision wanted.
-    :param chunk: the chunk wanted, from 0.
-    :param subject: which document is meant.
-    :param since: the revision or position that the sender has: what has changed since will do.
+    :param revision: the requested revision.
+    :param chunk: the number of the requested chunk, from 0.
+    :param subject: the requested document.
+    :param since: the revision or position that the sender has: only later changes are needed.
     """
 
     revision: int
@@ -328,14 +329,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DocumentChunk:
-    """One chunk of a configuration document.
+    """One chunk of a document.
 
     :param revision: the revision of the document.
     :param digest: SHA-256 of the whole document.
-    :param chunk: the place of this chunk, from 0.
-    :param chunks: how many chunks the document has.
+    :param chunk: the number of this chunk, from 0.
+    :param chunks: the number of chunks of the document.
     :param content: this chunk's bytes.
-    :param subject: which document it belongs to.
+    :param subject: the document that it belongs to.
     """
 
     revision: int
@@ -348,12 +349,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportedCrash:
-    """A replica's crash under a run of a request.
+    """A crash of a replica during the run of a request.
 
     :param fingerprint: of the request.
     :param replica: :func:`key_hash` of the replica's id.
     :param age_ms: milliseconds since the crash.
-    :param ran_ms: milliseconds from the run's sending to the crash.
+    :param ran_ms: milliseconds from the dispatch of the request to the crash.
     """
 
     fingerprint: int
@@ -364,17 +365,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReport:
-    """Crashes that the sender has seen, :data:`MAX_REPORTED_CRASHES` at most."""
+    """Crashes that the sender has detected, at most :data:`MAX_REPORTED_CRASHES`."""
 
     crashes: tuple[ReportedCrash, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantinedRequest:
-    """A request that the sender refuses since it crashes replicas.
+    """A request that the sender refuses because it crashes replicas.
 
     :param fingerprint: of the request.
-    :param left_s: seconds for which it is still refused.
+    :param left_s: seconds until the refusal ends.
     """
 
     fingerprint: int
@@ -383,20 +384,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantineNotice:
-    """Requests that the sender refuses, :data:`MAX_QUARANTINED` at most."""
+    """Requests that the sender refuses, at most :data:`MAX_QUARANTINED`."""
 
     requests: tuple[QuarantinedRequest, ...]
 
 
 MAX_INCARNATION = 2**62
-"""Far beyond any time in milliseconds: nobody is raised above it by a word that is wrong."""
+"""Far beyond any time in milliseconds: a wrong message raises no incarnation above it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SupersededIncarnation:
-    """The recipient's frames are dropped: a higher incarnation of it was heard before.
+    """Tells the recipient that its frames are dropped: a higher incarnation of it is known.
 
-    :param incarnation: the highest one known.
+    :param incarnation: the highest known incarnation.
     """
 
     incarnation: int
--- a/hornbeamglade/exchange/transport.py
+++ b/hornbeamglade/exchange/transport.py
@@ -1,11 +1,11 @@
-"""Datagrams between entry nodes over one UDP socket.
+"""Datagram transport between entry nodes over one UDP socket.
 
 Explanation
 ===========
 
-Loss, duplication and reordering are left to the protocols above. A send that
-the machine refuses (no route, full buffer) counts as a lost datagram: nothing
-above could do anything else about it.
+Loss, duplication and reordering are handled by the protocols above. A send that
+the operating system refuses (no route, full buffer) counts as a lost datagram, since the
+protocols above could handle it in no other way.
 """
 
 import abc
@@ -23,9 +23,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Where a node receives datagrams.
+    """The address at which a node receives datagrams.
 
-    :param host: an IPv4 number.
+    :param host: an IPv4 address.
     :param port: a UDP port.
 
     Examples
@@ -40,7 +40,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "Endpoint":
-        """Read ``ip:port``.
+        """Parse ``ip:port``.
 
         :raises CodedError: ``exchange_address_invalid`` for anything else.
         """
@@ -62,8 +62,8 @@
 class Peer:
     """A node to send to.
 
-    :param name: the node's name, which the frame is bound to.
-    :param endpoint: where it receives.
+    :param name: the node's name, to which the frame is bound.
+    :param endpoint: its endpoint.
     """
 
     name: str
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Traffic:
-    """What a transport has carried since its start; bytes of UDP payload."""
+    """Traffic of a transport since its start, in messages and bytes of UDP payload."""
 
     bytes_in: int = 0
     bytes_out: int = 0
@@ -83,7 +83,7 @@
 
 
 class Transport(abc.ABC):
-    """Sends one message to one node, with no promise that it arrives."""
+    """Sends a message to a node, without guaranteed delivery."""
 
     @abc.abstractmethod
     def send(self, peer: Peer, message: messages.Message) -> None:
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TrafficCounters:
-    """What a transport of an event loop has carried since its start."""
+    """Traffic counters of an event loop's transport since its start."""
 
     bytes_in: int = 0
     bytes_out: int = 0
@@ -109,13 +109,13 @@
     """One UDP socket and the thread that receives from it."""
 
     def __init__(self, endpoint: Endpoint, frames: codec.Codec, handler: MessageHandler) -> None:
-        """Bind the socket; nothing is received before :meth:`start`.
+        """Bind the socket; receiving begins with :meth:`start`.
 
-        :param endpoint: where to receive; port 0 takes a free port.
+        :param endpoint: the endpoint to bind; port 0 selects a free port.
         :param frames: this node's codec.
         :param handler: called on the receiver thread with each message, its
             sender and the endpoint it came from; it must not block.
-        :raises OSError: when the endpoint cannot be bound.
+        :raises OSError: if the endpoint cannot be bound.
         """
         self._codec = frames
         self._handler = handler
@@ -131,17 +131,17 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """Where this transport receives."""
+        """The endpoint at which this transport receives."""
         host, port = self._socket.getsockname()
         return Endpoint(host, port)
 
     @property
     def traffic(self) -> Traffic:
-        """What was carried so far."""
+        """The traffic so far."""
         return self._traffic
 
     def start(self) -> None:
-        """Begin to receive."""
+        """Start the receiver thread."""
         self._thread.start()
 
     def stop(self) -> None:
@@ -168,7 +168,7 @@
             except TimeoutError:
                 continue
             except OSError:
-                # An earlier datagram met a closed port; the socket is still good.
+                # An earlier datagram was sent to a closed port; the socket remains usable.
                 self._stopping.wait(0.01)
                 continue
             self._receive(frame, Endpoint(*source))
@@ -188,8 +188,8 @@
             self._handler(outcome.message, outcome.sender, source)
         except codederrors.InvariantError:
             raise
-        # A fault in handling one message must not end the receiver thread, which
-        # would show as this node being taken for dead while it serves callers.
+        # An error in handling one message must not end the receiver thread: peers
+        # would consider this node failed while it still serves callers.
         except Exception:
             self._count(handler_failures=1)
 
--- a/hornbeamglade/exchange/wireformat.py
+++ b/hornbeamglade/exchange/wireformat.py
@@ -1,13 +1,13 @@
-"""Conversion between messages and their Cap'n Proto form, with strict bounds.
+"""Conversion between messages and their Cap'n Proto encoding, with strict bounds.
 
 Explanation
 ===========
 
 Each message has a ``_fill`` and a ``_read`` function. Reading checks every
 length before it walks a list and raises ``ValueError`` for anything out of
-bounds; the codec turns that into a dropped frame. Gauges (loads, waits) are
-clipped to their field when written, so that an odd load figure can never keep
-a node from sending its heartbeat.
+bounds; the codec turns that into a dropped frame. Gauges (loads, waiting times) are
+clipped to the range of their field when written, so that an unusual load figure can never
+prevent a node from sending its heartbeat.
 """
 
 import collections.abc
@@ -23,9 +23,9 @@
 
 _MAX_U16 = 2**16 - 1
 _MAX_U32 = 2**32 - 1
-_NO_AIM = _MAX_U32
+_NO_DUE_TIME = _MAX_U32
 
-# pycapnp makes its builder and reader classes at run time.
+# pycapnp creates its builder and reader classes at run time.
 _Builder = typing.Any
 _Reader = typing.Any
 
@@ -33,27 +33,27 @@
 def fill(envelope: _Builder, message: messages.Message) -> None:
     """Write ``message`` into the union of ``envelope``.
 
-    :raises ValueError: when a list or name is longer than its bound.
+    :raises ValueError: if a list or name exceeds its bound.
     """
-    form = _FORM_BY_TYPE[type(message)]
-    form.fill(envelope.init(form.field), message)
+    message_format = _FORMAT_BY_TYPE[type(message)]
+    message_format.fill(envelope.init(message_format.field), message)
 
 
 def read(envelope: _Reader) -> messages.Message:
     """Read the message of ``envelope``.
 
-    :raises ValueError: when anything is out of bounds.
+    :raises ValueError: if anything is out of bounds.
     """
-    form = _FORM_BY_FIELD.get(envelope.which())
-    if form is None:
+    message_format = _FORMAT_BY_FIELD.get(envelope.which())
+    if message_format is None:
         raise ValueError("unknown message")
-    return form.read(getattr(envelope, form.field))
+    return message_format.read(getattr(envelope, message_format.field))
 
 
 def checked_name(name: str) -> str:
-    """Return ``name`` if it is within the bound on names.
+    """Return ``name`` if it does not exceed the bound on names.
 
-    :raises ValueError: when it is too long.
+    :raises ValueError: if it is too long.
     """
     if len(name.encode()) > messages.MAX_NAME_BYTES:
         raise ValueError("name too long")
@@ -110,7 +110,7 @@
     _checked_length(reader.rumours, messages.MAX_MEMBERSHIP_UPDATES)
     state = messages.NodeState(reader.state)
     if state not in (messages.NodeState.LIVE, messages.NodeState.LEAVING):
-        raise ValueError("a node is live or leaving by its own word")
+        raise ValueError("a node can only announce itself as live or leaving")
     return messages.Heartbeat(
         state=state,
         wants_answer=reader.wantsAnswer,
@@ -137,21 +137,21 @@
 
 
 def _fill_evacuations(builder: _Builder, state: evacuations.Evacuations) -> None:
-    # A state that is cut short would end an evacuation; without one the recipient keeps its own.
+    # A truncated state would end an evacuation; without a state the recipient keeps its own.
     name_bytes = sum(len(each.encode()) for each in state.domains)
     is_too_large = len(state.domains) > messages.MAX_EVACUATED
     if not state.is_known or is_too_large or name_bytes > messages.MAX_EVACUATED_BYTES:
         return
-    form = builder.init("evacuations")
-    form.version = state.version
-    form.domains = [checked_name(each) for each in sorted(state.domains)]
+    fields = builder.init("evacuations")
+    fields.version = state.version
+    fields.domains = [checked_name(each) for each in sorted(state.domains)]
 
 
 def _read_evacuations(reader: _Reader) -> evacuations.Evacuations:
-    form = reader.evacuations
-    _checked_length(form.domains, messages.MAX_EVACUATED)
+    fields = reader.evacuations
+    _checked_length(fields.domains, messages.MAX_EVACUATED)
     return evacuations.Evacuations(
-        form.version, frozenset(checked_name(each) for each in form.domains)
+        fields.version, frozenset(checked_name(each) for each in fields.domains)
     )
 
 
@@ -166,14 +166,14 @@
     )
 
 
-def _fill_ask(builder: _Builder, message: messages.GrantRequest) -> None:
+def _fill_grant_request(builder: _Builder, message: messages.GrantRequest) -> None:
     builder.ask = message.grant_id
     builder.replica = message.replica
     builder.service = message.service
     builder.team = message.team
     builder.priority = message.priority
     builder.promptTokens = _clip(message.prompt_tokens)
-    # 0 stands for no bound; a bound of no tokens asks for nothing.
+    # 0 means no limit, as a limit of 0 tokens would request nothing.
     builder.maxTokens = _clip(message.max_tokens or 0)
     builder.weight = message.weight
     builder.deadlineMs = _clip(message.deadline_ms)
@@ -181,16 +181,18 @@
     builder.orOther = message.allow_other
     builder.atOnce = message.immediate
     _checked_length(message.avoid, messages.MAX_AVOIDED)
-    builder.dueMs = _NO_AIM if message.due_ms is None else _clip(message.due_ms, _NO_AIM - 1)
+    builder.dueMs = (
+        _NO_DUE_TIME if message.due_ms is None else _clip(message.due_ms, _NO_DUE_TIME - 1)
+    )
     avoid = builder.init("avoid", len(message.avoid))
-    for place, name_hash in enumerate(message.avoid):
-        avoid[place] = name_hash
+    for position, name_hash in enumerate(message.avoid):
+        avoid[position] = name_hash
 
 
-def _read_ask(reader: _Reader) -> messages.GrantRequest:
+def _read_grant_request(reader: _Reader) -> messages.GrantRequest:
     weight = float(reader.weight)
     if not 0.0 <= weight < float("inf"):
-        raise ValueError("weight is not a finite share")
+        raise ValueError("weight is negative or not finite")
     return messages.GrantRequest(
         grant_id=reader.ask,
         replica=reader.replica,
@@ -204,12 +206,12 @@
         produced=reader.produced,
         allow_other=reader.orOther,
         immediate=reader.atOnce,
-        due_ms=None if reader.dueMs == _NO_AIM else reader.dueMs,
+        due_ms=None if reader.dueMs == _NO_DUE_TIME else reader.dueMs,
         avoid=tuple(reader.avoid)[: messages.MAX_AVOIDED],
     )
 
 
-def _fill_answer(builder: _Builder, message: messages.GrantResponse) -> None:
+def _fill_grant_response(builder: _Builder, message: messages.GrantResponse) -> None:
     builder.ask = message.grant_id
     builder.kind = int(message.kind)
     builder.code = checked_name(message.code)
@@ -218,7 +220,7 @@
     builder.replica = message.replica
 
 
-def _read_answer(reader: _Reader) -> messages.GrantResponse:
+def _read_grant_response(reader: _Reader) -> messages.GrantResponse:
     return messages.GrantResponse(
         grant_id=reader.ask,
         kind=messages.GrantKind(reader.kind),
@@ -232,7 +234,7 @@
 def _fill_progress(builder: _Builder, message: messages.Progress) -> None:
     running, released = message.running, message.released
     _checked_length(running + released, messages.MAX_PROGRESS)
-    # An empty list that is not made costs nothing.
+    # A list that is not initialized takes no space.
     if running:
         for entry, grant in zip(builder.init("running", len(running)), running, strict=True):
             entry.ask = grant.grant_id
@@ -258,14 +260,14 @@
     )
 
 
-def _fill_turn(builder: _Builder, message: messages.MigrationSlot) -> None:
+def _fill_migration_slot(builder: _Builder, message: messages.MigrationSlot) -> None:
     builder.kind = int(message.kind)
     builder.replica = message.replica
     builder.run = message.run
     builder.tokens = _clip(message.tokens)
 
 
-def _read_turn(reader: _Reader) -> messages.MigrationSlot:
+def _read_migration_slot(reader: _Reader) -> messages.MigrationSlot:
     return messages.MigrationSlot(
         messages.MigrationSlotKind(reader.kind), reader.replica, reader.run, reader.tokens
     )
@@ -312,9 +314,9 @@
     content = bytes(reader.content)
     _checked_length(content, messages.MAX_CHUNK_BYTES)
     if len(digest) != messages.DIGEST_BYTES:
-        raise ValueError("digest of a wrong length")
+        raise ValueError("digest has a wrong length")
     if not reader.chunk < reader.chunks <= messages.MAX_CHUNKS:
-        raise ValueError("chunk out of bounds")
+        raise ValueError("chunk number out of bounds")
     subject = messages.Subject(reader.subject)
     return messages.DocumentChunk(
         reader.revision, digest, reader.chunk, reader.chunks, content, subject
@@ -327,7 +329,7 @@
 
 def _read_superseded(reader: _Reader) -> messages.SupersededIncarnation:
     if reader.incarnation > messages.MAX_INCARNATION:
-        raise ValueError("no incarnation")
+        raise ValueError("incarnation out of bounds")
     return messages.SupersededIncarnation(reader.incarnation)
 
 
@@ -367,8 +369,8 @@
     )
 
 
-class _Form(typing.NamedTuple):
-    """How one message is written and read."""
+class _MessageFormat(typing.NamedTuple):
+    """Functions that encode and decode one type of message."""
 
     message_type: type
     field: str
@@ -376,23 +378,29 @@
     read: collections.abc.Callable[[_Reader], messages.Message]
 
 
-_FORMS = (
-    _Form(messages.Heartbeat, "heartbeat", _fill_heartbeat, _read_heartbeat),
-    _Form(messages.GrantRequest, "grantAsk", _fill_ask, _read_ask),
-    _Form(messages.GrantResponse, "grantAnswer", _fill_answer, _read_answer),
-    _Form(messages.Progress, "progress", _fill_progress, _read_progress),
-    _Form(messages.MigrationSlot, "moveTurn", _fill_turn, _read_turn),
-    _Form(
+_FORMATS = (
+    _MessageFormat(messages.Heartbeat, "heartbeat", _fill_heartbeat, _read_heartbeat),
+    _MessageFormat(messages.GrantRequest, "grantAsk", _fill_grant_request, _read_grant_request),
+    _MessageFormat(
+        messages.GrantResponse, "grantAnswer", _fill_grant_response, _read_grant_response
+    ),
+    _MessageFormat(messages.Progress, "progress", _fill_progress, _read_progress),
+    _MessageFormat(messages.MigrationSlot, "moveTurn", _fill_migration_slot, _read_migration_slot),
+    _MessageFormat(
         messages.VersionAnnouncement,
         "configHint",
         _fill_version_announcement,
         _read_version_announcement,
     ),
-    _Form(messages.ChunkRequest, "configAsk", _fill_chunk_request, _read_chunk_request),
-    _Form(messages.DocumentChunk, "configOffer", _fill_document_chunk, _read_document_chunk),
-    _Form(messages.SupersededIncarnation, "outrun", _fill_superseded, _read_superseded),
-    _Form(messages.CrashReport, "crashReport", _fill_crashes, _read_crashes),
-    _Form(messages.QuarantineNotice, "quarantineNotice", _fill_quarantine, _read_quarantine),
+    _MessageFormat(messages.ChunkRequest, "configAsk", _fill_chunk_request, _read_chunk_request),
+    _MessageFormat(
+        messages.DocumentChunk, "configOffer", _fill_document_chunk, _read_document_chunk
+    ),
+    _MessageFormat(messages.SupersededIncarnation, "outrun", _fill_superseded, _read_superseded),
+    _MessageFormat(messages.CrashReport, "crashReport", _fill_crashes, _read_crashes),
+    _MessageFormat(
+        messages.QuarantineNotice, "quarantineNotice", _fill_quarantine, _read_quarantine
+    ),
 )
-_FORM_BY_TYPE = {form.message_type: form for form in _FORMS}
-_FORM_BY_FIELD = {form.field: form for form in _FORMS}
+_FORMAT_BY_TYPE = {message_format.message_type: message_format for message_format in _FORMATS}
+_FORMAT_BY_FIELD = {message_format.field: message_format for message_format in _FORMATS}
--- a/tests/exchange/lossynetwork.py
+++ b/tests/exchange/lossynetwork.py
@@ -1,4 +1,4 @@
-"""A network in virtual time that loses, doubles and reorders messages."""
+"""A network in virtual time that loses, duplicates and reorders messages."""
 
 import dataclasses
 import heapq
@@ -11,9 +11,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Faults:
-    lose: float = 0.0
-    double: float = 0.0
-    longest_delay_s: float = 0.0
+    loss_rate: float = 0.0
+    duplication_rate: float = 0.0
+    max_delay_s: float = 0.0
 
 
 class LossyNetwork:
@@ -22,24 +22,24 @@
         self.faults = faults
         self._rng = rng
         self._handler_by_name = {}
-        self._flights = []
+        self._in_flight = []
         self._sent = 0
 
     def attach(self, name, handler):
         self._handler_by_name[name] = handler
         return _Port(self, name)
 
-    def carry(self, sender, peer, message):
-        if self._rng.random() < self.faults.lose:
+    def send(self, sender, peer, message):
+        if self._rng.random() < self.faults.loss_rate:
             return
-        for _ in range(2 if self._rng.random() < self.faults.double else 1):
+        for _ in range(2 if self._rng.random() < self.faults.duplication_rate else 1):
             self._sent += 1
-            arrives = self.clock.now() + self._rng.uniform(0, self.faults.longest_delay_s)
-            heapq.heappush(self._flights, (arrives, self._sent, sender, peer.name, message))
+            arrives_at = self.clock.now() + self._rng.uniform(0, self.faults.max_delay_s)
+            heapq.heappush(self._in_flight, (arrives_at, self._sent, sender, peer.name, message))
 
     def deliver(self):
-        while self._flights and self._flights[0][0] <= self.clock.now():
-            _, _, sender, name, message = heapq.heappop(self._flights)
+        while self._in_flight and self._in_flight[0][0] <= self.clock.now():
+            _, _, sender, name, message = heapq.heappop(self._in_flight)
             origin = codec.Sender(sender, 1)
             self._handler_by_name[name](message, origin, transport.Endpoint(HOST, 1))
 
@@ -50,30 +50,30 @@
         self._name = name
 
     def send(self, peer, message):
-        self._network.carry(self._name, peer, message)
+        self._network.send(self._name, peer, message)
 
 
 class FakeScheduler(grantserver.GrantScheduler):
-    """Grants up to a bound and queues the rest; refuses when told to."""
+    """Grants up to ``slots`` requests and queues the rest; refuses all if ``refuse`` is set."""
 
     def __init__(self, slots):
         self.slots = slots
-        self.ask_by_key = {}
+        self.request_by_key = {}
         self.granted = set()
         self.queued = []
-        self.granted_ever = []
-        self.lapsed = []
+        self.grant_history = []
+        self.expired = []
         self.adopted = []
         self.refuse = False
 
-    def decide(self, key, ask):
-        self.ask_by_key[key] = ask
+    def decide(self, key, request):
+        self.request_by_key[key] = request
         if self.refuse:
-            return self._answer(key, messages.GrantKind.REFUSED, "queue_full")
+            return self._response(key, messages.GrantKind.REFUSED, "queue_full")
         if len(self.granted) < self.slots:
             return self._grant(key)
         self.queued.append(key)
-        return self._answer(key, messages.GrantKind.QUEUED)
+        return self._response(key, messages.GrantKind.QUEUED)
 
     def progress(self, key, produced):
         pass
@@ -82,7 +82,7 @@
         self._free(key)
 
     def expire(self, key):
-        self.lapsed.append(key)
+        self.expired.append(key)
         self._free(key)
 
     def adopt(self, key, progress):
@@ -96,10 +96,10 @@
 
     def _grant(self, key):
         self.granted.add(key)
-        self.granted_ever.append(key)
-        return self._answer(key, messages.GrantKind.GRANTED)
+        self.grant_history.append(key)
+        return self._response(key, messages.GrantKind.GRANTED)
 
-    def _answer(self, key, kind, code=""):
+    def _response(self, key, kind, code=""):
         return messages.GrantResponse(key.grant_id, kind, code)
 
     def _free(self, key):
@@ -111,6 +111,6 @@
 REPLICA = messages.key_hash("engine-1")
 
 
-def make_ask(grant_id=0, deadline_ms=5000):
+def make_request(grant_id=0, deadline_ms=5000):
     names = (REPLICA, messages.key_hash("chat"), messages.key_hash("clerks"))
     return messages.GrantRequest(grant_id, *names, 0, 10, None, 1.0, deadline_ms)
--- a/tests/exchange/strategies.py
+++ b/tests/exchange/strategies.py
@@ -1,4 +1,4 @@
-"""Strategies that make every kind of message, within its bounds."""
+"""Strategies that generate every kind of message, within its bounds."""
 
 from hypothesis import strategies
 
@@ -39,7 +39,7 @@
     evacuations=_EVACUATIONS,
     quarantine_digest=_U64,
 )
-_ASKS = strategies.builds(
+_GRANT_REQUESTS = strategies.builds(
     messages.GrantRequest,
     grant_id=_U64,
     replica=_U64,
@@ -56,7 +56,7 @@
     due_ms=strategies.none() | strategies.integers(0, 2**32 - 2),
     avoid=strategies.lists(_U64, max_size=messages.MAX_AVOIDED).map(tuple),
 )
-_ANSWERS = strategies.builds(
+_GRANT_RESPONSES = strategies.builds(
     messages.GrantResponse,
     grant_id=_U64,
     kind=strategies.sampled_from(messages.GrantKind),
@@ -72,7 +72,7 @@
     ),
     strategies.lists(strategies.builds(messages.GrantRelease, _U64, _U32), max_size=8).map(tuple),
 )
-_OFFERS = strategies.builds(
+_DOCUMENT_CHUNKS = strategies.builds(
     messages.DocumentChunk,
     revision=_U64,
     digest=strategies.binary(min_size=32, max_size=32),
@@ -81,24 +81,24 @@
     content=_CONTENT,
     subject=strategies.sampled_from(messages.Subject),
 )
-_TURNS = strategies.builds(
+_MIGRATION_SLOTS = strategies.builds(
     messages.MigrationSlot, strategies.sampled_from(messages.MigrationSlotKind), _U64, _U64, _U32
 )
 _CRASHES = strategies.builds(messages.ReportedCrash, _U64, _U64, _U32, _U32)
 _QUARANTINED = strategies.builds(messages.QuarantinedRequest, _U64, _U32)
 MESSAGES = (
     _HEARTBEATS
-    | _ASKS
-    | _ANSWERS
+    | _GRANT_REQUESTS
+    | _GRANT_RESPONSES
     | _PROGRESS
-    | _TURNS
+    | _MIGRATION_SLOTS
     | strategies.builds(
         messages.VersionAnnouncement, _U64, _U64, strategies.booleans(), _EVACUATIONS
     )
     | strategies.builds(
         messages.ChunkRequest, _U64, _U16, strategies.sampled_from(messages.Subject), _U64
     )
-    | _OFFERS
+    | _DOCUMENT_CHUNKS
     | strategies.builds(
         messages.SupersededIncarnation, strategies.integers(0, messages.MAX_INCARNATION)
     )
--- a/tests/exchange/test_codec.py
+++ b/tests/exchange/test_codec.py
@@ -11,19 +11,19 @@
 from tests.exchange import strategies as exchange_strategies
 
 OLD, NEW = b"the site key of last year", b"the site key of this year"
-HINT = messages.VersionAnnouncement(7)
+ANNOUNCEMENT = messages.VersionAnnouncement(7)
 fuzz = hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=150)
 
 
-def make(name, secret=OLD, incarnation=1, clock=None):
+def make_codec(name, secret=OLD, incarnation=1, clock=None):
     ring = codec.KeyRing(1, {1: secret})
     return codec.Codec(name, incarnation, ring, clock or clocks.ManualClock(1000.0))
 
 
 @fuzz
 @hypothesis.given(exchange_strategies.MESSAGES)
-def test_every_message_survives_the_wire(message):
-    assert make("b").decode(make("a").encode("b", message)) == codec.Decoded(
+def test_every_message_is_decoded_as_encoded(message):
+    assert make_codec("b").decode(make_codec("a").encode("b", message)) == codec.Decoded(
         message, codec.Sender("a", 1)
     )
 
@@ -31,79 +31,85 @@
 @fuzz
 @hypothesis.given(strategies.binary(max_size=1600))
 def test_random_bytes_are_dropped(frame):
-    assert isinstance(make("b").decode(frame), codec.Dropped)
+    assert isinstance(make_codec("b").decode(frame), codec.Dropped)
 
 
 @fuzz
 @hypothesis.given(strategies.binary(max_size=1300))
 def test_garbage_under_a_valid_key_is_dropped(body):
-    # A node of the site with a fault signs what is no envelope. Without the
-    # catch-all the receiver thread would end and the node fall silent.
-    header = make("a").encode("b", HINT)[:6]
+    # A faulty node of the site signs bytes that are no envelope. Without the
+    # catch-all the receiver thread would end and the node would stop responding.
+    header = make_codec("a").encode("b", ANNOUNCEMENT)[:6]
     tag = hmac.digest(OLD, header + b"\0\0\0\x01b" + body, hashlib.sha256)[:16]
-    outcome = make("b").decode(header + tag + body)
+    outcome = make_codec("b").decode(header + tag + body)
     assert outcome in (codec.Dropped(codec.MALFORMED), codec.Dropped(codec.TRUNCATED))
 
 
 @fuzz
 @hypothesis.given(exchange_strategies.MESSAGES, strategies.data())
 def test_a_flipped_bit_is_dropped(message, data):
-    frame = bytearray(make("a").encode("b", message))
+    frame = bytearray(make_codec("a").encode("b", message))
     place = data.draw(strategies.integers(0, len(frame) * 8 - 1))
     frame[place // 8] ^= 1 << place % 8
-    assert isinstance(make("b").decode(bytes(frame)), codec.Dropped)
+    assert isinstance(make_codec("b").decode(bytes(frame)), codec.Dropped)
 
 
 @fuzz
 @hypothesis.given(exchange_strategies.MESSAGES, strategies.data())
 def test_a_truncated_frame_is_dropped(message, data):
-    frame = make("a").encode("b", message)
+    frame = make_codec("a").encode("b", message)
     length = data.draw(strategies.integers(0, len(frame) - 1))
-    assert isinstance(make("b").decode(frame[:length]), codec.Dropped)
+    assert isinstance(make_codec("b").decode(frame[:length]), codec.Dropped)
 
 
 def test_an_oversized_frame_is_dropped_and_counted():
-    receiver = make("b")
+    receiver = make_codec("b")
     assert receiver.decode(b"\x01" * 1401) == codec.Dropped(codec.OVERSIZED)
     assert receiver.dropped_by_reason == {codec.OVERSIZED: 1}
 
 
-def test_a_strangers_key_is_dropped():
-    assert make("b").decode(make("a", NEW).encode("b", HINT)) == codec.Dropped(codec.FORGED)
+def test_a_frame_under_an_unknown_key_is_dropped():
+    assert make_codec("b").decode(make_codec("a", NEW).encode("b", ANNOUNCEMENT)) == codec.Dropped(
+        codec.FORGED
+    )
 
 
 def test_a_frame_for_another_node_is_dropped():
-    assert make("b").decode(make("a").encode("c", HINT)) == codec.Dropped(codec.NOT_FOR_US)
+    assert make_codec("b").decode(make_codec("a").encode("c", ANNOUNCEMENT)) == codec.Dropped(
+        codec.NOT_FOR_US
+    )
 
 
 def test_a_frame_is_bound_to_the_whole_name_of_its_recipient(monkeypatch):
-    # Two nodes' names have the same short hash; a frame for the one, recorded and
-    # played to the other, would be taken as said to it.
-    monkeypatch.setattr(codec, "_mark", lambda name: b"same")
-    assert make("b").decode(make("a").encode("c", HINT)) == codec.Dropped(codec.FORGED)
+    # The names of two nodes have the same short hash; a frame for one of them, recorded and
+    # replayed to the other, would be accepted there.
+    monkeypatch.setattr(codec, "_recipient_hash", lambda name: b"same")
+    assert make_codec("b").decode(make_codec("a").encode("c", ANNOUNCEMENT)) == codec.Dropped(
+        codec.FORGED
+    )
 
 
-def test_both_keys_are_taken_during_a_rotation_and_the_old_one_not_after():
-    receiver = make("b")
+def test_both_keys_are_accepted_during_a_rotation_and_only_the_new_one_after():
+    receiver = make_codec("b")
     receiver.use_keys(codec.KeyRing(2, {1: OLD, 2: NEW}))
-    sender = make("a")
-    assert isinstance(receiver.decode(sender.encode("b", HINT)), codec.Decoded)
+    sender = make_codec("a")
+    assert isinstance(receiver.decode(sender.encode("b", ANNOUNCEMENT)), codec.Decoded)
     sender.use_keys(codec.KeyRing(2, {1: OLD, 2: NEW}))
-    assert isinstance(receiver.decode(sender.encode("b", HINT)), codec.Decoded)
+    assert isinstance(receiver.decode(sender.encode("b", ANNOUNCEMENT)), codec.Decoded)
     receiver.use_keys(codec.KeyRing(2, {2: NEW}))
     sender.use_keys(codec.KeyRing(1, {1: OLD}))
-    assert receiver.decode(sender.encode("b", HINT)) == codec.Dropped(codec.UNKNOWN_KEY)
+    assert receiver.decode(sender.encode("b", ANNOUNCEMENT)) == codec.Dropped(codec.UNKNOWN_KEY)
 
 
-def test_a_message_beyond_a_datagram_is_refused_at_the_sender():
+def test_a_message_larger_than_a_datagram_is_refused_at_the_sender():
     with pytest.raises(codederrors.CodedError, match="exchange_message_too_large"):
-        make("a").encode("b", messages.DocumentChunk(1, b"d" * 32, 0, 1, b"x" * 1001))
+        make_codec("a").encode("b", messages.DocumentChunk(1, b"d" * 32, 0, 1, b"x" * 1001))
 
 
-def test_a_load_figure_out_of_range_is_clipped_and_the_heartbeat_goes_out():
+def test_a_load_figure_out_of_range_is_clipped_and_the_heartbeat_is_sent():
     digest = messages.ReplicaDigest(1, room_tokens=-5, queued=10**9, expected_wait_ms=10**12)
     beat = messages.Heartbeat(messages.NodeState.LIVE, 1, 1, "d", "", "", replicas=(digest,))
-    received = make("b").decode(make("a").encode("b", beat)).message.replicas[0]
+    received = make_codec("b").decode(make_codec("a").encode("b", beat)).message.replicas[0]
     assert (received.room_tokens, received.queued) == (0, 2**16 - 1)
 
 
@@ -112,9 +118,9 @@
         codec.KeyRing(1, {1: b"short"})
 
 
-def test_a_heartbeat_at_all_its_bounds_fits_a_datagram():
-    # A node that has become the owner of very many replicas fills its heartbeat. If
-    # that did not fit, it would fall silent just when all depends on it.
+def test_a_heartbeat_of_maximum_size_fits_a_datagram():
+    # A node that owns very many replicas fills its heartbeat. If that did not fit a
+    # datagram, its heartbeats would stop when other nodes depend on it most.
     most, name = 2**32 - 1, "n" * messages.MAX_NAME_BYTES
     digest = messages.ReplicaDigest(2**64 - 3, most, 2**16 - 1, most, True, True)
     demand = messages.TeamDemand(2**64 - 3, 2**16 - 1, 2**16 - 1)
@@ -135,47 +141,53 @@
             2**64 - 3, frozenset(str(n) * 8 for n in range(messages.MAX_EVACUATED))
         ),
     )
-    frame = make(name, incarnation=2**63).encode(name, beat)
-    assert make(name).decode(frame).message == beat
+    frame = make_codec(name, incarnation=2**63).encode(name, beat)
+    assert make_codec(name).decode(frame).message == beat
 
 
 @pytest.mark.parametrize("running", [0, 20, messages.MAX_PROGRESS])
-def test_a_report_at_all_its_bounds_fits_a_datagram(running):
-    # A node with very many grants of one owner reports them. If the report did not
-    # fit, it would never leave, and all these grants would lapse.
+def test_a_progress_report_of_maximum_size_fits_a_datagram(running):
+    # A node reports very many grants of one owner. If the report did not fit a
+    # datagram, it would never be sent, and all these grants would expire.
     most, name = 2**64 - 3, "n" * messages.MAX_NAME_BYTES
     released = messages.MAX_PROGRESS - running
     report = messages.Progress(
         (messages.GrantProgress(most, most, 2**32 - 1),) * running,
         (messages.GrantRelease(most, 2**32 - 1),) * released,
     )
-    frame = make(name, incarnation=2**63).encode(name, report)
-    assert make(name).decode(frame).message == report
+    frame = make_codec(name, incarnation=2**63).encode(name, report)
+    assert make_codec(name).decode(frame).message == report
 
 
-def test_node_that_was_outrun_is_named_and_heard_once_it_has_risen():
-    """A node starts again while its time of day is behind that of its start before.
+def test_node_with_a_superseded_incarnation_is_notified_and_accepted_after_raising_it():
+    """A node restarts after its wall clock was set back.
 
-    Its incarnation is the lower one, and everyone who knew it dropped all that it sent.
+    Its new incarnation is lower, and all peers that knew the former one dropped its frames.
     """
-    peer, former, again = make("b"), make("a", incarnation=9), make("a", incarnation=4)
-    peer.decode(former.encode("b", HINT))
-    dropped = peer.decode(again.encode("b", HINT))
+    peer, former, again = (
+        make_codec("b"),
+        make_codec("a", incarnation=9),
+        make_codec("a", incarnation=4),
+    )
+    peer.decode(former.encode("b", ANNOUNCEMENT))
+    dropped = peer.decode(again.encode("b", ANNOUNCEMENT))
     assert dropped.superseded_by == codec.Sender("a", 9)
     assert again.raise_incarnation_above(9) == 10
-    assert peer.decode(again.encode("b", HINT)) == codec.Decoded(HINT, codec.Sender("a", 10))
+    assert peer.decode(again.encode("b", ANNOUNCEMENT)) == codec.Decoded(
+        ANNOUNCEMENT, codec.Sender("a", 10)
+    )
 
 
-def test_late_frame_of_a_former_run_raises_nobody():
-    assert make("a", incarnation=9).raise_incarnation_above(9) == 9
+def test_late_frame_of_a_former_incarnation_raises_no_incarnation():
+    assert make_codec("a", incarnation=9).raise_incarnation_above(9) == 9
 
 
 @pytest.mark.parametrize(
     "domains", [[str(n) for n in range(messages.MAX_EVACUATED + 1)], ["a" * 57]]
 )
-def test_evacuations_that_are_too_large_are_not_told_in_part(domains):
-    """Cut short, a state would end the evacuations that it leaves out."""
+def test_evacuations_that_are_too_large_are_not_sent_in_part(domains):
+    """A truncated state would end the evacuations that it omits."""
     state = evacuations.Evacuations(4, frozenset(domains))
-    sender, recipient = make("a"), make("b")
+    sender, recipient = make_codec("a"), make_codec("b")
     frame = sender.encode("b", messages.VersionAnnouncement(7, 3, True, state))
     assert recipient.decode(frame).message == messages.VersionAnnouncement(7, 3, True)
--- a/tests/exchange/test_grantclient.py
+++ b/tests/exchange/test_grantclient.py
@@ -9,7 +9,7 @@
 
 
 class ScriptedOwner(transport.Transport):
-    """Answers each ask with the next kind of its script, on another thread."""
+    """Answers each grant request with the next kind of its script, on another thread."""
 
     def __init__(self, *script):
         self.script = list(script)
@@ -21,45 +21,48 @@
             self.released += [grant.grant_id for grant in message.released]
         elif self.script:
             kind = self.script.pop(0)
-            answer = messages.GrantResponse(message.grant_id, kind, incarnation=1)
+            response = messages.GrantResponse(message.grant_id, kind, incarnation=1)
             threading.Thread(
                 target=self.client.on_response,
-                args=(answer, codec.Sender(peer.name, 1), peer.endpoint),
+                args=(response, codec.Sender(peer.name, 1), peer.endpoint),
             ).start()
 
 
-def test_a_grant_wakes_the_asking_thread_and_is_returned_once_closed():
+def test_a_grant_wakes_the_requesting_thread_and_is_released_once_when_closed():
     owner = ScriptedOwner(KIND.GRANTED)
-    answer = owner.client.request_grant(OWNER, lossynetwork.make_ask())
-    assert answer.kind is KIND.GRANTED
+    response = owner.client.request_grant(OWNER, lossynetwork.make_request())
+    assert response.kind is KIND.GRANTED
     assert owner.released == []
-    owner.client.close(answer.grant_id)
-    owner.client.close(answer.grant_id)
-    assert owner.released == [answer.grant_id]
+    owner.client.close(response.grant_id)
+    owner.client.close(response.grant_id)
+    assert owner.released == [response.grant_id]
 
 
-def test_a_queued_ask_polls_until_it_is_granted():
+def test_a_queued_request_polls_until_it_is_granted():
     owner = ScriptedOwner(KIND.QUEUED, KIND.GRANTED)
-    assert owner.client.request_grant(OWNER, lossynetwork.make_ask()).kind is KIND.GRANTED
+    assert owner.client.request_grant(OWNER, lossynetwork.make_request()).kind is KIND.GRANTED
 
 
-def test_a_silent_owner_ends_the_ask_and_is_told():
+def test_request_to_an_unresponsive_owner_is_abandoned_and_released():
     owner = ScriptedOwner()
-    assert owner.client.request_grant(OWNER, lossynetwork.make_ask()) == grantrequests.NoResponse(
-        "b"
-    )
+    assert owner.client.request_grant(
+        OWNER, lossynetwork.make_request()
+    ) == grantrequests.NoResponse("b")
     assert owner.released == [1]
 
 
-def test_a_caller_that_leaves_the_queue_frees_its_place():
+def test_request_of_a_disconnected_caller_is_removed_from_the_queue():
     owner = ScriptedOwner(KIND.QUEUED)
-    gone = iter([True, True, False])
-    ask = lossynetwork.make_ask(deadline_ms=60_000)
-    assert owner.client.request_grant(OWNER, ask, wanted=lambda: next(gone, False)) is None
+    is_connected = iter([True, True, False])
+    request = lossynetwork.make_request(deadline_ms=60_000)
+    assert (
+        owner.client.request_grant(OWNER, request, is_wanted=lambda: next(is_connected, False))
+        is None
+    )
     assert owner.released == [1]
 
 
-def test_the_deadline_ends_a_queued_ask():
+def test_the_deadline_ends_a_queued_request():
     owner = ScriptedOwner(KIND.QUEUED)
-    assert owner.client.request_grant(OWNER, lossynetwork.make_ask(deadline_ms=100)) is None
+    assert owner.client.request_grant(OWNER, lossynetwork.make_request(deadline_ms=100)) is None
     assert owner.released == [1]
--- a/tests/exchange/test_grantserver.py
+++ b/tests/exchange/test_grantserver.py
@@ -29,114 +29,114 @@
         self.outbox = Outbox()
         self.server = grantserver.GrantServer(self.scheduler, self.outbox, self.clock)
 
-    def ask(self, number, origin=ORIGIN):
-        self.server.on_request(lossynetwork.make_ask(number), origin, SOURCE)
+    def request(self, number, origin=ORIGIN):
+        self.server.on_request(lossynetwork.make_request(number), origin, SOURCE)
         return self.outbox.sent[-1]
 
     def report(self, number, done, origin=ORIGIN):
         running = messages.GrantProgress(number, lossynetwork.REPLICA, 5)
         released = messages.GrantRelease(number, 5)
-        news = messages.Progress((), (released,)) if done else messages.Progress((running,))
-        self.server.on_progress(news, origin, SOURCE)
+        message = messages.Progress((), (released,)) if done else messages.Progress((running,))
+        self.server.on_progress(message, origin, SOURCE)
 
 
-def test_a_repeated_ask_gets_the_same_answer_and_reaches_the_scheduler_once():
+def test_a_repeated_request_gets_the_same_response_and_reaches_the_scheduler_once():
     owner = Owner()
-    assert owner.ask(1) == owner.ask(1)
-    assert len(owner.scheduler.granted_ever) == 1
+    assert owner.request(1) == owner.request(1)
+    assert len(owner.scheduler.grant_history) == 1
 
 
 def test_a_refusal_is_repeated_with_its_code():
     owner = Owner()
     owner.scheduler.refuse = True
-    assert owner.ask(1).code == owner.ask(1).code == "queue_full"
+    assert owner.request(1).code == owner.request(1).code == "queue_full"
 
 
 def test_a_poll_recovers_a_lost_push():
-    # The queued request is granted; the datagram that says so is lost. The caller
-    # would wait for its turn until its deadline while its slot stays idle.
+    # A queued request is granted and the response is lost. The caller would wait
+    # until its deadline while its slot stays idle.
     owner = Owner(slots=0)
-    assert owner.ask(1).kind is KIND.QUEUED
+    assert owner.request(1).kind is KIND.QUEUED
     owner.scheduler.slots = 1
     owner.scheduler.serve(owner.server)
     owner.outbox.sent.clear()
-    assert owner.ask(1).kind is KIND.GRANTED
+    assert owner.request(1).kind is KIND.GRANTED
 
 
-def test_an_ask_that_arrives_after_its_return_is_not_granted():
-    # An asker gave up at once and its return overtook the ask. Granted now, the
-    # slot would be held for nobody.
+def test_a_request_that_arrives_after_its_release_is_not_granted():
+    # A requester abandoned its request, and the release overtook the request. If granted
+    # now, the slot would be reserved but never used.
     owner = Owner()
     owner.report(1, done=True)
-    assert owner.ask(1).code == grantserver.RETURNED
-    assert not owner.scheduler.granted_ever
+    assert owner.request(1).code == grantserver.RETURNED
+    assert not owner.scheduler.grant_history
 
 
-def test_a_return_during_the_decision_frees_what_the_scheduler_gives():
-    # The return arrives on another thread while the scheduler decides. Without the
-    # check afterwards the grant stays until it lapses.
+def test_a_release_during_the_decision_frees_what_the_scheduler_grants():
+    # The release arrives on another thread while the scheduler decides. Without the
+    # check afterwards the grant remains until it expires.
     owner = Owner()
     decide = owner.scheduler.decide
 
-    def ask(key, message):
+    def decide_and_interfere(key, message):
         owner.report(1, done=True)
         return decide(key, message)
 
-    owner.scheduler.decide = ask
-    assert owner.ask(1).code == grantserver.RETURNED
+    owner.scheduler.decide = decide_and_interfere
+    assert owner.request(1).code == grantserver.RETURNED
     assert not owner.scheduler.granted
 
 
-def test_a_push_before_the_queued_answer_is_not_overwritten():
-    # The slot frees on another thread between the scheduler's "queued" and its being
-    # remembered. Overwritten, the polls would be told "queued" for ever.
+def test_a_push_before_the_queued_response_is_not_overwritten():
+    # Another thread frees the slot after the scheduler returned "queued" and before that
+    # response is stored. If it overwrote the grant, polls would receive "queued" forever.
     owner = Owner(slots=0)
     decide = owner.scheduler.decide
 
-    def ask(key, message):
-        answer = decide(key, message)
+    def decide_and_interfere(key, message):
+        response = decide(key, message)
         owner.scheduler.slots = 1
         owner.scheduler.serve(owner.server)
-        return answer
+        return response
 
-    owner.scheduler.decide = ask
-    assert owner.ask(1).kind is KIND.GRANTED
+    owner.scheduler.decide = decide_and_interfere
+    assert owner.request(1).kind is KIND.GRANTED
 
 
-def test_a_push_for_an_ask_that_was_returned_is_not_sent():
+def test_a_push_for_a_released_request_is_not_sent():
     owner = Owner(slots=0)
-    owner.ask(1)
+    owner.request(1)
     owner.report(1, done=True)
     key = grantserver.GrantKey("a", 1, 1)
     assert not owner.server.push(key, messages.GrantResponse(1, KIND.GRANTED))
 
 
-def test_a_silent_holder_loses_its_grant_and_a_reporting_one_keeps_it():
-    # A node is reclaimed with its streams. Its grants would hold the replica's
-    # room for ever.
+def test_a_grant_without_reports_expires_and_a_reported_one_does_not():
+    # An instance is reclaimed while it has streams. Its grants would occupy the
+    # replica's memory forever.
     owner = Owner(slots=2)
-    owner.ask(1, codec.Sender("silent", 1))
-    owner.ask(1)
+    owner.request(1, codec.Sender("silent", 1))
+    owner.request(1)
     for _ in range(5):
         owner.clock.advance(grantrequests.REPORT_INTERVAL_S)
         owner.report(1, done=False)
         owner.server.tick()
     assert owner.scheduler.granted == {grantserver.GrantKey("a", 1, 1)}
-    assert [key.holder for key in owner.scheduler.lapsed] == ["silent"]
+    assert [key.holder for key in owner.scheduler.expired] == ["silent"]
 
 
-def test_a_dead_nodes_grants_lapse_at_once():
+def test_grants_of_a_failed_node_expire_immediately():
     owner = Owner()
-    owner.ask(1)
+    owner.request(1)
     owner.server.expire_holder("a")
     assert not owner.scheduler.granted
 
 
-def test_a_restarted_holders_grants_lapse_at_its_first_ask():
+def test_grants_of_a_restarted_holder_expire_at_its_first_request():
     owner = Owner()
-    owner.ask(1, codec.Sender("a", 1))
-    owner.ask(1, codec.Sender("a", 2))
-    assert [key.incarnation for key in owner.scheduler.lapsed] == [1]
+    owner.request(1, codec.Sender("a", 1))
+    owner.request(1, codec.Sender("a", 2))
+    assert [key.incarnation for key in owner.scheduler.expired] == [1]
 
 
 def test_a_new_owner_adopts_a_running_request_once():
@@ -149,37 +149,37 @@
     assert not owner.scheduler.granted
 
 
-def test_ended_asks_are_forgotten_after_the_bound():
+def test_records_of_ended_requests_are_deleted_after_the_retention_time():
     owner = Owner()
-    owner.ask(1)
+    owner.request(1)
     owner.report(1, done=True)
     owner.clock.advance(grantserver.RECORD_RETENTION_S + 1)
     owner.server.tick()
-    assert owner.ask(1).kind is KIND.GRANTED
+    assert owner.request(1).kind is KIND.GRANTED
 
 
 def test_records_are_bounded(monkeypatch):
     monkeypatch.setattr(grantserver, "MAX_RECORDS", 2)
     owner = Owner()
     for number in (1, 2):
-        owner.ask(number)
-    assert owner.ask(3).code == grantserver.OWNER_FULL
+        owner.request(number)
+    assert owner.request(3).code == grantserver.OWNER_FULL
 
 
 class Site:
-    """One asking node, two owners, and requests that move on when unanswered."""
+    """One requesting node, two owners, and requests that are retried at the other owner."""
 
     def __init__(self, seed, faults):
         self.rng = random.Random(seed)
         self.network = lossynetwork.LossyNetwork(self.rng, faults)
         self.clock = self.network.clock
         self.tracker = grantrequests.GrantTracker(1)
-        self.port = self.network.attach("a", self._answered)
+        self.port = self.network.attach("a", self._on_response)
         self.scheduler_by_owner = {name: lossynetwork.FakeScheduler(2) for name in ("x", "y")}
         self.server_by_owner = {name: self._serve(name) for name in ("x", "y")}
         self.open = {}
         self.held = {}
-        self.request_by_ask = {}
+        self.request_by_grant_id = {}
 
     def _serve(self, name):
         def handle(message, origin, source):
@@ -194,7 +194,7 @@
         port = self.network.attach(name, handle)
         return grantserver.GrantServer(self.scheduler_by_owner[name], port, self.clock)
 
-    def _answered(self, message, origin, source):
+    def _on_response(self, message, origin, source):
         owner = transport.Peer(origin.name, source)
         self.send(self.tracker.on_response(owner, message, self.clock.now()))
 
@@ -202,17 +202,17 @@
         for one in outgoing:
             self.port.send(one.peer, one.message)
 
-    def begin(self, request_id, owner):
-        ask = lossynetwork.make_ask()
-        number = self.tracker.open(transport.Peer(owner, SOURCE), ask, self.clock.now())
-        self.request_by_ask[number] = request_id
+    def begin_request(self, request_id, owner):
+        request = lossynetwork.make_request()
+        number = self.tracker.open(transport.Peer(owner, SOURCE), request, self.clock.now())
+        self.request_by_grant_id[number] = request_id
         self.open[number] = (request_id, owner)
 
     def step(self, seconds=0.05):
         self.clock.advance(seconds)
         self.network.deliver()
         for number, (request_id, owner) in list(self.open.items()):
-            self.send(self.tracker.due(number, self.clock.now()))
+            self.send(self.tracker.advance(number, self.clock.now()))
             self._settle(number, request_id, owner)
         self.send(self.tracker.tick(self.clock.now()))
         for name, server in self.server_by_owner.items():
@@ -228,7 +228,7 @@
             self.held[number] = request_id
             return
         self.send(self.tracker.close(number, self.clock.now()))
-        self.begin(request_id, "y" if owner == "x" else "x")
+        self.begin_request(request_id, "y" if owner == "x" else "x")
 
     def finish(self, number):
         del self.held[number]
@@ -236,22 +236,24 @@
 
     def granted_requests(self):
         return collections.Counter(
-            self.request_by_ask[key.grant_id] if key in scheduler.ask_by_key else "adopted"
+            self.request_by_grant_id[key.grant_id]
+            if key in scheduler.request_by_key
+            else "adopted"
             for scheduler in self.scheduler_by_owner.values()
             for key in scheduler.granted
         )
 
 
-@pytest.mark.parametrize("lose", [0.0, 0.2, 0.5])
+@pytest.mark.parametrize("loss_rate", [0.0, 0.2, 0.5])
 @hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=15)
 @hypothesis.given(seed=strategies.integers(0, 2**32))
-def test_no_request_holds_two_grants_once_a_lossy_network_has_settled(lose, seed):
-    # A grant's answer is lost or late, the caller asks another owner, and both have
-    # granted. Unless the first is returned, or lapses, the replica shows less and
-    # less room until nobody is admitted.
-    site = Site(seed, lossynetwork.Faults(lose, double=0.2, longest_delay_s=0.4))
+def test_no_request_holds_two_grants_after_a_lossy_network_recovers(loss_rate, seed):
+    # A grant response is lost or late, the requester tries another owner, and both have
+    # granted. Unless the first grant is released or expires, the replica's headroom
+    # shrinks until no request is admitted.
+    site = Site(seed, lossynetwork.Faults(loss_rate, duplication_rate=0.2, max_delay_s=0.4))
     for number in range(6):
-        site.begin(f"r{number}", site.rng.choice("xy"))
+        site.begin_request(f"r{number}", site.rng.choice("xy"))
     for _ in range(100):
         site.step()
         if site.held and site.rng.random() < 0.1:
@@ -263,6 +265,6 @@
     assert granted == collections.Counter(site.held.values())
     assert all(count == 1 for count in granted.values())
     keys = [
-        key for scheduler in site.scheduler_by_owner.values() for key in scheduler.granted_ever
+        key for scheduler in site.scheduler_by_owner.values() for key in scheduler.grant_history
     ]
     assert len(keys) == len(set(keys))
--- a/tests/exchange/test_replay.py
+++ b/tests/exchange/test_replay.py
@@ -10,7 +10,7 @@
 
 @hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=100)
 @hypothesis.given(strategies.lists(strategies.integers(1, 3000), max_size=60))
-def test_no_sequence_number_is_taken_twice(sequences):
+def test_no_sequence_number_is_accepted_twice(sequences):
     guard = replay.ReplayGuard()
     taken = [s for s in sequences if guard.admit(stamp(s), 0.0, 100.0) is None]
     assert len(taken) == len(set(taken))
@@ -20,38 +20,38 @@
 
 
 def test_a_lower_incarnation_is_dropped():
-    # A node restarts; a datagram of its former run arrives late. Taken in, it
-    # would show the node's old state, such as leaving, as its present one.
+    # A node restarts; a datagram of its former incarnation arrives late. If accepted, the
+    # node's old state, such as leaving, would be taken for its current one.
     guard = replay.ReplayGuard()
     assert guard.admit(stamp(1, incarnation=5), 0.0, 100.0) is None
     assert guard.admit(stamp(9, incarnation=4), 0.0, 100.0) == replay.OLD_INCARNATION
 
 
-def test_a_recorded_frame_does_not_bring_an_unknown_node_to_life():
-    # A node died an hour ago. Someone plays one of its frames to a node that
-    # started since and has no window for it: the dead node would be asked for
-    # grants.
+def test_a_recorded_frame_does_not_make_a_failed_node_appear_live():
+    # A node failed an hour ago. One of its frames is replayed to a node that
+    # started later and has no window for it: grant requests would be sent to the
+    # failed node.
     guard = replay.ReplayGuard()
     assert guard.admit(stamp(1), 0.0, 100.0 + 3600) == replay.STALE
 
 
-def test_a_known_node_is_heard_across_a_step_of_its_wall_clock():
+def test_a_known_node_is_accepted_after_a_step_of_its_wall_clock():
     guard = replay.ReplayGuard()
     assert guard.admit(stamp(1), 0.0, 100.0) is None
     assert guard.admit(stamp(2, wall_s=5000.0, elapsed_s=0.5), 0.5, 100.5) is None
 
 
-def test_a_frame_long_overtaken_is_dropped():
-    # An ask hangs in the network for a minute. The owner has meanwhile forgotten
-    # that it was given up, and would grant it again to nobody.
+def test_a_frame_that_is_too_late_is_dropped():
+    # A grant request is delayed in the network for a minute. The owner no longer knows that
+    # it was released, and would grant it again although it is not used.
     guard = replay.ReplayGuard()
     assert guard.admit(stamp(2, wall_s=160.0, elapsed_s=60.0), 60.0, 160.0) is None
     assert guard.admit(stamp(1, elapsed_s=0.0), 60.1, 160.1) == replay.STALE
 
 
-def test_a_node_that_came_back_with_a_lower_incarnation_is_heard_after_a_while():
-    # A replaced node keeps its name and its clock is a little behind. Peers that
-    # knew the former run would never hear the new one.
+def test_a_restarted_node_with_a_lower_incarnation_is_accepted_after_the_retention_time():
+    # A replaced node keeps its name and its clock is slightly behind. Peers that
+    # knew the former incarnation would drop the frames of the new one forever.
     guard = replay.ReplayGuard()
     assert guard.admit(stamp(1, incarnation=5), 0.0, 100.0) is None
     later = replay.SENDER_RETENTION_S + 1
@@ -67,7 +67,7 @@
     assert guard.admit(stamp(1, wall_s=100 + later, sender="late"), later, 100 + later) is None
 
 
-def test_fresh_sender_with_a_lower_incarnation_is_to_be_told_now_and_then():
+def test_fresh_sender_with_a_lower_incarnation_is_notified_at_intervals():
     guard = replay.ReplayGuard()
     guard.admit(stamp(1, incarnation=5), 0.0, 100.0)
     late = stamp(1, incarnation=4)
--- a/tests/grants/test_remotescheduler.py
+++ b/tests/grants/test_remotescheduler.py
@@ -38,7 +38,7 @@
 
 def test_a_request_with_name_hashes_reaches_the_scheduler_of_the_replica():
     owner = Owner()
-    assert owner.remote.decide(KEY, lossynetwork.make_ask(1)).kind is not KIND.REFUSED
+    assert owner.remote.decide(KEY, lossynetwork.make_request(1)).kind is not KIND.REFUSED
     assert owner.held_count() == 1
 
 
@@ -48,7 +48,7 @@
     # not. If accepted, the requests would be queued for a team without a name.
     owner = Owner()
     getattr(owner.names, unknown).replace([])
-    answer = owner.remote.decide(KEY, lossynetwork.make_ask(1))
+    answer = owner.remote.decide(KEY, lossynetwork.make_request(1))
     assert (answer.kind, answer.code) == (KIND.REFUSED, grantresponses.NAMES_UNKNOWN)
     assert answer.retry_after_ms > 0
     assert owner.held_count() == 0
@@ -58,7 +58,7 @@
     """Under overload a request asks several owners; it must not be left in all their queues."""
     owner = Owner()
     schedulers = owner.schedulers
-    now = dataclasses.replace(lossynetwork.make_ask(1), immediate=True)
+    now = dataclasses.replace(lossynetwork.make_request(1), immediate=True)
     assert not schedulers.states()["engine-1"].headroom_tokens
     answer = owner.remote.decide(KEY, now)
     assert (answer.kind, answer.code) == (KIND.REFUSED, grantresponses.NO_ROOM_NOW)
@@ -71,13 +71,13 @@
 def test_an_immediate_request_is_told_that_the_owner_has_changed():
     owner = Owner()
     owner.schedulers.set_owned(frozenset())
-    now = dataclasses.replace(lossynetwork.make_ask(1), immediate=True)
+    now = dataclasses.replace(lossynetwork.make_request(1), immediate=True)
     assert owner.remote.decide(KEY, now).code == replicascheduler.OWNER_MOVED
 
 
 def test_a_released_request_frees_its_queue_position():
     owner = Owner()
-    owner.remote.decide(KEY, lossynetwork.make_ask(1))
+    owner.remote.decide(KEY, lossynetwork.make_request(1))
     owner.remote.release(KEY, 0)
     assert owner.held_count() == 0
 
@@ -117,7 +117,9 @@
 
     def request(self, number, **changes):
         key = grantserver.GrantKey("n2", 1, number)
-        request = dataclasses.replace(lossynetwork.make_ask(number), allow_other=True, **changes)
+        request = dataclasses.replace(
+            lossynetwork.make_request(number), allow_other=True, **changes
+        )
         return key, self.remote.decide(key, request)
 
     def running(self):
--- a/tests/membership/test_heartbeats.py
+++ b/tests/membership/test_heartbeats.py
@@ -16,7 +16,7 @@
     """Nodes that exchange heartbeats over a lossy network, in virtual time."""
 
     def __init__(self, nodes, lose=0.0):
-        faults = lossynetwork.Faults(lose, double=lose, longest_delay_s=0.05)
+        faults = lossynetwork.Faults(lose, duplication_rate=lose, max_delay_s=0.05)
         self.network = lossynetwork.LossyNetwork(random.Random(nodes), faults)
         self.names = [f"n{number}" for number in range(nodes)]
         self.silent = set()
@@ -120,7 +120,7 @@
 def test_a_stop_whose_announcement_was_lost_is_learned_from_heartbeats(nodes):
     site = Site(nodes)
     site.run(2)
-    site.network.faults = lossynetwork.Faults(lose=1.0)
+    site.network.faults = lossynetwork.Faults(loss_rate=1.0)
     site.node_by_name["n1"].leave()
     site.network.faults = lossynetwork.Faults()
     site.run(15)
--- a/tests/quarantine/test_requestquarantine.py
+++ b/tests/quarantine/test_requestquarantine.py
@@ -34,7 +34,7 @@
 
     def __init__(self, nodes, lose=0.03):
         self.rng = random.Random(nodes)
-        faults = lossynetwork.Faults(lose, longest_delay_s=0.02)
+        faults = lossynetwork.Faults(lose, max_delay_s=0.02)
         self.network = lossynetwork.LossyNetwork(self.rng, faults)
         self.names = [f"n{number}" for number in range(nodes)]
         self.dead = set()
