--- a/hornbeamglade/entry/enginemonitor.py
+++ b/hornbeamglade/entry/enginemonitor.py
@@ -13,7 +13,7 @@
 from hornbeamglade.routed import runregistry
 
 REPORT_LAG_S = 0.5
-"""Age of an engine's report on arrival, as measured on the operators' engines."""
+"""Age of an engine's report on arrival."""
 
 LIST = "list"
 PEER = "peer"
--- a/hornbeamglade/entry/followerrole.py
+++ b/hornbeamglade/entry/followerrole.py
@@ -79,7 +79,7 @@
         self._notified: tuple[str, ...] = ()
         self._is_chosen = False
         self._starts_at = clock.now() + INTRODUCTION_TIMEOUT_S
-        self._last_announced_at = clock.now()
+        self._follower_last_seen_at = clock.now()
         self._fallback_until = float("-inf")
         self._next_announcement_at = clock.now()
         self._announced: tuple[tuple[int, int], frozenset[str]] = ((0, 0), frozenset())
@@ -93,7 +93,7 @@
     def on_announcement(self, announcement: messages.VersionAnnouncement) -> None:
         """Process an announcement, which shows that a follower reaches the store."""
         if announcement.is_reached:
-            self._last_announced_at = self._clock.now()
+            self._follower_last_seen_at = self._clock.now()
 
     def tick(self, nodes: tuple[str, ...]) -> tuple[OutgoingAnnouncement, ...]:
         """Return the announcements that are due, and update ``is_following``.
@@ -131,10 +131,10 @@
     def _decide(self, now: float) -> None:
         if now < self._starts_at:
             return
-        if now - self._last_announced_at > ANNOUNCEMENT_TIMEOUT_S:
+        if now - self._follower_last_seen_at > ANNOUNCEMENT_TIMEOUT_S:
             self._fallback_until = now + MIN_FALLBACK_S
         if self._is_chosen:
-            self._last_announced_at = now
+            self._follower_last_seen_at = now
         is_following = self._is_chosen or now < self._fallback_until
         if is_following is not self.is_following:
             self.is_following = is_following
--- a/hornbeamglade/entry/registration.py
+++ b/hornbeamglade/entry/registration.py
@@ -11,8 +11,8 @@
 """Pause between attempts until the instance is registered and has read the list once."""
 
 SECOND_READ_S = 2.0
-"""When a whole site starts, its instances write their rows within a second or two of one
-another."""
+"""Pause before the list is read a second time: when a whole site starts, its instances write
+their rows within a second or two of one another."""
 
 LIST_INTERVAL_S = 5.0
 LONG_LIST_INTERVAL_S = 60.0
--- a/hornbeamglade/membership/followers.py
+++ b/hornbeamglade/membership/followers.py
@@ -1,4 +1,4 @@
-"""Selection of the nodes that watch the platform's store on behalf of the others.
+"""Selection of the nodes that follow the platform's store on behalf of the others.
 
 Explanation
 ===========
--- a/hornbeamglade/membership/view.py
+++ b/hornbeamglade/membership/view.py
@@ -121,9 +121,8 @@
 
     The view is read many times a second and changes a few times a second. Only nodes with
     new information are evaluated again; all of them are when silence may have changed the
-    state of one. Evaluating all nodes twenty times a second took 1.1% of a core with 82 nodes
-    and 4.7% with 360; without incoming messages it now takes 0.01% and 0.04% (a loop of ticks
-    on one machine).
+    state of one. Evaluating all nodes twenty times a second would take 1.1% of a core with
+    82 nodes and 4.7% with 360; without incoming messages it takes 0.01% and 0.04%.
 
     Examples
     ========
--- a/hornbeamglade/platform/storeclient.py
+++ b/hornbeamglade/platform/storeclient.py
@@ -1,4 +1,4 @@
-"""Client of the platform's metadata store over HTTP, based on urllib3.
+"""The only client of the platform's metadata store: HTTP calls with urllib3.
 
 Explanation
 ===========
--- a/tests/membership/test_addresses.py
+++ b/tests/membership/test_addresses.py
@@ -27,8 +27,8 @@
 def test_a_leaving_node_is_excluded():
     # Callers cache the address list, so new callers would keep the leaving node from stopping.
     leaving = tuple(member(number, State.LEAVING if number else State.LIVE) for number in range(3))
-    select_addresses = addresses.select_addresses("clerks", leaving, 1.0, rotation=0, ttl_s=30)
-    assert select_addresses == addresses.AddressSelection(("10.0.0.0:80",), 30)
+    selection = addresses.select_addresses("clerks", leaving, 1.0, rotation=0, ttl_s=30)
+    assert selection == addresses.AddressSelection(("10.0.0.0:80",), 30)
 
 
 def test_suspects_and_then_leaving_nodes_are_returned_when_no_node_is_live():
