--- a/hornbeamglade/admission/policies.py
+++ b/hornbeamglade/admission/policies.py
@@ -35,7 +35,7 @@
         """Return the tokens that may still be admitted; negative if memory is overcommitted."""
 
     def fits(self, work: outcomes.Work, now: float) -> bool:
-        """Tell whether the replica should admit ``work`` now."""
+        """Return whether the replica should admit ``work`` now."""
         if self.is_idle():
             return self.can_ever_fit(work)
         if self.is_at_limit():
@@ -59,15 +59,15 @@
         self.ledger.report(view, now)
 
     def can_ever_fit(self, work: outcomes.Work) -> bool:
-        """Tell whether the prompt fits an empty replica."""
+        """Return whether the prompt fits an empty replica."""
         return self.ledger.footprint(work.prompt_tokens) < self.ledger.capacity
 
     def is_idle(self) -> bool:
-        """Tell whether no request is known to run; a margin must not starve an idle replica."""
+        """Return whether no request is known to run; a margin must not starve an idle replica."""
         return not self.ledger.stream_by_id and not self.ledger.other_tokens
 
     def is_at_limit(self) -> bool:
-        """Tell whether the limit on concurrent requests is reached."""
+        """Return whether the limit on concurrent requests is reached."""
         if self._max_running is None:
             return False
         return len(self.ledger.stream_by_id) >= self._max_running
--- a/hornbeamglade/admission/replicaadmission.py
+++ b/hornbeamglade/admission/replicaadmission.py
@@ -97,7 +97,7 @@
         self._held_back = False
 
     def fits(self, work: outcomes.Work, now: float) -> bool:
-        """Tell whether memory suffices at every horizon with ``work`` included."""
+        """Return whether memory suffices at every horizon with ``work`` included."""
         if self.is_idle():
             return self.can_ever_fit(work)
         if self.is_at_limit():
--- a/hornbeamglade/fairness/fairqueue.py
+++ b/hornbeamglade/fairness/fairqueue.py
@@ -205,7 +205,7 @@
         return entry.work
 
     def would_start_next(self, due: float, now: float) -> bool:
-        """Tell whether a request that is offered now would be the next to start.
+        """Return whether a request that is offered now would be the next to start.
 
         :param due: when it must have started to be on time.
         """
@@ -291,7 +291,7 @@
         return None
 
     def _would_miss_deadline(self, entry: flows.Entry, ahead: int, now: float) -> bool:
-        """Tell whether the entry would miss its deadline even at an optimistic service rate."""
+        """Return whether the entry would miss its deadline even at an optimistic service rate."""
         interval_s = self._rate.mean_interval_s
         if interval_s is None:
             return False
--- a/hornbeamglade/fairness/flows.py
+++ b/hornbeamglade/fairness/flows.py
@@ -61,7 +61,7 @@
         return next((entry for entry in self.entries if entry.due > now), self.entries[0])
 
     def is_late(self, now: float) -> bool:
-        """Tell whether none of the entries can still be on time."""
+        """Return whether none of the entries can still be on time."""
         return self.next_entry(now).due <= now
 
     def starved_s(self, now: float) -> float:
--- a/hornbeamglade/grants/asyncgrantacquirer.py
+++ b/hornbeamglade/grants/asyncgrantacquirer.py
@@ -309,7 +309,7 @@
                 queued.cancel()
 
     def _take_search_slot(self, placement: PlacementRequest) -> bool:
-        """Tell whether this waiting request is the next to look for headroom elsewhere."""
+        """Return whether this waiting request is the next to look for headroom elsewhere."""
         now = self._clock.now()
         if self._searchers[0] is not placement or now < self._next_search_at:
             return False
--- a/hornbeamglade/grants/grantacquirer.py
+++ b/hornbeamglade/grants/grantacquirer.py
@@ -146,7 +146,7 @@
         self.grant: Grant | None = None
 
     def keeps_waiting(self) -> bool:
-        """Search once; tell whether the request goes on waiting in its queue."""
+        """Search once; return whether the request goes on waiting in its queue."""
         if self._placement.is_caller_gone():
             return False
         # The first call comes before the owner has responded at all.
@@ -278,7 +278,7 @@
         return None
 
     def is_local(self, replica: str) -> bool:
-        """Tell whether this node owns the replica."""
+        """Return whether this node owns the replica."""
         return self._owners.owner(replica) is None
 
     def release(self, grant: Grant) -> None:
--- a/hornbeamglade/grants/grantresponses.py
+++ b/hornbeamglade/grants/grantresponses.py
@@ -18,8 +18,8 @@
 
 UNOWNED_CODES = frozenset((OWNER_SILENT, NAMES_UNKNOWN, replicascheduler.OWNER_MOVED))
 """Refusals that say nothing about the replica itself: no node admits requests to it at the
-moment. Its owner was killed or is unreachable, or it has just started and has no configuration
-yet. The nodes agree on another owner after about three seconds."""
+moment. The owner was killed, is unreachable, or has just started and has no configuration yet.
+The nodes agree on another owner after about three seconds."""
 
 TEAM_STATUS = 429
 MILLISECONDS_PER_SECOND = 1000
@@ -116,7 +116,7 @@
 
 
 def are_owners_unavailable(refused: list[outcomes.Refusal]) -> bool:
-    """Tell whether every refusal is for want of a node that admits requests to the replica."""
+    """Return whether every refusal is for want of a node that admits requests to the replica."""
     return bool(refused) and all(each.code in UNOWNED_CODES for each in refused)
 
 
--- a/hornbeamglade/grants/migrationslots.py
+++ b/hornbeamglade/grants/migrationslots.py
@@ -60,7 +60,7 @@
 class Slot:
     """A migration slot that is held by a run.
 
-    :param replica: the replica that the run leaves.
+    :param replica: the queue: the replica that the run leaves, or the one that it arrives at.
     :param run: the run.
     """
 
@@ -83,7 +83,7 @@
 
 
 class MigrationSlots:
-    """The slot queues of all replicas that this node owns and that are about to stop."""
+    """The slot queues of the replicas that this node owns and that runs leave or arrive at."""
 
     def __init__(self) -> None:
         self._queue_by_replica: dict[str, _Queue] = {}
--- a/hornbeamglade/grants/ownerbackoff.py
+++ b/hornbeamglade/grants/ownerbackoff.py
@@ -51,7 +51,7 @@
         self._refusals_by_owner: dict[str, _Refusals] = {}
 
     def may_ask(self, owner: str, tokens: int) -> bool:
-        """Tell whether to request a grant of this size from an owner."""
+        """Return whether to request a grant of this size from an owner."""
         refusals = self._refusals_by_owner.get(owner)
         if refusals is None or tokens < refusals.tokens:
             return True
--- a/hornbeamglade/grants/replicascheduler.py
+++ b/hornbeamglade/grants/replicascheduler.py
@@ -321,24 +321,24 @@
         return unsent + tuple(QueueOutcome(each, refusal) for each in queued_ids)
 
     def has_recent_report(self, now: float) -> bool:
-        """Tell whether a valid load report of the replica is known."""
+        """Return whether a valid load report of the replica is known."""
         return self._reported_at is not None and not self._is_silent(now)
 
     def is_report_overdue(self, now: float) -> bool:
-        """Tell whether reports have stopped arriving, or never arrived."""
+        """Return whether reports have stopped arriving, or never arrived."""
         return self._last_seen_at is None or now - self._last_seen_at > REPORT_OVERDUE_S
 
     def _may_grant(self, now: float) -> bool:
         return self.has_recent_report(now) and not self.leaving and not self.is_unreachable
 
     def _may_start(self, now: float) -> bool:
-        """Tell whether the replica may get a new request, given its backlog of prompts."""
+        """Return whether the replica may get a new request, given its backlog of prompts."""
         if not self._may_grant(now) or self.prompts.wait_s(now) > MAX_PROMPT_BACKLOG_S:
             return False
         return self.gate.refusal(self.replica, now) is None
 
     def _is_silent(self, now: float) -> bool:
-        """Tell whether the last report is too old; False if the replica never reported."""
+        """Return whether the last report is too old; False if the replica never reported."""
         return self._reported_at is not None and now - self._reported_at > REPORT_LIFE_S
 
     def _grant(self, work: outcomes.Work, now: float) -> Granted:
--- a/hornbeamglade/grants/schedulerset.py
+++ b/hornbeamglade/grants/schedulerset.py
@@ -174,7 +174,7 @@
         return answer
 
     def can_admit(self, replica: str) -> bool:
-        """Tell whether this node may grant requests to a replica.
+        """Return whether this node may grant requests to a replica.
 
         A node that owns the replica only in the view of the requesting node receives no load
         reports of it, so the request would wait there in vain.
--- a/hornbeamglade/routed/drainadmission.py
+++ b/hornbeamglade/routed/drainadmission.py
@@ -44,8 +44,8 @@
 
 EARLY_PERIOD_S = 3.0
 """Operators accept that a stop truncates requests that arrive this soon after the signal,
-while callers still use older responses of the directory. A request admitted later was
-admitted knowingly, so it must not be truncated."""
+while callers still use older responses of the directory. A later request is admitted although
+the instance knows that it will stop, so its truncation counts as a fault of the instance."""
 
 LATE_MAX_TRUNCATION_PROBABILITY = 0.01
 
--- a/hornbeamglade/routed/retrybudget.py
+++ b/hornbeamglade/routed/retrybudget.py
@@ -60,7 +60,7 @@
     """The retry budget of each service at one node.
 
     :param settings: the operator's bound.
-    :param on_attempt: called for each retry, made or denied.
+    :param on_attempt: called for each retry that is made or denied, and for each resumed run.
 
     Examples
     ========
--- a/tests/grants/test_asyncgrantacquirer.py
+++ b/tests/grants/test_asyncgrantacquirer.py
@@ -33,7 +33,7 @@
 
 
 class Node(grantacquirer.ReplicaOwners):
-    """One node's schedulers and known sides of its exchange."""
+    """One node's schedulers, and the client and server of its grant exchange."""
 
     def __init__(self, name, owned):
         self.name = name
--- a/tests/grants/test_migrationcoordinator.py
+++ b/tests/grants/test_migrationcoordinator.py
@@ -99,9 +99,9 @@
 
 
 def test_run_does_not_wait_for_an_unresponsive_owner():
-    """An engine's owner crashes while the engine is stopping.
+    """An engine's owner goes down together with the engine.
 
-    If the runs waited for the owner's slots, all of them would be lost.
+    If the runs waited for slots that no node grants, all of them would be lost.
     """
 
     async def main():
