--- a/hornbeamglade/capacity/checksrouting.py
+++ b/hornbeamglade/capacity/checksrouting.py
@@ -15,7 +15,7 @@
     heard = checkvalues.heard_part(size.nodes, replicacatalog.REPORT_LIFE_S)
     routing = candidates.RoutingSettings()
     usable = checkvalues.heard_part(size.nodes, routing.usable_s)
-    looked_at = min(replicacatalog.LOOKED_AT, round(size.replicas_per_pool))
+    looked_at = min(replicacatalog.MAX_REMOTE_CANDIDATES, round(size.replicas_per_pool))
     lost_us = measured.at("membership.domain_lost_us", size.nodes)
     tick_ms = measured.at("membership.tick_us", size.nodes) / checkvalues.MS
     return (
@@ -25,7 +25,8 @@
             1.0,
             "ms",
             "node/replicacatalog.py (candidates), routing/choice.py",
-            f"{replicacatalog.LOOKED_AT} of others are costed; the names of the whole pool are "
+            f"{replicacatalog.MAX_REMOTE_CANDIDATES} "
+            "of others are costed; the names of the whole pool are "
             "still gone through",
         ),
         checkvalues.Check(
--- a/hornbeamglade/capacity/dutiesshared.py
+++ b/hornbeamglade/capacity/dutiesshared.py
@@ -111,7 +111,7 @@
                 * lists,
                 messages_per_s=lists,
                 bytes_per_s=measured.per("processes.platform_bytes.nodes")
-                * upkeep.LIST_S
+                * upkeep.LIST_INTERVAL_S
                 * size.nodes
                 * lists,
                 reads_per_s=size.nodes * lists,
--- a/hornbeamglade/capacity/dutyvalues.py
+++ b/hornbeamglade/capacity/dutyvalues.py
@@ -109,12 +109,12 @@
 def list_period_s(size: targetsize.SiteSize) -> float:
     """Return the seconds between two readings of the platform's list at a node."""
     is_mesh = size.nodes <= dissemination.FULL_MESH_MAX_NODES
-    return upkeep.LIST_S if is_mesh else upkeep.LONG_LIST_S
+    return upkeep.LIST_INTERVAL_S if is_mesh else upkeep.LONG_LIST_INTERVAL_S
 
 
 def sweep_period_s(size: targetsize.SiteSize) -> float:
     """Return the seconds between two sweeps of claims at a node."""
-    return upkeep.SWEEP_S * max(1.0, size.nodes / upkeep.SWEEP_NODES)
+    return upkeep.SWEEP_INTERVAL_S * max(1.0, size.nodes / upkeep.SWEEP_NODES)
 
 
 def choice_s(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> float:
--- a/hornbeamglade/capacity/measuringrouting.py
+++ b/hornbeamglade/capacity/measuringrouting.py
@@ -24,7 +24,8 @@
     """Measure the group."""
     yield _slope(
         "routing.choice_us",
-        f"processor us to choose a replica, {replicacatalog.LOOKED_AT} of others looked at",
+        "processor us to choose a replica, "
+        f"{replicacatalog.MAX_REMOTE_CANDIDATES} of others looked at",
         "replicas of the pool",
         "node/replicacatalog.py, routing/choice.py",
         [fits.Point(size, _choice_us(size)) for size in _POOL_SIZES],
@@ -63,7 +64,7 @@
     for number in range(replicas):
         name = messages.key_hash(samplesite.replica_name(number))
         digest = messages.ReplicaDigest(name, 100_000 + number, number % 3, 0)
-        digests.hear(samplesite.node_name(number // 5), (digest,))
+        digests.record(samplesite.node_name(number // 5), (digest,))
     for name in catalog.known_by_name:
         # Choices look at other replicas each time, so in the end at all.
         catalog.prefix_sequence(name)
--- a/hornbeamglade/capacity/samplemesh.py
+++ b/hornbeamglade/capacity/samplemesh.py
@@ -40,7 +40,7 @@
         )
         self.in_flight = inflight.InFlight(limits.TeamLimits(told.name, shares.ShareSettings()))
         self.peering = peering.Peering(
-            told=told,
+            node_settings=told,
             address=told.callers,
             incarnation=INCARNATION,
             clock=self.clock,
--- a/hornbeamglade/entry/peering.py
+++ b/hornbeamglade/entry/peering.py
@@ -225,7 +225,7 @@
         if isinstance(message, messages.Heartbeat):
             # A heartbeat that arrives out of order must not restore older values.
             if self.heartbeats.receive(message, sender, source):
-                self._digests.hear(sender.name, message.replicas)
+                self._digests.record(sender.name, message.replicas)
                 self._note_leaving_engines(message.replicas)
                 self._events.on_evacuations(message.evacuations)
                 self._events.on_quarantine_digest(sender.name, message.quarantine_digest)
--- a/hornbeamglade/node/applying.py
+++ b/hornbeamglade/node/applying.py
@@ -1,4 +1,4 @@
-"""Put a newer revision of the configuration into force at a node."""
+"""Applies a newer revision of the configuration at a node."""
 
 import dataclasses
 import threading
@@ -15,20 +15,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Placement:
-    """What the nodes of each team depend on."""
+    """The inputs from which the nodes of each team are computed."""
 
     revision: int
     states: tuple[tuple[str, membershipview.State], ...]
 
 
 class Applier:
-    """Configures every part by a newer revision, then has requests judged by it.
+    """Configures every component for a newer revision, then publishes it to requests.
 
-    :param views: holds the view that requests are judged by.
-    :param catalog: what is known of replicas.
+    :param views: holds the view that requests are checked against.
+    :param catalog: the state of the known replicas.
     :param schedulers: this node's schedulers.
-    :param in_flight: the teams' limits.
-    :param beats: knows the nodes.
+    :param in_flight: holds the limits of teams.
+    :param beats: provides the members.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self.revision = 0
 
     def apply(self) -> None:
-        """Put a newer revision into force, if there is one; from any thread."""
+        """Apply a newer revision, if there is one; safe from any thread."""
         with self._lock:
             view = self._views.unpublished()
             if view is None:
@@ -67,7 +67,7 @@
         )
 
     def follow_members(self) -> None:
-        """Tell the limits which nodes share each team, when that has changed."""
+        """Update the nodes that share each team's limit, if they have changed."""
         view = self._views.current()
         if isinstance(view, siteview.SiteView):
             with self._lock:
@@ -75,10 +75,10 @@
 
     def _place_teams(self, view: siteview.SiteView) -> None:
         members = self._beats.members()
-        seen = _Placement(
+        placement = _Placement(
             view.revision, tuple((each.identity.name, each.state) for each in members)
         )
-        if seen == self._placed:
+        if placement == self._placed:
             return
         names_by_team = {
             team: _shard_names(view, team, members) for team in view.site.team_by_name
@@ -86,11 +86,11 @@
         with self._in_flight.lock:
             for team, names in names_by_team.items():
                 self._in_flight.team_limits.set_shard(team, names)
-        self._placed = seen
+        self._placed = placement
 
 
 def scheduler_specs(site: models.SiteConfiguration) -> dict[str, schedulerset.SchedulerSpec]:
-    """Return what the schedulers of a site's engines are made from, by replica.
+    """Return the specifications of the schedulers of a site's engines, by replica.
 
     :param site: the site's configuration.
     """
--- a/hornbeamglade/node/crashchecks.py
+++ b/hornbeamglade/node/crashchecks.py
@@ -1,4 +1,4 @@
-"""Whether a replica has crashed under a run that was lost, asked on a thread of its own."""
+"""Checks on separate threads whether a replica crashed when a run's connection was lost."""
 
 import collections.abc
 import concurrent.futures
@@ -8,19 +8,19 @@
 from hornbeamglade.quarantine import lostruns, requestquarantine
 
 THREADS = 2
-CONNECT_S = 1.0
-RESTART_S = 2.0
-"""A replica keeps its name; two crashes of it lie further apart than this."""
+CONNECT_TIMEOUT_S = 1.0
+MIN_RESTART_S = 2.0
+"""A replica keeps its name when it restarts; its crashes are further apart than this."""
 
 
 class CrashChecks:
-    """Tells crashes of replicas from other ends of runs; any thread may use it.
+    """Distinguishes crashes of replicas from other ends of runs; thread-safe.
 
     The counterpart of :class:`hornbeamglade.quarantine.crashdetector.CrashDetector` for
-    replicas that the configuration names, which have no list that says who started when.
+    replicas named by the configuration, for which no list states when each one started.
 
-    :param quarantine: takes what crashed.
-    :param may_crash: tells whether a replica is in use: one that stops as planned ends runs too.
+    :param quarantine: records the crashes.
+    :param may_crash: returns whether a replica is in use: a planned stop also ends runs.
     :param clock: monotonic time.
     """
 
@@ -37,11 +37,13 @@
             THREADS, thread_name_prefix="crash-check"
         )
 
-    def run_lost(self, fingerprint: int, replica: str, address: str, began_at: float) -> None:
-        """Take a run whose connection ended before its answer did.
+    def check_lost_run(
+        self, fingerprint: int, replica: str, address: str, began_at: float
+    ) -> None:
+        """Check a run whose connection ended before its response was complete.
 
         :param replica: the replica's name.
-        :param began_at: monotonic seconds at which it was sent there.
+        :param began_at: monotonic seconds at which the request was sent.
         """
         if self._may_crash(replica):
             run = lostruns.LostRun(fingerprint, began_at, self._clock.now())
@@ -50,10 +52,10 @@
     def _check(self, run: lostruns.LostRun, replica: str, address: str) -> None:
         host, _, port = address.rpartition(":")
         try:
-            socket.create_connection((host, int(port)), CONNECT_S).close()
+            socket.create_connection((host, int(port)), CONNECT_TIMEOUT_S).close()
         except ConnectionRefusedError:
-            crash = f"{replica}/{int(run.ended_at / RESTART_S)}"
+            crash = f"{replica}/{int(run.ended_at / MIN_RESTART_S)}"
             self._quarantine.crashed(crash, (run,))
         except OSError:
-            # Silence may be a partition; a crash is only taken for one when it is certain.
+            # A timeout may be a partition; only a certain crash is recorded.
             return
--- a/hornbeamglade/node/daemon.py
+++ b/hornbeamglade/node/daemon.py
@@ -1,4 +1,4 @@
-"""One entry node: its parts, its threads, its planned stop."""
+"""One entry node: its components, its threads, its planned stop."""
 
 import os
 import random
@@ -49,39 +49,41 @@
 LEAVING_CODE = "node_leaving"
 ALL_SERVICES = "all"
 EXIT_OK = 0
-EXIT_CUT = 1
+EXIT_ABORTED = 1
 EXIT_INVARIANT = 70
 
 
 class EntryNode:
     """One entry node.
 
-    :param told: its settings.
+    :param node_settings: its settings.
     :param clock: its clock.
     """
 
-    def __init__(self, told: settings.NodeSettings, clock: clocks.Clock) -> None:
-        self._told = told
+    def __init__(self, node_settings: settings.NodeSettings, clock: clocks.Clock) -> None:
+        self._settings = node_settings
         self._clock = clock
         self.incarnation = int(clock.wall() * 1000)
         self._metrics = metrics.NodeMetrics()
         self._platform = countedstore.CountedStore(
-            storeclient.StoreClient(told.platform), self._metrics.platform_outcomes
+            storeclient.StoreClient(node_settings.platform), self._metrics.platform_outcomes
         )
         self._config = follower.Follower(
-            self._platform, self._platform, clock, told.site, told.name
+            self._platform, self._platform, clock, node_settings.site, node_settings.name
         )
         self._rng = random.Random(self.incarnation)
         self._senders = slowsenders.SlowSenders(clock)
-        self._server = server.CallersServer(told.callers, told.threads, self._senders)
+        self._server = server.CallersServer(
+            node_settings.callers, node_settings.threads, self._senders
+        )
         lengths = lengthmodel.LengthModel()
         self._schedulers = schedulerset.SchedulerSet(clock, lengths)
         digests = digestcache.DigestCache(clock)
         self._catalog = replicacatalog.ReplicaCatalog(clock, digests)
-        team_limits = limits.TeamLimits(told.name, shares.ShareSettings())
-        self._in_flight = inflight.InFlight(team_limits, told.threads)
+        team_limits = limits.TeamLimits(node_settings.name, shares.ShareSettings())
+        self._in_flight = inflight.InFlight(team_limits, node_settings.threads)
         self.peering = peering.Peering(
-            told,
+            node_settings,
             self._server.address,
             self.incarnation,
             clock,
@@ -95,8 +97,8 @@
             self._failed,
         )
         self._placing = placing.Placing(
-            f"{told.name}/{self.incarnation}",
-            told.name,
+            f"{node_settings.name}/{self.incarnation}",
+            node_settings.name,
             self._platform,
             clock,
             self._rng,
@@ -106,7 +108,7 @@
             self._platform,
             self._platform,
             clock,
-            told.name,
+            node_settings.name,
             upkeep.CLAIM_SETTINGS,
         )
         acquirer = grantacquirer.GrantAcquirer(
@@ -115,7 +117,7 @@
             self.peering.grants,
             self.peering,
             self._rng,
-            candidates.RoutingSettings(failure_domain=told.failure_domain),
+            candidates.RoutingSettings(failure_domain=node_settings.failure_domain),
         )
         self._parts = runtime.Runtime(
             clock=clock,
@@ -134,8 +136,8 @@
                 self.peering.quarantine, self._catalog.takes_new_work, clock
             ),
         )
-        page = statuses.Statuses(
-            told,
+        status_page = statuses.Statuses(
+            node_settings,
             self._server.address,
             self.incarnation,
             self._parts,
@@ -144,7 +146,9 @@
             self._state,
             self._placing,
         ).page
-        own_pages = pages.Pages(self._parts, self.peering.heartbeats.members, self._unready, page)
+        own_pages = pages.Pages(
+            self._parts, self.peering.heartbeats.members, self._unready, status_page
+        )
         self._application = application.Application(
             handlers.NodeHandlers(self._parts, own_pages, self._failed)
         )
@@ -159,11 +163,13 @@
             quarantinewriter.QuarantineWriter(self._platform, clock).add
         )
         self._registry = registry.Registry(self._platform, self.peering.quarantine.on_rows)
-        listed = discovery.Discovery(self._registry, told.seeds)
-        self._upkeep = upkeep.Upkeep(self._platform, listed, clock, self._rng, beats, self._config)
+        instances = discovery.Discovery(self._registry, node_settings.seeds)
+        self._upkeep = upkeep.Upkeep(
+            self._platform, instances, clock, self._rng, beats, self._config
+        )
         self._draining: draining.Draining | None = None
-        self._broken: str | None = None
-        self._cut = 0
+        self._invariant_code: str | None = None
+        self._aborted_requests = 0
         self._problem = "none"
         self._is_listener_closed = False
         self._is_registered = False
@@ -171,26 +177,28 @@
             periodic.Periodic("ticks", TICK_S, self._tick, self._failed),
             periodic.Periodic("reports", REPORT_S, self._report, self._failed),
             periodic.Periodic(
-                "instances", upkeep.LIST_S, self._upkeep.read_instances, self._failed
+                "instances", upkeep.LIST_INTERVAL_S, self._upkeep.read_instances, self._failed
             ),
             periodic.Periodic("loads", LOAD_S, self._poller.poll, self._failed),
             periodic.Periodic("placement", PLACEMENT_S, self._place_models, self._failed),
-            periodic.Periodic("sweeps", upkeep.SWEEP_S, self._upkeep.sweep_claims, self._failed),
+            periodic.Periodic(
+                "sweeps", upkeep.SWEEP_INTERVAL_S, self._upkeep.sweep_claims, self._failed
+            ),
         )
 
     @property
     def metrics(self) -> metrics.NodeMetrics:
-        """The node's instruments."""
+        """The node's metrics."""
         return self._metrics
 
     @property
     def address(self) -> str:
-        """Where callers are served, as ``ip:port``."""
+        """The address for callers, as ``ip:port``."""
         return self._server.address
 
     def start(self) -> None:
-        """Begin to serve."""
-        # The list comes first: placed without its peers, a node would take the whole
+        """Start serving callers."""
+        # The instance list is read first: without its peers, a node would take the whole
         # limit of each team for itself.
         self._register()
         self._upkeep.read_instances()
@@ -201,38 +209,38 @@
         for loop in self._loops:
             loop.start()
         self._server.start(self._application)
-        logs.state_changed("node", "starting", "serving", node=self._told.name)
+        logs.state_changed("node", "starting", "serving", node=self._settings.name)
 
     def _register(self) -> None:
-        """Write this node's row, so that the others find it."""
+        """Write this node's row, so that other nodes find it."""
         if self._is_registered or self._draining is not None:
             return
-        told = self._told
+        node_settings = self._settings
         exchange = str(self.peering.transport.endpoint)
         own = contract.Instance(
-            told.name, told.failure_domain, self._server.address, exchange, False
+            node_settings.name, node_settings.failure_domain, self._server.address, exchange, False
         )
         self._is_registered = isinstance(self._registry.register(own), contract.Committed)
 
     def leave(self) -> None:
-        """Begin a planned stop; a second call changes nothing."""
+        """Begin a planned stop; idempotent."""
         if self._draining is not None:
             return
         view = self._parts.views.current()
         ttl_s = DEFAULT_ADDRESS_TTL_S
         if isinstance(view, siteview.SiteView):
             ttl_s = view.site.addresses.ttl_s
-        self._draining = draining.Draining(ttl_s, hard_limit_s=self._told.hard_stop_s)
+        self._draining = draining.Draining(ttl_s, hard_limit_s=self._settings.hard_stop_s)
         self._draining.begin(self._clock.now())
         self.peering.heartbeats.leave()
         self._server.leave()
         self._placing.stop()
-        logs.state_changed("node", "serving", "leaving", node=self._told.name)
+        logs.state_changed("node", "serving", "leaving", node=self._settings.name)
 
     def await_end(self) -> int:
-        """Wait until the planned stop is done, then stop; return the exit code."""
+        """Wait until the planned stop is complete, then stop; return the exit code."""
         while True:
-            if self._broken is not None:
+            if self._invariant_code is not None:
                 self.leave()
             if self._draining is not None and self._has_drained():
                 break
@@ -240,8 +248,8 @@
         return self._stop()
 
     def _has_drained(self) -> bool:
-        # Requests count from their first byte on: one that is being read, or whose
-        # claim is being written, is in no team's limit yet.
+        # Requests count from their first byte: one that is being read, or whose
+        # claim is being written, does not count towards a team's limit yet.
         in_flight = max(self._parts.in_flight.count, self._server.busy)
         status = self._draining.step(self._clock.now(), in_flight)
         if status.phase is draining.Phase.CLOSING and not self._is_listener_closed:
@@ -249,22 +257,22 @@
             self._server.close_listener()
             self._draining.listener_closed()
             return False
-        self._cut = status.aborted_requests
+        self._aborted_requests = status.aborted_requests
         return status.phase is draining.Phase.DONE
 
     def _stop(self) -> int:
-        logs.state_changed("node", "leaving", "stopped", count=self._cut)
-        if self._cut:
-            # The operator's hard limit: what still runs ends with the process.
-            return EXIT_CUT
+        logs.state_changed("node", "leaving", "stopped", count=self._aborted_requests)
+        if self._aborted_requests:
+            # The operator's hard limit has passed: running requests end with the process.
+            return EXIT_ABORTED
         self._server.stop()
-        self._registry.deregister(self._told.name)
+        self._registry.deregister(self._settings.name)
         for loop in self._loops:
             loop.stop()
         self._poller.stop()
         self._config.stop()
         self.peering.stop()
-        return EXIT_OK if self._broken is None else EXIT_INVARIANT
+        return EXIT_OK if self._invariant_code is None else EXIT_INVARIANT
 
     def _tick(self) -> None:
         self._applier.apply()
@@ -285,11 +293,11 @@
         self._parts.deadlines.sweep()
         self.peering.quarantine.expire()
         self._report_metrics()
-        self._note_problem()
+        self._log_problem_change()
         self._metrics.config_revision.set(self._applier.revision)
 
-    def _note_problem(self) -> None:
-        """Log when something begins or ceases to keep the newest revision out."""
+    def _log_problem_change(self) -> None:
+        """Log when a problem that prevents the newest revision begins or ends."""
         problem = self._config.problem or "none"
         logs.state_changed("config_problem", self._problem, problem, code=problem)
         self._problem = problem
@@ -314,11 +322,11 @@
         return "leaving" if unready == LEAVING_CODE else "unready"
 
     def _failed(self, error: Exception, where: str) -> None:
-        """Count an unexpected error; a broken invariant ends the node, in order."""
+        """Count an unexpected error; a violated invariant begins a planned stop of the node."""
         self._metrics.refusals.add(labels=("internal_error", ""))
         print(f"{where}: {error!r}", file=sys.stderr)
         if isinstance(error, codederrors.InvariantError):
-            self._broken = error.code
+            self._invariant_code = error.code
             logs.state_changed("node", "serving", "broken", code=error.code)
 
 
@@ -332,15 +340,15 @@
         raise codederrors.CodedError("settings_invalid", detail) from error
 
 
-def run(told: settings.NodeSettings) -> int:
-    """Run one node until its planned stop is done; return the exit code.
+def run(node_settings: settings.NodeSettings) -> int:
+    """Run one node until its planned stop is complete; return the exit code.
 
-    :param told: its settings.
+    :param node_settings: its settings.
     """
-    stream = _log_stream(told.log)
-    node = EntryNode(told, clocks.SystemClock())
+    stream = _log_stream(node_settings.log)
+    node = EntryNode(node_settings, clocks.SystemClock())
     writer = logs.LogWriter(
-        stream, told.name, node.metrics.state_changes, node.metrics.log_lines_dropped
+        stream, node_settings.name, node.metrics.state_changes, node.metrics.log_lines_dropped
     )
     writer.start()
     terminated = threading.Event()
@@ -353,7 +361,7 @@
     ).start()
     code = node.await_end()
     writer.stop()
-    if code == EXIT_CUT:
-        # Threads that carry streams are waited for at an ordinary exit.
-        os._exit(EXIT_CUT)
+    if code == EXIT_ABORTED:
+        # An ordinary exit would wait for the threads that carry streams.
+        os._exit(EXIT_ABORTED)
     return code
--- a/hornbeamglade/node/deadlines.py
+++ b/hornbeamglade/node/deadlines.py
@@ -1,4 +1,4 @@
-"""End requests whose time is over, whatever they are waiting for."""
+"""Ends requests whose deadline has passed, whatever they are waiting for."""
 
 import itertools
 import threading
@@ -8,14 +8,14 @@
 
 
 class Deadlines:
-    """Calls to make when a time is over, swept each second.
+    """Callbacks to run when a deadline has passed, checked each second.
 
     Explanation
     ===========
 
-    Waits on a backend server are bounded read by read. A server that sends a byte
-    now and then passes each of these bounds and would hold a thread, a grant and a
-    place in the team's limit for as long as it likes.
+    Waits on a backend server are bounded for each read. A server that sends a byte
+    occasionally stays within each of these bounds and would hold a thread, a grant and a
+    place in the team's limit without end.
 
     :param clock: monotonic time.
     """
@@ -23,33 +23,33 @@
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        self._numbers = itertools.count()
-        self._entry_by_number: dict[int, tuple[float, Callable[[], None]]] = {}
+        self._entry_ids = itertools.count()
+        self._entry_by_id: dict[int, tuple[float, Callable[[], None]]] = {}
 
-    def add(self, ends_at: float, end: Callable[[], None]) -> int:
-        """Have ``end`` called once ``ends_at`` has passed; return a number to remove it by.
+    def add(self, ends_at: float, cancel: Callable[[], None]) -> int:
+        """Call ``cancel`` once ``ends_at`` has passed; return an id for removing the entry.
 
         :param ends_at: in the clock's seconds.
-        :param end: must not block.
+        :param cancel: must not block.
         """
         with self._lock:
-            number = next(self._numbers)
-            self._entry_by_number[number] = (ends_at, end)
-            return number
+            entry_id = next(self._entry_ids)
+            self._entry_by_id[entry_id] = (ends_at, cancel)
+            return entry_id
 
-    def remove(self, number: int) -> None:
-        """Forget an entry; idempotent."""
+    def remove(self, entry_id: int) -> None:
+        """Remove an entry; idempotent."""
         with self._lock:
-            self._entry_by_number.pop(number, None)
+            self._entry_by_id.pop(entry_id, None)
 
     def sweep(self) -> int:
-        """Make the calls whose time is over; return how many."""
+        """Run the callbacks whose deadline has passed; return how many."""
         now = self._clock.now()
         with self._lock:
-            over = [
-                number for number, (ends_at, _) in self._entry_by_number.items() if ends_at <= now
+            expired = [
+                entry_id for entry_id, (ends_at, _) in self._entry_by_id.items() if ends_at <= now
             ]
-            ends = [self._entry_by_number.pop(number)[1] for number in over]
-        for end in ends:
-            end()
-        return len(ends)
+            cancels = [self._entry_by_id.pop(entry_id)[1] for entry_id in expired]
+        for cancel in cancels:
+            cancel()
+        return len(cancels)
--- a/hornbeamglade/node/digestcache.py
+++ b/hornbeamglade/node/digestcache.py
@@ -1,4 +1,4 @@
-"""What other owners said of their replicas, newest first."""
+"""The newest digests that other owners sent of their replicas."""
 
 import dataclasses
 
@@ -9,17 +9,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeardDigest:
-    """A digest of one replica with the time it was heard.
+class ReceivedDigest:
+    """A digest of one replica with the time at which it was received.
 
-    :param digest: what the owner said.
+    :param digest: the digest sent by the owner.
     :param owner: the owner's name.
-    :param heard_at: monotonic seconds.
+    :param received_at: monotonic seconds.
     """
 
     digest: messages.ReplicaDigest
     owner: str
-    heard_at: float
+    received_at: float
 
 
 class DigestCache:
@@ -30,18 +30,18 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._heard_by_hash: dict[int, HeardDigest] = {}
+        self._digest_by_hash: dict[int, ReceivedDigest] = {}
 
-    def hear(self, owner: str, digests: tuple[messages.ReplicaDigest, ...]) -> None:
-        """Take the digests of one heartbeat."""
+    def record(self, owner: str, digests: tuple[messages.ReplicaDigest, ...]) -> None:
+        """Record the digests of one heartbeat."""
         now = self._clock.now()
         for digest in digests:
-            self._heard_by_hash[digest.replica] = HeardDigest(digest, owner, now)
+            self._digest_by_hash[digest.replica] = ReceivedDigest(digest, owner, now)
 
-    def newest(self, replica: str) -> HeardDigest | None:
+    def newest(self, replica: str) -> ReceivedDigest | None:
         """Return the newest digest of a replica, or None."""
-        return self._heard_by_hash.get(messages.key_hash(replica))
+        return self._digest_by_hash.get(messages.key_hash(replica))
 
-    def age_s(self, heard: HeardDigest | None) -> float:
-        """Return seconds since a digest was heard; long for none."""
-        return UNKNOWN_AGE_S if heard is None else self._clock.now() - heard.heard_at
+    def age_s(self, received: ReceivedDigest | None) -> float:
+        """Return the age of a digest in seconds; ``UNKNOWN_AGE_S`` if there is none."""
+        return UNKNOWN_AGE_S if received is None else self._clock.now() - received.received_at
--- a/hornbeamglade/node/generationhandler.py
+++ b/hornbeamglade/node/generationhandler.py
@@ -1,4 +1,4 @@
-"""Answer generation requests: admit, dispatch, try again where that is safe."""
+"""Answers generation requests: admits them, dispatches them, retries where that is safe."""
 
 import collections.abc
 import dataclasses
@@ -24,16 +24,16 @@
 from hornbeamglade.teams import limits
 
 MAX_ATTEMPTS = 4
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 EXPECTED_ANSWER_TOKENS = 300
-GRANT_LIFE_S = 2.0
-"""A grant counts for so long after the end of the wait in which it was asked for."""
+GRANT_VALIDITY_S = 2.0
+"""A grant stays valid this long after the end of the queueing time of its request."""
 
 
 class GenerationHandler:
     """Answers ``/v1/chat/completions`` and ``/v1/completions``.
 
-    :param parts: the node's parts.
+    :param parts: the node's components.
     """
 
     def __init__(self, parts: runtime.Runtime) -> None:
@@ -66,21 +66,21 @@
         service = view.permitted(team, name)
         if isinstance(service, outcomes.Refusal):
             return onceonly.before_claim(service, request)
-        bad = _out_of_bounds(call, service, len(request.body))
-        if bad is not None:
-            return onceonly.before_claim(bad, request)
-        # The claim comes before the limits: a key whose request has run must never
-        # be told "not run" because its team is at its limit just now.
+        refusal = _out_of_bounds(call, service, len(request.body))
+        if refusal is not None:
+            return onceonly.before_claim(refusal, request)
+        # The claim is made before the limits are checked: a retry of a request that has run
+        # must never be answered with "not run" because its team is at its limit.
         dispatch = self._parts.once.begin(team, name, service, request)
-        if not isinstance(dispatch, onceonly.OneDispatch):
+        if not isinstance(dispatch, onceonly.DispatchPermit):
             return dispatch
         try:
             scope = self._enter(request, view, team, name, service, call, dispatch)
         except BaseException:
-            dispatch.ended()
+            dispatch.close()
             raise
         if isinstance(scope, outcomes.Refusal):
-            dispatch.ended()
+            dispatch.close()
             return scope
         try:
             answer = _Attempts(scope, view, call, request).run()
@@ -99,12 +99,12 @@
         name: str,
         service: models.Service,
         call: generationcalls.GenerationCall,
-        dispatch: onceonly.OneDispatch,
+        dispatch: onceonly.DispatchPermit,
     ) -> requestscope.RequestScope | outcomes.Refusal:
         tokens = call.prompt_tokens + (call.max_tokens or EXPECTED_ANSWER_TOKENS)
-        entered = self._parts.in_flight.enter(team, tokens, view.site.node.max_streams)
-        if not isinstance(entered, limits.Admission):
-            return entered
+        admission = self._parts.in_flight.enter(team, tokens, view.site.node.max_streams)
+        if not isinstance(admission, limits.Admission):
+            return admission
         return requestscope.RequestScope(
             self._parts,
             request.request_id,
@@ -112,7 +112,7 @@
             name,
             service,
             dispatch,
-            entered,
+            admission,
             attempts.fingerprint(team, request),
         )
 
@@ -130,7 +130,7 @@
 
 
 class _Attempts(attempts.Attempts):
-    """The attempts of one request, one after the other."""
+    """The consecutive attempts of one request."""
 
     def __init__(
         self,
@@ -147,18 +147,18 @@
         self._prefix = prefixes.prefix_hashes(call.prompt)
         self._queue_ends = scope.started + scope.service.queue_s
 
-    def _attempt(self, number: int) -> application.Answer | attempts.Failed:
-        grant = self._find(number)
+    def _attempt(self, number: int) -> application.Answer | attempts.FailedAttempt:
+        grant = self._acquire_grant(number)
         if isinstance(grant, outcomes.Refusal):
             return grant
         self._scope.grant = grant
         answer = self._use(grant)
-        if isinstance(answer, attempts.Failed):
+        if isinstance(answer, attempts.FailedAttempt):
             self._scope.release_grant()
             self._excluded.add(grant.replica)
         return answer
 
-    def _find(self, attempt: int) -> grantacquirer.Grant | outcomes.Refusal:
+    def _acquire_grant(self, attempt: int) -> grantacquirer.Grant | outcomes.Refusal:
         team = self._view.site.team_by_name[self._scope.team]
         work = outcomes.Work(
             request_id=self._scope.request_id,
@@ -194,32 +194,32 @@
             for each in known
         )
 
-    def _use(self, grant: grantacquirer.Grant) -> application.Answer | attempts.Failed:
+    def _use(self, grant: grantacquirer.Grant) -> application.Answer | attempts.FailedAttempt:
         known = self._parts.catalog.known_by_name.get(grant.replica)
         if known is None:
-            return attempts.Failed(
-                attempts.unanswered_refusal("replica_gone", "the replica was removed"),
-                may_repeat=True,
+            return attempts.FailedAttempt(
+                attempts.failed_attempt_refusal("replica_gone", "the replica was removed"),
+                may_retry=True,
             )
-        # A node that was paused after its ask would send work to a replica that has
-        # begun to leave since; the owner's answer may be that old too.
-        if self._parts.clock.now() > self._queue_ends + GRANT_LIFE_S:
-            return attempts.Failed(
-                attempts.unanswered_refusal("grant_expired", "the grant came too late"),
-                may_repeat=False,
+        # A node that was paused after its grant request would send work to a replica that has
+        # begun to leave since; the owner's response may be as old.
+        if self._parts.clock.now() > self._queue_ends + GRANT_VALIDITY_S:
+            return attempts.FailedAttempt(
+                attempts.failed_attempt_refusal("grant_expired", "the grant came too late"),
+                may_retry=False,
             )
         if self._request.link.is_gone():
-            return attempts.Failed(
-                attempts.unanswered_refusal("caller_left", "the caller left"), may_repeat=False
+            return attempts.FailedAttempt(
+                attempts.failed_attempt_refusal("caller_left", "the caller left"), may_retry=False
             )
         if not self._scope.dispatch.may_dispatch():
-            return attempts.Failed(onceonly.barred(), may_repeat=False)
+            return attempts.FailedAttempt(onceonly.dispatch_barred_refusal(), may_retry=False)
         service = self._scope.service
         target = generationsource.Target(
             grant.replica,
             known.replica.address,
             grant.request_id,
-            httpexchange.Timeouts(CONNECT_S, service.first_token_s, service.progress_s),
+            httpexchange.Timeouts(CONNECT_TIMEOUT_S, service.first_token_s, service.progress_s),
         )
         opened = self._open(target)
         if isinstance(opened, generations.Opened):
@@ -229,9 +229,9 @@
 
     def _open(self, target: generationsource.Target) -> generations.OpenOutcome:
         team = self._view.site.team_by_name[self._scope.team]
-        self._scope.run_sent()
+        self._scope.mark_sent()
         cancellation = httpexchange.Cancellation()
-        self._scope.end_in_time(cancellation.cancel)
+        self._scope.cancel_at_deadline(cancellation.cancel)
         return generations.open_stream(
             target.address,
             self._call.path,
@@ -252,57 +252,59 @@
 
     def _not_opened(
         self, target: generationsource.Target, outcome: generations.OpenOutcome
-    ) -> application.Answer | attempts.Failed:
+    ) -> application.Answer | attempts.FailedAttempt:
         if isinstance(outcome, backendoutcomes.NotRun):
-            self._scope.dispatch.not_run()
+            self._scope.dispatch.mark_not_run()
             if not outcome.refused_by_server:
                 self._parts.catalog.failed(target.replica)
-            return attempts.Failed(
-                attempts.unanswered_refusal("backend_refused", outcome.reason), may_repeat=True
+            return attempts.FailedAttempt(
+                attempts.failed_attempt_refusal("backend_refused", outcome.reason), may_retry=True
             )
         if isinstance(outcome, backendoutcomes.Rejected):
-            self._note_run(outcomes.RunStatus.UNKNOWN)
+            self._record_run(outcomes.RunStatus.UNKNOWN)
             detail = outcome.body.decode("utf-8", "replace")[:500]
             refusal = outcomes.Refusal("backend_rejected", outcome.status, detail)
-            return attempts.Failed(refusal, may_repeat=False)
+            return attempts.FailedAttempt(refusal, may_retry=False)
         self._parts.catalog.failed(target.replica)
         if isinstance(outcome, backendoutcomes.MismatchedResponse):
-            return self._maybe_ran("answer_crossed", "the answer carried another request's id")
-        self._scope.run_lost(target.replica, target.address)
-        return self._maybe_ran("backend_lost", outcome.reason)
+            return self._outcome_unknown(
+                "answer_crossed", "the answer carried another request's id"
+            )
+        self._scope.report_lost_run(target.replica, target.address)
+        return self._outcome_unknown("backend_lost", outcome.reason)
 
     def _first_event(
         self, target: generationsource.Target, stream: generations.Stream
-    ) -> application.Answer | attempts.Failed:
+    ) -> application.Answer | attempts.FailedAttempt:
         service = self._scope.service
         state = generationstream.GenerationStream(
             self._scope.dispatch.is_repeatable, service.resume
         )
         state.begin(target.generation)
         source = generationsource.GenerationSource(
-            target, stream, state, self._parts.clock, self._note_resume
+            target, stream, state, self._parts.clock, self._count_resume
         )
-        self._scope.end_in_time(source.cancel)
+        self._scope.cancel_at_deadline(source.cancel)
         events = iter(source)
-        first = self._await_first(events)
+        first = self._await_first_event(events)
         if not isinstance(first, eventparser.Token | eventparser.Finished):
             source.cancel()
-            return self._no_first(target, first)
+            return self._without_first_event(target, first)
         self._run = outcomes.RunStatus.RAN
         answer = delivery.Delivery(
             self._scope, source, itertools.chain((first,), events), state, self._call.path
         )
         if self._call.stream:
             return answer
-        return self._whole(target, answer)
+        return self._answer_whole(target, answer)
 
-    def _note_resume(self, outcome: str) -> None:
+    def _count_resume(self, outcome: str) -> None:
         self._parts.metrics.resumes.add(labels=(self._scope.service_name, outcome))
 
-    def _await_first(
+    def _await_first_event(
         self, events: collections.abc.Iterator[eventparser.Event]
     ) -> eventparser.Event | None:
-        """Return the first event that says something, or None when time is over."""
+        """Return the first event other than a keep-alive, or None after the timeout."""
         ends_at = self._parts.clock.now() + self._scope.service.first_token_s
         for event in events:
             if not isinstance(event, eventparser.KeepAlive):
@@ -314,34 +316,34 @@
     def _is_abandoned(self) -> bool:
         return not self._scope.dispatch.is_recorded and self._request.link.is_gone()
 
-    def _no_first(
+    def _without_first_event(
         self, target: generationsource.Target, event: eventparser.Event | None
-    ) -> attempts.Failed:
+    ) -> attempts.FailedAttempt:
         if event is None:
-            self._note_run(outcomes.RunStatus.UNKNOWN)
+            self._record_run(outcomes.RunStatus.UNKNOWN)
             detail = f"no token came within {self._scope.service.first_token_s:g} s"
             refusal = outcomes.Refusal(
                 "first_token_timeout", 504, detail, retry_after_s=attempts.FAILED_RETRY_S
             )
-            return attempts.Failed(refusal, may_repeat=False)
+            return attempts.FailedAttempt(refusal, may_retry=False)
         self._parts.catalog.failed(target.replica)
-        self._scope.run_lost(target.replica, target.address)
-        return self._maybe_ran("backend_lost", str(event))
+        self._scope.report_lost_run(target.replica, target.address)
+        return self._outcome_unknown("backend_lost", str(event))
 
-    def _whole(
+    def _answer_whole(
         self, target: generationsource.Target, answer: delivery.Delivery
-    ) -> application.Answer | attempts.Failed:
-        """Read a generation for a caller who does not stream.
+    ) -> application.Answer | attempts.FailedAttempt:
+        """Read a generation for a caller that does not stream.
 
-        Nothing was delivered yet when it is cut, so a repeatable one may run again.
+        If it ends early, nothing has been delivered yet, so a repeatable one may be retried.
         """
-        whole = answer.whole(self._request.link.is_gone)
-        if isinstance(whole, problems.Response):
+        result = answer.read_whole(self._request.link.is_gone)
+        if isinstance(result, problems.Response):
             answer.close()
-            return whole
-        if whole.refusal.code == "caller_left":
+            return result
+        if result.refusal.code == "caller_left":
             answer.close()
-            return whole.refusal
+            return result.refusal
         answer.abandon()
         self._parts.catalog.failed(target.replica)
-        return attempts.Failed(whole.refusal, may_repeat=self._scope.dispatch.is_repeatable)
+        return attempts.FailedAttempt(result.refusal, may_retry=self._scope.dispatch.is_repeatable)
--- a/hornbeamglade/node/handlers.py
+++ b/hornbeamglade/node/handlers.py
@@ -1,4 +1,4 @@
-"""Hand callers' requests to what answers them."""
+"""Passes callers' requests to the handlers that answer them."""
 
 from collections.abc import Callable
 
@@ -13,9 +13,9 @@
 class NodeHandlers(application.Handlers):
     """The handlers of one entry node.
 
-    :param parts: the node's parts.
+    :param parts: the node's components.
     :param own_pages: answers the node's own pages.
-    :param failed: told of an error that no handler expected.
+    :param failed: called with an error that no handler expected.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._plain = plainhandler.PlainHandler(parts)
 
     def max_body_bytes(self) -> int:
-        """Return the largest body that any service takes."""
+        """Return the maximum body size that any service accepts."""
         view = self._parts.views.current()
         if isinstance(view, outcomes.Refusal):
             return BODY_BYTES_WITHOUT_CONFIGURATION
@@ -61,5 +61,5 @@
         self._parts.metrics.refusals.add(labels=(refusal.code, name))
 
     def failed(self, error: Exception, request_id: str) -> None:
-        """Take note of an error that no handler expected."""
+        """Report an error that no handler expected."""
         self._failed(error, request_id)
--- a/hornbeamglade/node/loadpoller.py
+++ b/hornbeamglade/node/loadpoller.py
@@ -1,12 +1,12 @@
-"""Read the load of the replicas that this node owns, each half second.
+"""Reads the load of the replicas that this node owns, each second.
 
 Explanation
 ===========
 
-Only the owner polls a replica; the others hear of it in the owner's heartbeats.
-A replica that does not answer is polled on, and its late answer harms nobody:
-reads run in a small pool of threads, at most one a replica, so that one stalled
-link does not delay the reports of the others.
+Only the owner polls a replica; other nodes receive its load in the owner's heartbeats.
+A replica that does not answer is still polled, and a late answer does no harm:
+reads run in a small thread pool, at most one per replica, so that one stalled
+connection does not delay the reports of other replicas.
 """
 
 import concurrent.futures
@@ -28,10 +28,10 @@
     """Polls owned replicas.
 
     :param clock: monotonic time.
-    :param catalog: takes the reports.
-    :param schedulers: take the reports of engines.
-    :param owned: names the replicas that this node owns now.
-    :param failed: told of an error in taking a report.
+    :param catalog: receives the reports.
+    :param schedulers: receive the reports of engines.
+    :param owned: returns the replicas that this node owns now.
+    :param failed: called with an error that occurs while a report is applied.
     """
 
     def __init__(
@@ -49,44 +49,44 @@
         self._failed = failed
         self._lock = threading.Lock()
         self._reader_by_address: dict[str, loadreports.ReportReader] = {}
-        self._busy: set[str] = set()
+        self._active_reads: set[str] = set()
         self._pool = concurrent.futures.ThreadPoolExecutor(READERS, "load-reader")
 
     def poll(self) -> None:
-        """Begin to read every owned replica that is not being read already."""
+        """Start reading every owned replica that is not being read already."""
         for name in self._owned():
             known = self._catalog.known_by_name.get(name)
-            if known is not None and self._begin(name):
+            if known is not None and self._begin_read(name):
                 self._pool.submit(self._read, known)
 
     def stop(self) -> None:
-        """Read no more."""
+        """Stop reading."""
         self._pool.shutdown(wait=False, cancel_futures=True)
 
-    def _begin(self, name: str) -> bool:
+    def _begin_read(self, name: str) -> bool:
         with self._lock:
-            if name in self._busy:
+            if name in self._active_reads:
                 return False
-            self._busy.add(name)
+            self._active_reads.add(name)
             return True
 
-    def _read(self, known: replicacatalog.Known) -> None:
+    def _read(self, known: replicacatalog.KnownReplica) -> None:
         try:
             reader = self._reader(known.replica.address)
             report = reader.load()
             if isinstance(report, loadreports.LoadReport):
-                self._take(known, report, reader)
+                self._apply_report(known, report, reader)
         except Exception as error:  # noqa: BLE001
-            # Lost in the pool's future, a fault here would show only as a replica that
-            # is silent for ever.
+            # Without this, an error would be lost in the pool's future and the replica
+            # would appear unresponsive forever.
             self._failed(error, known.name)
         finally:
             with self._lock:
-                self._busy.discard(known.name)
+                self._active_reads.discard(known.name)
 
-    def _take(
+    def _apply_report(
         self,
-        known: replicacatalog.Known,
+        known: replicacatalog.KnownReplica,
         report: loadreports.LoadReport,
         reader: loadreports.ReportReader,
     ) -> None:
--- a/hornbeamglade/node/onceonly.py
+++ b/hornbeamglade/node/onceonly.py
@@ -1,4 +1,4 @@
-"""The claim that precedes the dispatch of a request that is not repeatable."""
+"""Claims that precede the dispatch of requests that are not repeatable."""
 
 import dataclasses
 import hashlib
@@ -10,24 +10,24 @@
 from hornbeamglade.core import outcomes
 
 KEY_HEADER = "idempotency-key"
-LONGEST_KEY = 255
+MAX_KEY_LENGTH = 255
 SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS"))
 BARRED_RETRY_S = 1.0
 
 
-class OneDispatch:
-    """The right to dispatch one request, and the record of how it ended.
+class DispatchPermit:
+    """Permission to dispatch one request, and the record of its outcome.
 
     Explanation
     ===========
 
-    A repeatable request needs no claim, and neither does one without a key: its
-    caller has no means to ask for it a second time. Such a request is bound to a
-    single dispatch all the same, by ``is_repeatable``.
+    A repeatable request needs no claim, and neither does one without a key, as its
+    caller cannot retry it under a key. A request without a key is still limited to a
+    single dispatch by ``is_repeatable``.
 
     :param is_repeatable: whether the request may be dispatched more than once.
     :param store: the claims of this node.
-    :param claim: the claim, or None when none is needed.
+    :param claim: the claim, or None if none is needed.
     """
 
     def __init__(
@@ -43,11 +43,11 @@
 
     @property
     def is_recorded(self) -> bool:
-        """Whether the answer is to be kept for a caller that asks again."""
+        """Whether the response is recorded for a retry by the caller."""
         return self._claim is not None
 
     def may_dispatch(self) -> bool:
-        """Tell whether the request may be sent now; asked right before each send."""
+        """Return whether the request may be sent now; called right before each send."""
         if not self.is_repeatable and self._may_have_run:
             return False
         if self._claim is not None and not self._store.may_dispatch(self._claim):
@@ -55,14 +55,14 @@
         self._may_have_run = True
         return True
 
-    def not_run(self) -> None:
-        """Note that the last dispatch was truthfully not run."""
+    def mark_not_run(self) -> None:
+        """Record that the last dispatch was certainly not run."""
         self._may_have_run = False
         if self._claim is not None:
             self._store.note_not_run(self._claim)
 
-    def answered(self, answer: problems.Response) -> None:
-        """Record the whole answer."""
+    def record_response(self, answer: problems.Response) -> None:
+        """Record the complete response."""
         if self._claim is None:
             return
         content_type = next(
@@ -72,8 +72,8 @@
         recorded = claims.RecordedAnswer(answer.status, content_type, answer.body)
         self._store.finish(self._claim, recorded)
 
-    def ended(self) -> None:
-        """Close the claim of a request that got no recorded answer; idempotent."""
+    def close(self) -> None:
+        """Close the claim of a request without a recorded response; idempotent."""
         if self._claim is None:
             return
         if self._may_have_run:
@@ -93,26 +93,26 @@
 
     def begin(
         self, team: str, name: str, service: models.Service, request: application.CallerRequest
-    ) -> OneDispatch | problems.Response | outcomes.Refusal:
-        """Get the right to dispatch, or the answer that is known already.
+    ) -> DispatchPermit | problems.Response | outcomes.Refusal:
+        """Return a permit to dispatch, or the response that is already known.
 
         :param team: the caller's team.
         :param name: the service's name.
-        :param service: says whether its requests are repeatable.
+        :param service: determines whether its requests are repeatable.
         :param request: the request.
         """
         is_repeatable = service.repeatable or request.method in SAFE_METHODS
         key = request.header_by_name.get(KEY_HEADER, "")
-        if len(key) > LONGEST_KEY:
-            detail = f"the Idempotency-Key is longer than {LONGEST_KEY} characters"
+        if len(key) > MAX_KEY_LENGTH:
+            detail = f"the Idempotency-Key is longer than {MAX_KEY_LENGTH} characters"
             return outcomes.Refusal("idempotency_key_invalid", 400, detail)
         if is_repeatable:
-            return OneDispatch(is_repeatable=True)
+            return DispatchPermit(is_repeatable=True)
         if not key:
-            return _without_key(name, service)
+            return _permit_without_key(name, service)
         outcome = self.store.claim(claims.ClaimKey(team, name, key), _fingerprint(request))
         if isinstance(outcome, claims.Granted):
-            return OneDispatch(False, self.store, outcome.claim)
+            return DispatchPermit(False, self.store, outcome.claim)
         if isinstance(outcome, claims.Recorded):
             return _replayed(outcome.answer)
         if isinstance(outcome, outcomes.Refusal):
@@ -123,10 +123,10 @@
 def before_claim(
     refusal: outcomes.Refusal, request: application.CallerRequest
 ) -> outcomes.Refusal:
-    """Return a refusal that was made before the key's claim was looked at.
+    """Return a refusal that was made before the claim of the key was checked.
 
-    Guards against "not run" for a key whose request has run: a retry may meet a node
-    without a configuration, or a configuration under which it would be refused.
+    Guards against "not run" for a key whose request has run: a retry may reach a node
+    without a configuration, or with a configuration that refuses the request.
     """
     if KEY_HEADER not in request.header_by_name:
         return refusal
@@ -135,17 +135,17 @@
     return dataclasses.replace(refusal, run=unknown, attempt_run=attempt_run)
 
 
-def barred() -> outcomes.Refusal:
-    """Return the refusal of a request whose time to dispatch is over; it was not run."""
+def dispatch_barred_refusal() -> outcomes.Refusal:
+    """Return the refusal of a request that may no longer be dispatched; it was not run."""
     detail = "the request could not be dispatched in time and will not be"
     return outcomes.Refusal("dispatch_barred", 503, detail, retry_after_s=BARRED_RETRY_S)
 
 
-def _without_key(name: str, service: models.Service) -> OneDispatch | outcomes.Refusal:
+def _permit_without_key(name: str, service: models.Service) -> DispatchPermit | outcomes.Refusal:
     if service.idempotency_key == "required":
         detail = f"requests to {name} must carry an Idempotency-Key"
         return outcomes.Refusal("idempotency_key_required", 400, detail)
-    return OneDispatch(is_repeatable=False)
+    return DispatchPermit(is_repeatable=False)
 
 
 def _fingerprint(request: application.CallerRequest) -> str:
--- a/hornbeamglade/node/pages.py
+++ b/hornbeamglade/node/pages.py
@@ -1,4 +1,4 @@
-"""The node's own pages: models, addresses, metrics, health, status."""
+"""The node's own endpoints: models, addresses, metrics, health, status."""
 
 import itertools
 import json
@@ -18,10 +18,10 @@
 class Pages:
     """Answers the node's own pages.
 
-    :param parts: the node's parts.
+    :param parts: the node's components.
     :param members: all known nodes.
-    :param ready: returns None, or why the node is not ready.
-    :param status: makes the status page.
+    :param ready: returns None, or the reason why the node is not ready.
+    :param status: returns the status page.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._members = members
         self._ready = ready
         self._status = status
-        self._turns = itertools.count()
+        self._page_counter = itertools.count()
 
     def answer(self, name: str, request: application.CallerRequest) -> application.Answer:
         """Answer one page.
@@ -82,14 +82,14 @@
         return _json({"object": "list", "data": models})
 
     def _addresses(self, view: siteview.SiteView, team: str) -> problems.Response:
-        told = view.site.addresses
+        address_settings = view.site.addresses
         found = addresses.select_addresses(
             team,
             self._members(),
             view.team_share(team),
-            next(self._turns),
-            told.ttl_s,
-            told.per_team,
+            next(self._page_counter),
+            address_settings.ttl_s,
+            address_settings.per_team,
         )
         headers = (JSON_TYPE, ("Cache-Control", f"max-age={found.ttl_s}"))
         body = {"addresses": found.addresses, "ttl_s": found.ttl_s}
--- a/hornbeamglade/node/peering.py
+++ b/hornbeamglade/node/peering.py
@@ -1,4 +1,4 @@
-"""What a node exchanges with its peers: heartbeats, grants, configuration."""
+"""Exchange of a node with its peers: heartbeats, grants, configuration."""
 
 import random
 from collections.abc import Callable
@@ -20,32 +20,32 @@
 from hornbeamglade.quarantine import requestquarantine
 
 MILLISECONDS = 1000
-PEERS_AFTER_S = 1.5
-FOLLOW_S = 0.5
-MOST_ROOM_TOKENS = 2**31 - 1
+PEER_FETCH_DELAY_S = 1.5
+FETCH_INTERVAL_S = 0.5
+MAX_ROOM_TOKENS = 2**31 - 1
 DIGEST_PREFIX = "sha256-"
 
 
 class Peering(grantacquirer.ReplicaOwners):
     """One node's side of the exchange.
 
-    :param told: the node's settings.
-    :param address: where callers are served, as bound.
-    :param incarnation: this run of the node; grows with each start.
+    :param node_settings: the node's settings.
+    :param address: the bound address for callers.
+    :param incarnation: this incarnation of the node; increases with each start.
     :param clock: the node's clock.
     :param schedulers: this node's schedulers.
-    :param digests: takes what owners say.
-    :param catalog: what is known of replicas.
+    :param digests: receives the digests of other owners.
+    :param catalog: the state of the known replicas.
     :param config: the configuration's follower.
-    :param in_flight: what teams have in flight, and their shares of limits.
+    :param in_flight: the teams' requests in flight and their shares of limits.
     :param closed: replicas that placement on this node is about to change.
-    :param changed: told of each change of a node's state.
-    :param failed: told of an error that a message caused here.
+    :param changed: called with each change of a node's state.
+    :param failed: called with each error that handling a message raised.
     """
 
     def __init__(
         self,
-        told: settings.NodeSettings,
+        node_settings: settings.NodeSettings,
         address: str,
         incarnation: int,
         clock: clocks.Clock,
@@ -58,7 +58,7 @@
         changed: Callable[[membershipview.StateChange], None],
         failed: Callable[[Exception, str], None],
     ) -> None:
-        self._name = told.name
+        self._name = node_settings.name
         self._schedulers = schedulers
         self._digests = digests
         self._catalog = catalog
@@ -69,18 +69,18 @@
         self._clock = clock
         self._rng = random.Random(incarnation)
         self._behind_since: float | None = None
-        self._follow_due_at = clock.now()
-        self._owners_seen: tuple[membershipview.Identity, ...] | None = None
-        self._replicas_seen: dict[str, replicacatalog.Known] | None = None
+        self._fetch_due_at = clock.now()
+        self._last_owners: tuple[membershipview.Identity, ...] | None = None
+        self._last_replicas: dict[str, replicacatalog.KnownReplica] | None = None
         self._failed = failed
         self.quarantine = requestquarantine.RequestQuarantine(
-            told.name, self._live_names, self._present_names, self._send, clock
+            node_settings.name, self._live_names, self._present_names, self._send, clock
         )
         self._ownership = ownership.Ownership()
-        self._assembly: configchunks.ChunkAssembler | None = None
+        self._assembler: configchunks.ChunkAssembler | None = None
         self._assembled_revision = 0
-        self.codec = codec.Codec(told.name, incarnation, _ring(told), clock)
-        endpoint = transport.Endpoint.parse(told.exchange)
+        self.codec = codec.Codec(node_settings.name, incarnation, _key_ring(node_settings), clock)
+        endpoint = transport.Endpoint.parse(node_settings.exchange)
         self.transport = transport.UdpTransport(endpoint, self.codec, self._handle)
         self.grants = grantclient.GrantClient(incarnation, self.transport, clock)
         self._names = remotescheduler.ConfiguredNames()
@@ -89,7 +89,7 @@
         self._server = grantserver.GrantServer(scheduler, self.transport, clock)
         scheduler.set_push(self._server.push)
         identity = membershipview.Identity(
-            told.name, told.failure_domain, address, str(self.transport.endpoint)
+            node_settings.name, node_settings.failure_domain, address, str(self.transport.endpoint)
         )
         self.heartbeats = heartbeats.Heartbeats(
             identity,
@@ -102,7 +102,7 @@
         )
 
     def owner(self, replica: str) -> transport.Peer | None:
-        """Return the owner of a replica, or None when it is this node."""
+        """Return the owner of a replica, or None if it is this node."""
         name = self._ownership.owner(replica)
         if name is None or name == self._name:
             return None
@@ -117,7 +117,7 @@
         return self._ownership.owned_by(self._name)
 
     def start(self) -> None:
-        """Begin to receive."""
+        """Start receiving."""
         self.transport.start()
 
     def stop(self) -> None:
@@ -125,7 +125,7 @@
         self.transport.stop()
 
     def tick(self) -> None:
-        """Send what is due and take note of what changed; several times a second."""
+        """Send due messages and apply changes of membership; called several times a second."""
         for change in self.heartbeats.tick():
             self._changed(change)
             if change.member.state is messages.NodeState.GONE:
@@ -136,9 +136,9 @@
         self._update_names()
         self._update_owners()
         now = self._clock.now()
-        if now >= self._follow_due_at:
-            self._follow_due_at = now + FOLLOW_S
-            self._follow_peers()
+        if now >= self._fetch_due_at:
+            self._fetch_due_at = now + FETCH_INTERVAL_S
+            self._fetch_from_peers()
 
     def _live_names(self) -> list[str]:
         return [member.identity.name for member in self.heartbeats.live()]
@@ -169,10 +169,10 @@
     def _update_owners(self) -> None:
         owners = tuple(member.identity for member in self.heartbeats.owner_candidates())
         known_by_name = self._catalog.known_by_name
-        if owners == self._owners_seen and known_by_name is self._replicas_seen:
+        if owners == self._last_owners and known_by_name is self._last_replicas:
             return
-        self._owners_seen = owners
-        self._replicas_seen = known_by_name
+        self._last_owners = owners
+        self._last_replicas = known_by_name
         nodes = [ownership.Participant(each.name, each.failure_domain) for each in owners]
         replicas = [
             ownership.Participant(known.name, known.replica.failure_domain)
@@ -212,7 +212,7 @@
         return heartbeats.Digest(number, closings + replicas + plain, quarantine=quarantine)
 
     def record_no_response(self, owner: str) -> None:
-        """Note that an owner left an ask unanswered."""
+        """Record that an owner did not respond to a grant request."""
         self.heartbeats.record_no_reply(owner)
 
     def _handle(
@@ -221,7 +221,7 @@
         try:
             self._dispatch(message, sender, source)
         except Exception as error:  # noqa: BLE001
-            # The receiver goes on: a node that no longer hears looks dead to all.
+            # The receiver continues: a node that handles no messages appears failed to all peers.
             self._failed(error, type(message).__name__)
 
     def _dispatch(
@@ -229,11 +229,11 @@
     ) -> None:
         if isinstance(message, messages.Heartbeat):
             self._config.on_version_announcement(message.config_revision, sender.name)
-            # A heartbeat that was overtaken must not put older figures back.
+            # A reordered heartbeat must not restore older figures.
             if self.heartbeats.receive(message, sender, source):
-                self._digests.hear(sender.name, message.replicas)
-                self._hear_closings(message.replicas)
-                self._hear_demands(sender.name, message.demands)
+                self._digests.record(sender.name, message.replicas)
+                self._apply_closings(message.replicas)
+                self._record_demands(sender.name, message.demands)
                 self.quarantine.on_digest(sender.name, message.quarantine_digest)
         elif isinstance(message, messages.GrantRequest):
             self._server.on_request(message, sender, source)
@@ -252,20 +252,20 @@
         elif isinstance(message, messages.ChunkRequest):
             self._offer_chunk(message, transport.Peer(sender.name, source))
         elif isinstance(message, messages.DocumentChunk):
-            self._take_chunk(message, transport.Peer(sender.name, source))
+            self._add_chunk(message, transport.Peer(sender.name, source))
 
-    def _offer_chunk(self, ask: messages.ChunkRequest, peer: transport.Peer) -> None:
+    def _offer_chunk(self, request: messages.ChunkRequest, peer: transport.Peer) -> None:
         revision = self._config.revision_for_peers()
-        if revision is None or revision.number != ask.revision:
+        if revision is None or revision.number != request.revision:
             return
-        offers = configchunks.split(revision.number, revision.document.encode())
-        if ask.chunk < len(offers):
-            self.transport.send(peer, offers[ask.chunk])
+        chunks = configchunks.split(revision.number, revision.document.encode())
+        if request.chunk < len(chunks):
+            self.transport.send(peer, chunks[request.chunk])
 
-    def _hear_closings(self, digests: tuple[messages.ReplicaDigest, ...]) -> None:
+    def _apply_closings(self, digests: tuple[messages.ReplicaDigest, ...]) -> None:
         """Close replicas that this node owns and another node is about to change.
 
-        Only a holder of a pool's lease speaks of replicas that it does not own.
+        Only the holder of a pool's lease sends digests of replicas that it does not own.
         """
         for digest in digests:
             name = self._names.replicas.find(digest.replica) if digest.leaving else None
@@ -273,22 +273,22 @@
                 self.close(name)
 
     def close(self, replica: str) -> None:
-        """Keep new work from a replica that this node owns."""
+        """Send no new work to a replica that this node owns."""
         self._catalog.close(replica)
         self._schedulers.drain(replica)
 
     def _demands(self) -> tuple[messages.TeamDemand, ...]:
-        told = self._in_flight.tell_shares(messages.MAX_DEMANDS)
-        return tuple(teamdemands.to_message(share) for share in told)
+        shares = self._in_flight.announce_shares(messages.MAX_DEMANDS)
+        return tuple(teamdemands.to_message(share) for share in shares)
 
-    def _hear_demands(self, node: str, demands: tuple[messages.TeamDemand, ...]) -> None:
+    def _record_demands(self, node: str, demands: tuple[messages.TeamDemand, ...]) -> None:
         for demand in demands:
             team = self._names.teams.find(demand.team)
             if team is not None:
-                self._in_flight.hear_share(node, teamdemands.from_message(team, demand))
+                self._in_flight.record_peer_share(node, teamdemands.from_message(team, demand))
 
-    def _follow_peers(self) -> None:
-        """Ask a peer for the newest revision heard of, when the store did not give it."""
+    def _fetch_from_peers(self) -> None:
+        """Fetch the newest announced revision from a peer if the store did not provide it."""
         live = self.heartbeats.live()
         name_by_revision = {
             member.heartbeat.config_revision: member.identity.name
@@ -303,36 +303,36 @@
             return
         if self._behind_since is None:
             self._behind_since = now
-        # While the store answers, the follower reads the change there within a second.
-        if now - self._behind_since < PEERS_AFTER_S:
+        # While the store is available, the follower reads the change from it within a second.
+        if now - self._behind_since < PEER_FETCH_DELAY_S:
             return
-        if self._assembly is None or self._assembled_revision != newest:
-            self._assembly = configchunks.ChunkAssembler(newest)
+        if self._assembler is None or self._assembled_revision != newest:
+            self._assembler = configchunks.ChunkAssembler(newest)
             self._assembled_revision = newest
-        ask = self._assembly.next_request()
+        request = self._assembler.next_request()
         peer = self.heartbeats.peer(name_by_revision[newest])
-        if ask is not None and peer is not None:
-            self.transport.send(peer, ask)
+        if request is not None and peer is not None:
+            self.transport.send(peer, request)
 
-    def _take_chunk(self, offer: messages.DocumentChunk, peer: transport.Peer) -> None:
-        assembly = self._assembly
-        if assembly is None:
+    def _add_chunk(self, chunk: messages.DocumentChunk, peer: transport.Peer) -> None:
+        assembler = self._assembler
+        if assembler is None:
             return
-        document = assembly.add(offer)
+        document = assembler.add(chunk)
         if document is not None:
-            digest = DIGEST_PREFIX + offer.digest.hex()
+            digest = DIGEST_PREFIX + chunk.digest.hex()
             self._config.consider(
-                documents.Revision(offer.revision, digest, "", document.decode())
+                documents.Revision(chunk.revision, digest, "", document.decode())
             )
             return
-        ask = assembly.next_request()
-        if ask is not None:
-            self.transport.send(peer, ask)
+        request = assembler.next_request()
+        if request is not None:
+            self.transport.send(peer, request)
 
 
-def _ring(told: settings.NodeSettings) -> codec.KeyRing:
-    secret_by_id = {key.id: key.secret.encode() for key in told.exchange_keys}
-    return codec.KeyRing(told.exchange_keys[0].id, secret_by_id)
+def _key_ring(node_settings: settings.NodeSettings) -> codec.KeyRing:
+    secret_by_id = {key.id: key.secret.encode() for key in node_settings.exchange_keys}
+    return codec.KeyRing(node_settings.exchange_keys[0].id, secret_by_id)
 
 
 def _replica_digest(
@@ -340,7 +340,7 @@
 ) -> messages.ReplicaDigest:
     return messages.ReplicaDigest(
         replica=messages.key_hash(state.replica),
-        room_tokens=max(0, min(MOST_ROOM_TOKENS, int(state.headroom_tokens))),
+        room_tokens=max(0, min(MAX_ROOM_TOKENS, int(state.headroom_tokens))),
         queued=state.waiting,
         expected_wait_ms=int(state.expected_wait_s * MILLISECONDS),
         leaving=state.leaving or not catalog.takes_new_work(state.replica),
--- a/hornbeamglade/node/placing.py
+++ b/hornbeamglade/node/placing.py
@@ -1,4 +1,4 @@
-"""A node's part in the placement of the pools whose configuration wants models."""
+"""A node's part in placing models on the pools whose configuration requests them."""
 
 import concurrent.futures
 import dataclasses
@@ -15,26 +15,26 @@
 from hornbeamglade.node import siteview
 from hornbeamglade.store import contract
 
-CALLERS = 4
+MAX_WORKERS = 4
 POOL_PREFIX = "pool:"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Placed:
-    """A pool that is being placed, with the revision that it was told last."""
+    """The placer of a pool, with the last revision that was applied to it."""
 
     revision: int
     placer: placement.Placer
 
 
 class Placing:
-    """Steps one placer for each pool that wants models; all in one thread.
+    """Runs one placer for each pool that requests models, all in one thread.
 
-    :param holder: names this run of the node in leases.
+    :param holder: identifies this incarnation of the node in leases.
     :param node: this node's name.
     :param table: holds leases and the configuration's head.
     :param clock: monotonic time.
-    :param rng: spreads retries.
+    :param rng: randomizes retries.
     :param owners: the nodes among which the candidate for a pool is chosen.
     """
 
@@ -57,23 +57,23 @@
         self._placed_by_pool: dict[str, _Placed] = {}
         self._closed: frozenset[str] = frozenset()
         self._status_by_replica: dict[str, placement.PlacementStatus] = {}
-        self._executor = concurrent.futures.ThreadPoolExecutor(CALLERS, "placement")
+        self._executor = concurrent.futures.ThreadPoolExecutor(MAX_WORKERS, "placement")
 
     def closed(self) -> frozenset[str]:
-        """Return the replicas that no node may send new work to, as this node plans."""
+        """Return the replicas to which no node may send new work, according to this node."""
         return self._closed
 
     def statuses(self) -> dict[str, placement.PlacementStatus]:
-        """Return what is wanted, present, and why they differ, by replica."""
+        """Return the wanted and the present state and why they differ, by replica."""
         return self._status_by_replica
 
     def step(self, view: siteview.SiteView) -> None:
-        """Take a newer revision's goals and give the orders that are due.
+        """Apply the desired states of a newer revision and send the orders that are due.
 
         :param view: the configuration in force.
         """
         with self._lock:
-            self._follow(view)
+            self._update_pools(view)
             closed: set[str] = set()
             status_by_replica: dict[str, placement.PlacementStatus] = {}
             for placed in self._placed_by_pool.values():
@@ -84,7 +84,7 @@
             self._status_by_replica = status_by_replica
 
     def stop(self) -> None:
-        """Let go of every lease, so that another node need not wait for its end."""
+        """Release every lease, so that another node need not wait for its expiry."""
         with self._lock:
             for placed in self._placed_by_pool.values():
                 placed.placer.stop()
@@ -92,35 +92,35 @@
             self._closed = frozenset()
         self._executor.shutdown(wait=False, cancel_futures=True)
 
-    def _follow(self, view: siteview.SiteView) -> None:
+    def _update_pools(self, view: siteview.SiteView) -> None:
         pools = view.site.pool_by_name
         for name in tuple(self._placed_by_pool):
             if name not in pools or pools[name].wanted is None:
                 self._placed_by_pool.pop(name).placer.stop()
         for name, pool in pools.items():
             if pool.wanted is not None:
-                self._want(name, pool, view.revision)
+                self._update_pool(name, pool, view.revision)
 
-    def _want(self, name: str, pool: models.Pool, revision: int) -> None:
+    def _update_pool(self, name: str, pool: models.Pool, revision: int) -> None:
         placed = self._placed_by_pool.get(name)
         if placed is not None and placed.revision == revision:
             return
         wanted = orders.EngineState.from_configuration(pool.wanted)
-        goal = placement.DesiredState(revision, wanted, pool.replica_by_name)
+        desired = placement.DesiredState(revision, wanted, pool.replica_by_name)
         if placed is None:
-            placer = self._placer(name, goal)
+            placer = self._placer(name, desired)
         else:
             placer = placed.placer
-            placer.set_desired(goal)
+            placer.set_desired(desired)
         self._placed_by_pool[name] = _Placed(revision, placer)
 
-    def _placer(self, name: str, goal: placement.DesiredState) -> placement.Placer:
+    def _placer(self, name: str, desired: placement.DesiredState) -> placement.Placer:
         settings = placement.PlacerSettings()
         lease = leases.LeaseHolder(
             self._table, self._clock, name, self._holder, settings.term_s, settings.flight_s
         )
         rollout = placement.Rollout(
-            goal,
+            desired,
             placement.PlacementSettings(),
             settings.flight_s,
             self._rng,
--- a/hornbeamglade/node/plainhandler.py
+++ b/hornbeamglade/node/plainhandler.py
@@ -1,4 +1,4 @@
-"""Pass calls to plain services."""
+"""Forwards calls to plain services."""
 
 import collections
 import collections.abc
@@ -13,43 +13,43 @@
 from hornbeamglade.teams import limits
 
 MAX_ATTEMPTS = 3
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 CALL_TOKENS = 1
 NO_REPLICA_RETRY_S = 2.0
 NOT_FORWARDED = frozenset(("authorization", "x-team"))
-"""A team's key is for hornbeamglade alone; backend servers get the team's name."""
+"""A team's key is only meant for hornbeamglade; backend servers get the team's name."""
 
 TEAM_HEADER = "X-Team"
 
 
 class OutstandingCalls:
-    """Calls under way per replica; the least busy replica gets the next one."""
+    """Calls in progress per replica; the replica with the fewest gets the next one."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._count_by_replica: collections.Counter[str] = collections.Counter()
 
     def begin(self, replicas: collections.abc.Sequence[str]) -> str:
-        """Choose the replica with the fewest calls and count one more there."""
+        """Choose the replica with the fewest calls and add one call to it."""
         with self._lock:
             chosen = min(replicas, key=lambda each: self._count_by_replica[each])
             self._count_by_replica[chosen] += 1
             return chosen
 
     def end(self, replica: str) -> None:
-        """Count a call off."""
+        """Remove a call."""
         with self._lock:
             self._count_by_replica[replica] -= 1
 
     def count(self, replica: str) -> int:
-        """Return the calls under way at a replica."""
+        """Return the number of calls in progress at a replica."""
         return self._count_by_replica[replica]
 
 
 class PlainHandler:
     """Answers ``/services/{service}/{path}``.
 
-    :param parts: the node's parts.
+    :param parts: the node's components.
     """
 
     def __init__(self, parts: runtime.Runtime) -> None:
@@ -78,16 +78,16 @@
             refusal = outcomes.Refusal("body_too_large", 413, detail)
             return onceonly.before_claim(refusal, request)
         dispatch = self._parts.once.begin(team, name, service, request)
-        if not isinstance(dispatch, onceonly.OneDispatch):
+        if not isinstance(dispatch, onceonly.DispatchPermit):
             return dispatch
         try:
-            entered = self._parts.in_flight.enter(team, CALL_TOKENS, view.site.node.max_streams)
+            admission = self._parts.in_flight.enter(team, CALL_TOKENS, view.site.node.max_streams)
         except BaseException:
-            dispatch.ended()
+            dispatch.close()
             raise
-        if not isinstance(entered, limits.Admission):
-            dispatch.ended()
-            return entered
+        if not isinstance(admission, limits.Admission):
+            dispatch.close()
+            return admission
         scope = requestscope.RequestScope(
             self._parts,
             request.request_id,
@@ -95,7 +95,7 @@
             name,
             service,
             dispatch,
-            entered,
+            admission,
             attempts.fingerprint(team, request),
         )
         return self._run(scope, path, request)
@@ -109,8 +109,8 @@
             outcome = "finished" if isinstance(answer, problems.Response) else "refused"
             return answer
         finally:
-            took_s = self._parts.clock.now() - scope.started
-            self._parts.metrics.call_s.record(took_s, (scope.service_name,))
+            duration_s = self._parts.clock.now() - scope.started
+            self._parts.metrics.call_s.record(duration_s, (scope.service_name,))
             scope.end(outcome)
 
 
@@ -125,7 +125,7 @@
 
 
 class _Attempts(attempts.Attempts):
-    """The attempts of one call, one after the other."""
+    """The consecutive attempts of one call."""
 
     def __init__(
         self,
@@ -139,19 +139,19 @@
         self._outstanding = outstanding
         self._excluded: set[str] = set()
 
-    def _attempt(self, number: int) -> application.Answer | attempts.Failed:
+    def _attempt(self, number: int) -> application.Answer | attempts.FailedAttempt:
         known = self._choose()
         if known is None:
             return _no_replica(self._scope.service_name)
         self._excluded.add(known.name)
         try:
             if not self._scope.dispatch.may_dispatch():
-                return attempts.Failed(onceonly.barred(), may_repeat=False)
+                return attempts.FailedAttempt(onceonly.dispatch_barred_refusal(), may_retry=False)
             return self._dispatch(known, number)
         finally:
             self._outstanding.end(known.name)
 
-    def _choose(self) -> replicacatalog.Known | None:
+    def _choose(self) -> replicacatalog.KnownReplica | None:
         catalog = self._parts.catalog
         pool = [
             known
@@ -170,38 +170,40 @@
         return known_by_name[self._outstanding.begin(tuple(known_by_name))]
 
     def _dispatch(
-        self, known: replicacatalog.Known, attempt: int
-    ) -> problems.Response | attempts.Failed:
+        self, known: replicacatalog.KnownReplica, attempt: int
+    ) -> problems.Response | attempts.FailedAttempt:
         service = self._scope.service
         started = self._parts.clock.now()
-        self._scope.run_sent()
+        self._scope.mark_sent()
         cancellation = httpexchange.Cancellation()
-        self._scope.end_in_time(cancellation.cancel)
+        self._scope.cancel_at_deadline(cancellation.cancel)
         outcome = plaincalls.call(
             known.replica.address,
             self._call,
             f"{self._scope.request_id}.{attempt}",
-            httpexchange.Timeouts(CONNECT_S, service.first_token_s, service.progress_s),
+            httpexchange.Timeouts(CONNECT_TIMEOUT_S, service.first_token_s, service.progress_s),
             cancellation=cancellation,
         )
         if isinstance(outcome, plaincalls.PlainResponse):
             self._parts.catalog.succeeded(known.name, self._parts.clock.now() - started)
             answer = problems.Response(outcome.status, outcome.headers, outcome.body)
-            self._scope.dispatch.answered(answer)
+            self._scope.dispatch.record_response(answer)
             return answer
         if isinstance(outcome, backendoutcomes.NotRun):
-            self._scope.dispatch.not_run()
+            self._scope.dispatch.mark_not_run()
             if not outcome.refused_by_server:
                 self._parts.catalog.failed(known.name)
-            return attempts.Failed(
-                attempts.unanswered_refusal("backend_refused", outcome.reason), may_repeat=True
+            return attempts.FailedAttempt(
+                attempts.failed_attempt_refusal("backend_refused", outcome.reason), may_retry=True
             )
         self._parts.catalog.failed(known.name)
         if isinstance(outcome, backendoutcomes.MismatchedResponse):
-            return self._maybe_ran("answer_crossed", "the answer carried another request's id")
-        self._note_run(outcome.run)
-        self._scope.run_lost(known.name, known.replica.address)
-        return self._maybe_ran("backend_lost", outcome.reason)
+            return self._outcome_unknown(
+                "answer_crossed", "the answer carried another request's id"
+            )
+        self._record_run(outcome.run)
+        self._scope.report_lost_run(known.name, known.replica.address)
+        return self._outcome_unknown("backend_lost", outcome.reason)
 
 
 def _plain_call(team: str, path: str, request: application.CallerRequest) -> plaincalls.PlainCall:
--- a/hornbeamglade/node/replicacatalog.py
+++ b/hornbeamglade/node/replicacatalog.py
@@ -1,4 +1,4 @@
-"""What this node knows of every replica of its site, from its own polls and from peers."""
+"""State of every replica of the site, from this node's own polls and from peers."""
 
 import collections.abc
 import dataclasses
@@ -13,18 +13,18 @@
 from hornbeamglade.routing import candidates as candidatelib
 from hornbeamglade.routing import outliers, prefixes
 
-UNKNOWN_ROOM_TOKENS = 0
-LOOKED_AT = 32
-"""Replicas of others that a request's choice looks at, beside this node's own."""
+UNKNOWN_HEADROOM_TOKENS = 0
+MAX_REMOTE_CANDIDATES = 32
+"""Replicas of other owners that are considered for a request, besides this node's own."""
 
-CLOSED_LIFE_S = 20.0
-"""Longer than placement's plans live, and its orders fly, after the last telling."""
+CLOSED_TIMEOUT_S = 20.0
+"""Longer than a placement plan is valid, or its orders are in flight, after it was announced."""
 
 REPORT_LIFE_S = replicascheduler.REPORT_LIFE_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Known:
+class KnownReplica:
     """A replica of the configuration, with the pool that it belongs to.
 
     :param name: the replica's name; unique within the site.
@@ -38,10 +38,10 @@
 
 
 class ReplicaCatalog:
-    """Addresses, reports, prefixes and standing of replicas.
+    """Addresses, load reports, cached prefixes and health of replicas.
 
     :param clock: monotonic time.
-    :param digests: what other owners said.
+    :param digests: the digests received from other owners.
     """
 
     def __init__(self, clock: clocks.Clock, digests: digestcache.DigestCache) -> None:
@@ -51,19 +51,19 @@
         self._outliers_by_pool: dict[str, outliers.OutlierDetector] = {}
         self._prefixes_by_replica: dict[str, prefixes.PrefixIndex] = {}
         self._rng = random.Random(0)
-        self._known_by_pool: dict[str, list[Known]] = {}
+        self._known_by_pool: dict[str, list[KnownReplica]] = {}
         self._closed_until_by_replica: dict[str, float] = {}
-        self.known_by_name: dict[str, Known] = {}
+        self.known_by_name: dict[str, KnownReplica] = {}
         self.report_by_replica: dict[str, loadreports.LoadReport] = {}
 
     def configure(self, pool_by_name: collections.abc.Mapping[str, models.Pool]) -> None:
-        """Take the pools of a new revision; what is known of those that stay is kept."""
+        """Set the pools of a new revision; the state of replicas that remain is kept."""
         known = {
-            name: Known(name, pool_name, replica)
+            name: KnownReplica(name, pool_name, replica)
             for pool_name, pool in pool_by_name.items()
             for name, replica in pool.replica_by_name.items()
         }
-        known_by_pool: dict[str, list[Known]] = {}
+        known_by_pool: dict[str, list[KnownReplica]] = {}
         for each in known.values():
             known_by_pool.setdefault(each.pool, []).append(each)
         with self._lock:
@@ -80,19 +80,19 @@
                 del self.report_by_replica[gone]
 
     def reported(self, replica: str, report: loadreports.LoadReport) -> None:
-        """Keep the newest report of a replica that this node polls."""
+        """Record the newest report of a replica that this node polls."""
         with self._lock:
             self.report_by_replica[replica] = report
 
     def succeeded(self, replica: str, latency_s: float) -> None:
-        """Note an answer; see :meth:`outliers.OutlierDetector.succeeded`."""
+        """Record a success; see :meth:`outliers.OutlierDetector.succeeded`."""
         with self._lock:
             detector = self._detector(replica)
             if detector is not None:
                 detector.succeeded(replica, latency_s, self._clock.now())
 
     def failed(self, replica: str) -> None:
-        """Note a failure of the replica itself."""
+        """Record a failure of the replica itself."""
         with self._lock:
             detector = self._detector(replica)
             if detector is not None:
@@ -105,7 +105,7 @@
             return None if detector is None else detector.probe_due(self._clock.now())
 
     def is_ejected(self, replica: str) -> bool:
-        """Tell whether outlier detection has taken the replica out of use."""
+        """Return whether outlier detection has ejected the replica."""
         with self._lock:
             detector = self._detector(replica)
             return detector is not None and detector.is_ejected(replica)
@@ -113,17 +113,17 @@
     def cache_events(
         self, replica: str, events: collections.abc.Iterable[prefixes.CacheEvent]
     ) -> None:
-        """Take events of a replica's prefix cache."""
+        """Apply events of a replica's prefix cache."""
         with self._lock:
             self._index(replica).apply(events, self._clock.now())
 
     def prefix_sequence(self, replica: str) -> int:
-        """Return the sequence number of the last cache event taken."""
+        """Return the sequence number of the last applied cache event."""
         with self._lock:
             return self._index(replica).sequence
 
     def expect_prefix(self, replica: str, prefix: tuple[int, ...]) -> None:
-        """Note that a prompt was sent to a replica, which will then hold its prefix."""
+        """Record that a prompt was sent to a replica, which will then cache its prefix."""
         with self._lock:
             self._index(replica).expect(prefix, self._clock.now())
 
@@ -134,46 +134,46 @@
         excluded: frozenset[str],
         state_by_replica: collections.abc.Mapping[str, schedulerset.SchedulerState],
     ) -> tuple[candidatelib.Candidate, ...]:
-        """Return the replicas of a pool as the routing choice wants them.
+        """Return the replicas of a pool as candidates for routing.
 
         :param pool: the pool's name.
         :param prefix: the prompt's block hashes.
         :param excluded: replicas that failed this request already.
-        :param state_by_replica: this node's own schedulers.
+        :param state_by_replica: the states of this node's own schedulers.
         """
         usable = [
             known for known in self._known_by_pool.get(pool, ()) if known.name not in excluded
         ]
         return tuple(
             self._candidate(known, prefix, state_by_replica.get(known.name))
-            for known in self._looked_at(usable, state_by_replica)
+            for known in self._sample(usable, state_by_replica)
         )
 
-    def _looked_at(
-        self, usable: list[Known], state_by_replica: collections.abc.Mapping[str, object]
-    ) -> list[Known]:
-        """Leave out most of a large pool: looking at 600 replicas takes 13 ms a request."""
-        if len(usable) <= LOOKED_AT:
+    def _sample(
+        self, usable: list[KnownReplica], state_by_replica: collections.abc.Mapping[str, object]
+    ) -> list[KnownReplica]:
+        """Sample a large pool, as considering 600 replicas takes 13 ms per request."""
+        if len(usable) <= MAX_REMOTE_CANDIDATES:
             return usable
         own = [known for known in usable if known.name in state_by_replica]
         others = [known for known in usable if known.name not in state_by_replica]
-        return own + self._rng.sample(others, min(LOOKED_AT, len(others)))
+        return own + self._rng.sample(others, min(MAX_REMOTE_CANDIDATES, len(others)))
 
     def close(self, replica: str) -> None:
-        """Keep new work from a replica whose models are about to change."""
-        self._closed_until_by_replica[replica] = self._clock.now() + CLOSED_LIFE_S
+        """Send no new work to a replica whose models are about to change."""
+        self._closed_until_by_replica[replica] = self._clock.now() + CLOSED_TIMEOUT_S
 
     def is_closed(self, replica: str) -> bool:
-        """Tell whether placement has closed the replica, and told so lately."""
+        """Return whether placement announced lately that it has closed the replica."""
         return self._closed_until_by_replica.get(replica, 0.0) > self._clock.now()
 
     def takes_new_work(self, replica: str) -> bool:
-        """Tell whether the replica said lately that it does not leave.
+        """Return whether the replica reported lately that it is not leaving.
 
         Explanation
         ===========
 
-        Silence counts as leaving: a replica that was told to leave may be cut off
+        A missing report counts as leaving: a leaving replica may be partitioned
         from this node, and after ``REPORT_LIFE_S`` it must get no new work.
         """
         if self.is_closed(replica):
@@ -182,27 +182,31 @@
         report = self.report_by_replica.get(replica)
         if report is not None and now - report.received_at + report.age_s < REPORT_LIFE_S:
             return not report.leaving
-        heard = self._digests.newest(replica)
-        if heard is None or now - heard.heard_at > REPORT_LIFE_S:
+        received = self._digests.newest(replica)
+        if received is None or now - received.received_at > REPORT_LIFE_S:
             return False
-        return not heard.digest.leaving
+        return not received.digest.leaving
 
-    def _said_to_leave(self, replica: str) -> bool:
-        """Tell whether the newest word of a replica is that it leaves.
+    def _is_reported_leaving(self, replica: str) -> bool:
+        """Return whether the newest report or digest of a replica says that it is leaving.
 
-        Unlike :meth:`takes_new_work`, silence says nothing here: with many nodes most
-        owners are heard by chance only, and the owner's scheduler refuses in the end.
+        Unlike in :meth:`takes_new_work`, a missing report does not count: with many nodes the
+        heartbeats of most owners arrive only by chance, and the owner's scheduler refuses
+        requests to a leaving replica anyway.
         """
         report = self.report_by_replica.get(replica)
-        heard = self._digests.newest(replica)
-        if report is not None and (heard is None or report.received_at > heard.heard_at):
+        received = self._digests.newest(replica)
+        if report is not None and (received is None or report.received_at > received.received_at):
             return report.leaving
-        return heard is not None and heard.digest.leaving
+        return received is not None and received.digest.leaving
 
     def _candidate(
-        self, known: Known, prefix: tuple[int, ...], state: schedulerset.SchedulerState | None
+        self,
+        known: KnownReplica,
+        prefix: tuple[int, ...],
+        state: schedulerset.SchedulerState | None,
     ) -> candidatelib.Candidate:
-        heard = self._digests.newest(known.name)
+        received = self._digests.newest(known.name)
         with self._lock:
             held = self._index(known.name).cached_tokens(prefix, self._clock.now())
             detector = self._outliers_by_pool[known.pool]
@@ -210,14 +214,14 @@
             slow_factor = detector.slow_factor(known.name)
         return candidatelib.Candidate(
             replica=known.name,
-            owner="" if state is not None or heard is None else heard.owner,
+            owner="" if state is not None or received is None else received.owner,
             local=state is not None,
-            room_tokens=_room(state, heard),
-            queued=_queued(state, heard),
-            expected_wait_s=_expected_wait_s(state, heard),
-            report_age_s=0.0 if state is not None else self._digests.age_s(heard),
+            room_tokens=_headroom_tokens(state, received),
+            queued=_queued(state, received),
+            expected_wait_s=_expected_wait_s(state, received),
+            report_age_s=0.0 if state is not None else self._digests.age_s(received),
             failure_domain=known.replica.failure_domain,
-            leaving=self._said_to_leave(known.name),
+            leaving=self._is_reported_leaving(known.name),
             ejected=is_ejected,
             slow_factor=slow_factor,
             cached_prefix_tokens=held,
@@ -231,23 +235,25 @@
         return self._prefixes_by_replica.setdefault(replica, prefixes.PrefixIndex())
 
 
-def _room(state: schedulerset.SchedulerState | None, heard: digestcache.HeardDigest | None) -> int:
+def _headroom_tokens(
+    state: schedulerset.SchedulerState | None, received: digestcache.ReceivedDigest | None
+) -> int:
     if state is not None:
         return int(state.headroom_tokens)
-    return UNKNOWN_ROOM_TOKENS if heard is None else heard.digest.room_tokens
+    return UNKNOWN_HEADROOM_TOKENS if received is None else received.digest.room_tokens
 
 
 def _queued(
-    state: schedulerset.SchedulerState | None, heard: digestcache.HeardDigest | None
+    state: schedulerset.SchedulerState | None, received: digestcache.ReceivedDigest | None
 ) -> int:
     if state is not None:
         return state.waiting
-    return 0 if heard is None else heard.digest.queued
+    return 0 if received is None else received.digest.queued
 
 
 def _expected_wait_s(
-    state: schedulerset.SchedulerState | None, heard: digestcache.HeardDigest | None
+    state: schedulerset.SchedulerState | None, received: digestcache.ReceivedDigest | None
 ) -> float:
     if state is not None:
         return state.expected_wait_s
-    return 0.0 if heard is None else heard.digest.expected_wait_ms / 1000
+    return 0.0 if received is None else received.digest.expected_wait_ms / 1000
--- a/hornbeamglade/node/requestscope.py
+++ b/hornbeamglade/node/requestscope.py
@@ -1,4 +1,4 @@
-"""What one request holds at this node, given back exactly once."""
+"""The resources that one request holds at this node, released exactly once."""
 
 import contextlib
 import threading
@@ -13,14 +13,14 @@
 class RequestScope:
     """A request's place in its team's limit, its claim and its grant.
 
-    :param parts: the node's parts.
+    :param parts: the node's components.
     :param request_id: the request's id.
     :param team: the team's name.
     :param service_name: the service's name.
     :param service: the service's configuration.
-    :param dispatch: the right to dispatch the request.
-    :param entered: its place in the team's limit.
-    :param fingerprint: by which the same request is known when it comes again.
+    :param dispatch: the permit to dispatch the request.
+    :param admission: its place in the team's limit.
+    :param fingerprint: identifies repetitions of the same request.
     """
 
     def __init__(
@@ -30,8 +30,8 @@
         team: str,
         service_name: str,
         service: models.Service,
-        dispatch: onceonly.OneDispatch,
-        entered: limits.Admission,
+        dispatch: onceonly.DispatchPermit,
+        admission: limits.Admission,
         fingerprint: int,
     ) -> None:
         self.parts = parts
@@ -43,7 +43,7 @@
         self.dispatch = dispatch
         self.started = parts.clock.now()
         self.grant: grantacquirer.Grant | None = None
-        self._entered = entered
+        self._admission = admission
         self._lock = threading.Lock()
         self._is_ended = False
         self._deadline: int | None = None
@@ -51,36 +51,36 @@
 
     @property
     def ends_at(self) -> float:
-        """Monotonic seconds at which the request's time is over."""
+        """Monotonic seconds of the request's deadline."""
         return self.started + self.service.total_s
 
-    def end_in_time(self, cancel: Callable[[], None]) -> None:
-        """Have the attempt under way cancelled when the request's time is over.
+    def cancel_at_deadline(self, cancel: Callable[[], None]) -> None:
+        """Cancel the current attempt when the request's deadline passes.
 
-        :param cancel: replaces the one of an earlier attempt.
+        :param cancel: replaces the callback of an earlier attempt.
         """
         if self._deadline is not None:
             self.parts.deadlines.remove(self._deadline)
         self._deadline = self.parts.deadlines.add(self.ends_at, cancel)
 
-    def run_lost(self, replica: str, address: str) -> None:
-        """Take note that the connection of its run at a replica ended before the answer."""
-        self.parts.crashes.run_lost(self.fingerprint, replica, address, self._sent_at)
+    def report_lost_run(self, replica: str, address: str) -> None:
+        """Report that the connection to a replica ended before the response was complete."""
+        self.parts.crashes.check_lost_run(self.fingerprint, replica, address, self._sent_at)
 
-    def run_sent(self) -> None:
-        """Take note that it is being sent to a replica."""
+    def mark_sent(self) -> None:
+        """Record the time at which the request is sent to a replica."""
         self._sent_at = self.parts.clock.now()
 
     def release_grant(self) -> None:
-        """Give the grant back; idempotent."""
+        """Release the grant; idempotent."""
         if self.grant is not None:
             self.grant.release()
             self.grant = None
 
     def end(self, outcome: str) -> None:
-        """Give everything back and count the outcome; only the first call counts.
+        """Release all resources and count the outcome; later calls have no effect.
 
-        :param outcome: a short word for the metrics.
+        :param outcome: the label for the metrics.
         """
         with self._lock:
             if self._is_ended:
@@ -88,9 +88,9 @@
             self._is_ended = True
         if self._deadline is not None:
             self.parts.deadlines.remove(self._deadline)
-        # Each is given back whatever becomes of the others, the last one first.
+        # Each resource is released even if releasing another one fails, in reverse order.
         with contextlib.ExitStack() as stack:
             stack.callback(self.parts.metrics.requests.add, labels=(self.service_name, outcome))
-            stack.callback(self.parts.in_flight.leave, self._entered)
-            stack.callback(self.dispatch.ended)
+            stack.callback(self.parts.in_flight.leave, self._admission)
+            stack.callback(self.dispatch.close)
             stack.callback(self.release_grant)
--- a/hornbeamglade/node/runtime.py
+++ b/hornbeamglade/node/runtime.py
@@ -1,4 +1,4 @@
-"""The parts of one node that its request handlers share."""
+"""The components of one node that its request handlers share."""
 
 import dataclasses
 import threading
@@ -21,13 +21,13 @@
 
 
 class Views:
-    """The site view that requests are judged by, derived once per revision.
+    """The site view that requests are checked against, derived once per revision.
 
     Explanation
     ===========
 
-    A revision is published only after limits, schedulers and replicas were configured by
-    it. Guards requests that come between: their team would be known to the view and
+    A revision is published only after limits, schedulers and replicas were configured for
+    it. Guards requests that arrive in between: their team would be known to the view but
     unknown to the limits, and the caller would get an internal error.
 
     :param source: the configuration's follower.
@@ -52,7 +52,7 @@
         return siteview.derive(in_force)
 
     def publish(self, view: siteview.SiteView) -> None:
-        """Have requests judged by ``view`` from now on."""
+        """Use ``view`` for requests from now on."""
         self._view = view
 
 
@@ -64,12 +64,12 @@
         self._budget_by_service: dict[str, budget.RetryBudget] = {}
 
     def requested(self, service: str) -> None:
-        """Note a request's first attempt."""
+        """Record a request's first attempt."""
         with self._lock:
             self._of(service).record_request()
 
     def spend(self, service: str, *, repeatable: bool) -> bool:
-        """Take one retry from the budget, if it may be."""
+        """Take one retry from the budget, if permitted."""
         with self._lock:
             return self._of(service).spend(repeatable=repeatable)
 
@@ -80,21 +80,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Runtime:
-    """Everything a handler needs, made by the daemon.
+    """The components that handlers need, created by the daemon.
 
     :param clock: the node's clock.
     :param views: the configuration in force.
-    :param catalog: what is known of replicas.
+    :param catalog: the state of the known replicas.
     :param schedulers: this node's schedulers.
-    :param acquirer: gets grants.
+    :param acquirer: acquires grants.
     :param once: claims requests that are not repeatable.
-    :param in_flight: bounds on what is in flight.
+    :param in_flight: limits on requests in flight.
     :param budgets: retry budgets.
-    :param lengths: what was learned of answer lengths.
-    :param metrics: the node's instruments.
-    :param deadlines: ends requests whose time is over.
+    :param lengths: the learned distributions of response lengths.
+    :param metrics: the node's metrics.
+    :param deadlines: ends requests whose deadline has passed.
     :param quarantine: refuses requests that crash their replicas.
-    :param crashes: finds out which lost runs were ended by a crash.
+    :param crashes: checks which lost runs were ended by a crash.
     """
 
     clock: clocks.Clock
--- a/hornbeamglade/node/settings.py
+++ b/hornbeamglade/node/settings.py
@@ -1,4 +1,4 @@
-"""What one entry node is told at its start, from a YAML file."""
+"""Settings of one entry node, read at its start from a YAML file."""
 
 import pathlib
 from typing import Annotated
@@ -14,7 +14,7 @@
 
 
 def _checked_address(address: str) -> str:
-    """Return an ``ip:port``; port 0 takes a free one."""
+    """Return a checked ``ip:port``; port 0 selects a free port."""
     host, _, port = address.rpartition(":")
     if port == "0":
         models.checked_address(f"{host}:1")
@@ -29,7 +29,7 @@
 class ExchangeKey(pydantic.BaseModel):
     """A secret shared by a site's nodes; two are listed during a rotation.
 
-    :param id: names the key in each frame.
+    :param id: identifies the key in each frame.
     :param secret: at least 16 characters.
     """
 
@@ -44,15 +44,15 @@
 
     :param name: unique within the operator, as in the platform's instance list.
     :param site: which overlay of the configuration applies.
-    :param failure_domain: where the instance stands.
-    :param callers: ``ip:port`` on which callers are served.
+    :param failure_domain: the failure domain of the instance.
+    :param callers: ``ip:port`` to serve callers on.
     :param exchange: ``ip:port`` (UDP) for the other nodes.
     :param platform: base URL of the operator's platform.
-    :param exchange_keys: the newest first; the first signs, all are accepted.
-    :param seeds: ``ip:port`` for callers of nodes that may be up; one of them is asked for
-        the others while the platform's store is away.
+    :param exchange_keys: the newest first; the first one signs, all are accepted.
+    :param seeds: ``ip:port`` for callers of nodes that may be running; one of them is queried for
+        the others while the platform's store is unavailable.
     :param threads: caller connections served at once.
-    :param hard_stop_s: a planned stop cuts streams after so long; None never does.
+    :param hard_stop_s: a planned stop aborts streams after this time; None never does.
     :param log: path for structured logs; None writes to standard error.
     """
 
--- a/hornbeamglade/node/siteview.py
+++ b/hornbeamglade/node/siteview.py
@@ -1,4 +1,4 @@
-"""What a node derives from the revision in force, once per revision."""
+"""The view of the active revision that a node derives once per revision."""
 
 import dataclasses
 
@@ -11,13 +11,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SiteView:
-    """A revision in the form in which requests are judged by it.
+    """A revision in the form in which requests are checked against it.
 
     :param revision: the revision's number.
     :param site: the site's configuration.
     :param directory: finds the team of a key.
-    :param service_by_model: names of generation services by what callers put in ``model``.
-    :param weight_sum: the weights of all teams together.
+    :param service_by_model: names of generation services by the ``model`` that callers specify.
+    :param weight_sum: the sum of the weights of all teams.
     """
 
     revision: int
@@ -27,7 +27,7 @@
     weight_sum: float
 
     def team_share(self, team: str) -> float:
-        """Return a team's part of all weights, which every node computes alike."""
+        """Return a team's part of all weights, which is the same on every node."""
         return self.site.team_by_name[team].weight / self.weight_sum
 
     def team_limits(self) -> tuple[teamlimits.TeamLimit, ...]:
@@ -35,7 +35,7 @@
         return tuple(_team_limit(name, team) for name, team in self.site.team_by_name.items())
 
     def max_body_bytes(self) -> int:
-        """Return the largest body that any service takes."""
+        """Return the maximum body size that any service accepts."""
         bounds = (service.max_body_bytes for service in self.site.service_by_name.values())
         return max(bounds, default=0)
 
@@ -43,7 +43,7 @@
         """Return a service if the team may call it.
 
         An unknown service and one that the team may not call get different codes:
-        names of services are no secret within a site.
+        the names of services are not secret within a site.
         """
         found = self.site.service_by_name.get(service)
         if found is None:
@@ -57,7 +57,7 @@
 def derive(in_force: following.ActiveRevision) -> SiteView:
     """Derive the view of a revision.
 
-    :param in_force: the revision and the site's configuration by it.
+    :param in_force: the revision and the site's configuration in it.
     """
     site = in_force.site
     keys = (identity.TeamKeys(name, team.key_hashes) for name, team in site.team_by_name.items())
@@ -75,7 +75,7 @@
 
 
 def not_ready(code: str) -> outcomes.Refusal:
-    """Return the refusal of a node that has no configuration to serve by.
+    """Return the refusal of a node that has no active configuration.
 
     :param code: the readiness code.
     """
--- a/hornbeamglade/node/statuses.py
+++ b/hornbeamglade/node/statuses.py
@@ -1,4 +1,4 @@
-"""Fill the status page of a node."""
+"""Builds the status page of a node."""
 
 from collections.abc import Callable
 
@@ -11,21 +11,21 @@
 
 
 class Statuses:
-    """Makes the status page.
+    """Builds the status page.
 
-    :param told: the node's settings.
-    :param address: where callers are served, as bound.
-    :param incarnation: this run of the node.
-    :param parts: the node's parts.
+    :param node_settings: the node's settings.
+    :param address: the bound address for callers.
+    :param incarnation: this incarnation of the node.
+    :param parts: the node's components.
     :param config: the configuration's follower.
-    :param peers: knows the owners.
-    :param state: returns the node's state in a word.
-    :param places: knows what is wanted of engines and why they differ.
+    :param peers: provides the owners of replicas.
+    :param state: returns the name of the node's state.
+    :param places: provides the wanted state of engines and why the present state differs.
     """
 
     def __init__(
         self,
-        told: settings.NodeSettings,
+        node_settings: settings.NodeSettings,
         address: str,
         incarnation: int,
         parts: runtime.Runtime,
@@ -34,7 +34,7 @@
         state: Callable[[], str],
         places: placing.Placing,
     ) -> None:
-        self._told = told
+        self._settings = node_settings
         self._address = address
         self._incarnation = incarnation
         self._parts = parts
@@ -44,14 +44,14 @@
         self._places = places
 
     def page(self) -> statuspage.NodeStatus:
-        """Return the page as things stand."""
+        """Return the current status."""
         view = self._parts.views.current()
         states = self._parts.schedulers.states()
         owned = self._peers.owned()
         age_s = self._config.age_s
         return statuspage.NodeStatus(
-            name=self._told.name,
-            failure_domain=self._told.failure_domain,
+            name=self._settings.name,
+            failure_domain=self._settings.failure_domain,
             address=self._address,
             state=self._state(),
             config_revision=view.revision if isinstance(view, siteview.SiteView) else 0,
@@ -75,12 +75,12 @@
             },
         )
 
-    def _known(self) -> list[replicacatalog.Known]:
+    def _known(self) -> list[replicacatalog.KnownReplica]:
         return sorted(self._parts.catalog.known_by_name.values(), key=lambda known: known.name)
 
     def _replica(
         self,
-        known: replicacatalog.Known,
+        known: replicacatalog.KnownReplica,
         state: schedulerset.SchedulerState | None,
         is_owned: bool,
     ) -> statuspage.ReplicaStatus:
--- a/tests/node/fakeparts.py
+++ b/tests/node/fakeparts.py
@@ -1,4 +1,4 @@
-"""A request's surroundings at a node, with what each test looks at."""
+"""Fakes of a node's components, with records for the tests to inspect."""
 
 import types
 
@@ -30,8 +30,8 @@
     return Finished(data, "stop", count)
 
 
-class Link:
-    """A connection's events; counts its cancels."""
+class FakeConnection:
+    """The events of a connection; counts its cancellations."""
 
     def __init__(self, *events):
         self.events = events
@@ -45,7 +45,7 @@
 
 
 class Parts:
-    """Stands for the node's runtime; ``calls`` are what was given back and noted."""
+    """Fake of the node's runtime; ``calls`` records releases and statistics."""
 
     def __init__(self):
         self.calls = []
@@ -61,18 +61,18 @@
         self.once = onceonly.OnceOnly(self.store)
 
     def observe_length(self, service, team, tokens, *, censored):
-        self.calls.append(("learn", tokens, censored))
+        self.calls.append(("observe_length", tokens, censored))
 
     def succeeded(self, replica, latency_s):
         self.calls.append(("succeeded", replica))
 
-    def leave(self, entered):
+    def leave(self, admission):
         self.calls.append("leave")
 
     def completed(self, fingerprint):
         self.completions.append(fingerprint)
 
-    def run_lost(self, fingerprint, replica, address, began_at):
+    def check_lost_run(self, fingerprint, replica, address, began_at):
         self.lost_runs.append((fingerprint, replica))
 
     def release(self):
@@ -88,22 +88,22 @@
 
     def scope(self, dispatch=None):
         service = models.Service(kind="generation", pool="p", model="m", total_s=60.0)
-        made = requestscope.RequestScope(
+        scope = requestscope.RequestScope(
             self,
             "r1",
             "clerks",
             "drafts",
             service,
-            dispatch or onceonly.OneDispatch(is_repeatable=True),
+            dispatch or onceonly.DispatchPermit(is_repeatable=True),
             limits.Admission("clerks", 10),
             FINGERPRINT,
         )
-        made.grant = types.SimpleNamespace(release=self.release, produced=0)
-        return made
+        scope.grant = types.SimpleNamespace(release=self.release, produced=0)
+        return scope
 
 
-def make_source(clock, link, repeatable=True, resumable=True, note=lambda _: None):
+def make_source(clock, link, repeatable=True, resumable=True, on_resume=lambda _: None):
     state = generationstream.GenerationStream(repeatable, resumable)
     state.begin(GENERATION)
     target = generationsource.Target("e1", "127.0.0.1:1", GENERATION, httpexchange.Timeouts())
-    return generationsource.GenerationSource(target, link, state, clock, note), state
+    return generationsource.GenerationSource(target, link, state, clock, on_resume), state
--- a/tests/node/test_delivery.py
+++ b/tests/node/test_delivery.py
@@ -18,8 +18,8 @@
     def __init__(self, *events, dispatch=None, parts=None):
         self.parts = parts or fakeparts.Parts()
         self.scope = self.parts.scope(dispatch)
-        self.link = fakeparts.Link(*events)
-        source, state = fakeparts.make_source(self.parts.clock, self.link, resumable=False)
+        self.connection = fakeparts.FakeConnection(*events)
+        source, state = fakeparts.make_source(self.parts.clock, self.connection, resumable=False)
         self.delivery = delivery.Delivery(
             self.scope, source, iter(events), state, generationcalls.COMPLETIONS_PATH
         )
@@ -33,13 +33,18 @@
     return json.loads(line.removeprefix("data: "))["error"]
 
 
-def test_each_token_is_delivered_once_and_the_end_is_said():
+def test_each_token_is_delivered_once_and_the_end_is_signalled():
     case = Case(token(0), token(0), KeepAlive(), token(1), finished(2))
     text = case.text()
     case.delivery.close()
     case.delivery.close()
     assert [text.count(word) for word in ("t0", "t1", "keep-alive", "[DONE]")] == [1, 1, 1, 1]
-    assert case.parts.calls == [("learn", 2, False), ("succeeded", "e1"), "release", "leave"]
+    assert case.parts.calls == [
+        ("observe_length", 2, False),
+        ("succeeded", "e1"),
+        "release",
+        "leave",
+    ]
 
 
 @pytest.mark.parametrize(
@@ -55,21 +60,21 @@
         ((finished(1),), "tokens_missing", "unknown"),
     ],
 )
-def test_a_cut_answer_ends_with_one_error_and_never_done(events, code, run):
-    """An answer breaks off, or its last tokens are lost, which no later offset shows.
+def test_an_incomplete_response_ends_with_one_error_and_without_done(events, code, run):
+    """A response ends early, or its last tokens are lost, which no later offset reveals.
 
-    A [DONE] would have the caller take half a text for the whole one.
+    With a [DONE] the caller would take the truncated text for the complete one.
     """
     case = Case(*events)
     text = case.text()
     case.delivery.close()
     assert (error_of(text)["code"], error_of(text)["run"]) == (code, run)
     assert "[DONE]" not in text
-    assert case.link.cancels == 1
+    assert case.connection.cancels == 1
     assert case.parts.calls.count("release") == case.parts.calls.count("leave") == 1
 
 
-def test_a_request_ends_when_its_time_is_over():
+def test_a_request_ends_at_its_deadline():
     case = Case(token(0), KeepAlive(), token(1), finished(2))
     pieces = iter(case.delivery)
     next(pieces)
@@ -79,10 +84,10 @@
     assert "t1" not in rest
 
 
-def test_an_answer_that_runs_once_is_recorded_after_its_caller_left():
-    """The caller of a reply that may be sent once hangs up after its first token.
+def test_response_of_a_claimed_request_is_recorded_after_its_caller_disconnected():
+    """The caller of a request that runs at most once disconnects after the first token.
 
-    Its retry must get the answer, and must not run the request again.
+    Its retry must get the response, and must not run the request again.
     """
     parts = fakeparts.Parts()
     dispatch = parts.begin()
@@ -95,7 +100,7 @@
     assert [replayed.body.count(word) for word in (b"t0", b"t1", b"[DONE]")] == [1, 1, 1]
 
 
-def test_an_answer_that_runs_once_and_is_cut_is_not_run_again():
+def test_claimed_request_with_an_incomplete_response_is_not_run_again():
     parts = fakeparts.Parts()
     dispatch = parts.begin()
     assert dispatch.may_dispatch()
@@ -106,39 +111,45 @@
     assert (retried.code, retried.run) == ("claim_outcome_unknown", outcomes.RunStatus.UNKNOWN)
 
 
-def test_a_repeatable_answer_ends_with_its_caller():
+def test_a_repeatable_generation_is_cancelled_when_its_caller_disconnects():
     case = Case(token(0), token(1), finished(2))
     next(iter(case.delivery))
     case.delivery.close()
-    assert case.link.cancels == 1
-    assert case.parts.calls == [("learn", 1, True), "release", "leave"]
+    assert case.connection.cancels == 1
+    assert case.parts.calls == [("observe_length", 1, True), "release", "leave"]
 
 
-def test_a_whole_answer_is_one_json_document():
+def test_a_complete_response_is_one_json_document():
     case = Case(token(0), KeepAlive(), token(1), finished(2))
-    answer = case.delivery.whole(lambda: False)
+    answer = case.delivery.read_whole(lambda: False)
     assert json.loads(answer.body)["choices"][0]["text"] == "t0t1"
 
 
-def test_a_cut_whole_answer_is_no_answer():
-    cut = Case(token(0), fakeparts.Lost("reset")).delivery.whole(lambda: False)
+def test_an_incomplete_generation_is_returned_as_a_refusal():
+    cut = Case(token(0), fakeparts.Lost("reset")).delivery.read_whole(lambda: False)
     assert (cut.refusal.code, cut.refusal.run) == ("link_lost", outcomes.RunStatus.RAN)
 
 
-def test_an_abandoned_generation_gives_back_only_its_grant():
+def test_an_abandoned_generation_releases_only_its_grant():
     case = Case(token(0), fakeparts.Lost("reset"))
-    case.delivery.whole(lambda: False)
+    case.delivery.read_whole(lambda: False)
     case.delivery.abandon()
     case.delivery.close()
-    assert case.parts.calls == [("learn", 1, True), "release"]
+    assert case.parts.calls == [("observe_length", 1, True), "release"]
 
 
-def test_a_lost_link_is_looked_into_and_a_whole_answer_clears_its_request():
-    """Guards engines against a prompt that crashes each of them, and callers against blame."""
-    torn = Case(token(0), fakeparts.Lost("reset"))
-    whole = Case(token(0), finished(1))
-    for case in (torn, whole):
+def test_a_lost_connection_is_checked_for_a_crash_and_a_complete_response_clears_its_request():
+    """Guards engines against prompts that crash them, and harmless requests against quarantine."""
+    incomplete = Case(token(0), fakeparts.Lost("reset"))
+    complete = Case(token(0), finished(1))
+    for case in (incomplete, complete):
         list(case.delivery)
         case.delivery.close()
-    assert (torn.parts.lost_runs, torn.parts.completions) == ([(fakeparts.FINGERPRINT, "e1")], [])
-    assert (whole.parts.lost_runs, whole.parts.completions) == ([], [fakeparts.FINGERPRINT])
+    assert (incomplete.parts.lost_runs, incomplete.parts.completions) == (
+        [(fakeparts.FINGERPRINT, "e1")],
+        [],
+    )
+    assert (complete.parts.lost_runs, complete.parts.completions) == (
+        [],
+        [fakeparts.FINGERPRINT],
+    )
--- a/tests/node/test_generationsource.py
+++ b/tests/node/test_generationsource.py
@@ -11,46 +11,46 @@
 
 @pytest.fixture
 def engine(monkeypatch):
-    """Stands for the engine's resume: gives the listed outcomes one after the other."""
+    """Fake of the engine's resume; returns the listed outcomes in order."""
 
     class Engine:
         def __init__(self):
             self.outcomes = []
-            self.asked_after = []
+            self.resume_offsets = []
             self.cancelled = []
 
         def resume(self, address, generation, offset, timeouts):
             assert generation == fakeparts.GENERATION
-            self.asked_after.append(offset)
+            self.resume_offsets.append(offset)
             return self.outcomes.pop(0)
 
-        def submit(self, _act, _address, generation, _timeouts):
+        def submit(self, _action, _address, generation, _timeouts):
             self.cancelled.append(generation)
 
-    made = Engine()
-    monkeypatch.setattr(generations, "resume", made.resume)
-    monkeypatch.setattr(generationsource, "CANCELS", made)
-    return made
+    fake = Engine()
+    monkeypatch.setattr(generations, "resume", fake.resume)
+    monkeypatch.setattr(generationsource, "CANCEL_EXECUTOR", fake)
+    return fake
 
 
 def read(source, state):
-    """Take events as a delivery does."""
-    taken = []
+    """Read events as a delivery does."""
+    received = []
     for event in source:
         if hasattr(event, "offset"):
             state.accept(fakeparts.GENERATION, event.offset)
-        taken.append(event)
-    return taken
+        received.append(event)
+    return received
 
 
 def test_a_lost_connection_is_resumed_after_the_last_token(engine):
-    link = fakeparts.Link(token(0), token(1), LOST)
+    link = fakeparts.FakeConnection(token(0), token(1), LOST)
     notes = []
-    source, state = fakeparts.make_source(clocks.ManualClock(), link, note=notes.append)
-    rest = fakeparts.Link(token(2), fakeparts.finished(3))
+    source, state = fakeparts.make_source(clocks.ManualClock(), link, on_resume=notes.append)
+    rest = fakeparts.FakeConnection(token(2), fakeparts.finished(3))
     engine.outcomes = [outcomes.Lost("no connection"), generations.Opened(rest)]
     assert read(source, state) == [*link.events[:2], *rest.events]
-    assert engine.asked_after == [1, 1]
+    assert engine.resume_offsets == [1, 1]
     assert notes == ["resumed"]
     assert engine.cancelled == []
 
@@ -58,59 +58,65 @@
 @pytest.mark.parametrize(
     ("repeatable", "resumable", "tokens"), [(True, True, 0), (True, False, 1), (False, False, 0)]
 )
-def test_what_may_not_be_resumed_ends_with_the_loss(engine, repeatable, resumable, tokens):
-    """An engine may hold the lost stream for a resume that never comes.
+def test_generation_that_may_not_be_resumed_ends_with_the_connection(
+    engine, repeatable, resumable, tokens
+):
+    """An engine may keep the lost stream for a resume that never comes.
 
-    It is told to drop it: a held stream goes on growing for nobody.
+    The generation is cancelled, as a kept stream would grow although no caller waits for it.
     """
-    link = fakeparts.Link(*map(token, range(tokens)), LOST)
+    link = fakeparts.FakeConnection(*map(token, range(tokens)), LOST)
     source, state = fakeparts.make_source(clocks.ManualClock(), link, repeatable, resumable)
     assert read(source, state)[-1] is LOST
-    assert engine.asked_after == []
+    assert engine.resume_offsets == []
     assert engine.cancelled == [fakeparts.GENERATION]
 
 
 def test_a_request_that_runs_once_is_resumed_before_its_first_token(engine):
-    source, state = fakeparts.make_source(clocks.ManualClock(), fakeparts.Link(LOST), False)
-    rest = fakeparts.Link(token(0), fakeparts.finished(1))
+    source, state = fakeparts.make_source(
+        clocks.ManualClock(), fakeparts.FakeConnection(LOST), False
+    )
+    rest = fakeparts.FakeConnection(token(0), fakeparts.finished(1))
     engine.outcomes = [generations.Opened(rest)]
     assert read(source, state) == list(rest.events)
-    assert engine.asked_after == [-1]
+    assert engine.resume_offsets == [-1]
 
 
-def test_a_stream_that_is_gone_is_not_asked_for_again(engine):
-    source, state = fakeparts.make_source(clocks.ManualClock(), fakeparts.Link(token(0), LOST))
+def test_a_stream_that_is_gone_is_not_resumed_again(engine):
+    source, state = fakeparts.make_source(
+        clocks.ManualClock(), fakeparts.FakeConnection(token(0), LOST)
+    )
     engine.outcomes = [outcomes.StreamGone()]
     assert read(source, state)[-1] is LOST
 
 
-def test_a_dead_engine_is_given_up_after_the_second_look(engine):
-    """An engine dies under a draft that a clerk reads aloud.
+def test_resume_is_abandoned_after_the_second_refused_connection(engine):
+    """An engine ends during a streamed generation.
 
-    Its port is closed, and its streams are gone with it; the clerk would wait for the
-    end of all pauses, 3.7 s, for nothing.
+    Its port is closed and its streams are lost; the caller would wait 3.7 s, for all
+    pauses, in vain.
     """
     clock = clocks.ManualClock()
-    source, state = fakeparts.make_source(clock, fakeparts.Link(token(0), LOST))
+    source, state = fakeparts.make_source(clock, fakeparts.FakeConnection(token(0), LOST))
     engine.outcomes = [outcomes.PortClosed()] * 9
     assert read(source, state)[-1] is LOST
-    assert len(engine.asked_after) == 2
+    assert len(engine.resume_offsets) == 2
 
 
-def test_tries_to_resume_are_bounded(engine):
+def test_attempts_to_resume_are_bounded(engine):
     clock = clocks.ManualClock()
-    source, state = fakeparts.make_source(clock, fakeparts.Link(token(0), LOST))
+    source, state = fakeparts.make_source(clock, fakeparts.FakeConnection(token(0), LOST))
     engine.outcomes = [outcomes.Lost("down")] * 99
     assert read(source, state)[-1] is LOST
-    assert len(engine.asked_after) == len(generationsource.RESUME_PAUSES_S)
+    assert len(engine.resume_offsets) == len(generationsource.RESUME_PAUSES_S)
     assert clock.now() == sum(generationsource.RESUME_PAUSES_S)
 
 
 def test_a_cancelled_generation_is_not_resumed(engine):
-    link = fakeparts.Link(token(0), LOST)
+    link = fakeparts.FakeConnection(token(0), LOST)
     source, state = fakeparts.make_source(clocks.ManualClock(), link)
     events = iter(source)
     state.accept(fakeparts.GENERATION, next(events).offset)
     source.cancel()
     assert list(events) == [LOST]
-    assert (engine.asked_after, link.cancels) == ([], 1)
+    assert (engine.resume_offsets, link.cancels) == ([], 1)
--- a/tests/node/test_inflight.py
+++ b/tests/node/test_inflight.py
@@ -10,22 +10,22 @@
     return inflight.InFlight(team_limits, threads)
 
 
-def test_threads_are_kept_free_for_refusals():
+def test_threads_are_reserved_for_refusals():
     """An operator allows more streams than the node has threads.
 
-    With every thread carrying a stream, the next caller would wait unseen until a
+    If every thread carried a stream, the next caller would wait unobserved until a
     stream ends instead of being refused at once.
     """
     node = _in_flight(threads=16)
-    entered = [node.enter("clerks", 1, max_streams=400) for _ in range(15)]
-    refused = [each for each in entered if isinstance(each, outcomes.Refusal)]
+    admissions = [node.enter("clerks", 1, max_streams=400) for _ in range(15)]
+    refused = [each for each in admissions if isinstance(each, outcomes.Refusal)]
     assert [each.code for each in refused] == ["node_full"]
     assert refused[0].retry_after_s
 
 
-def test_one_who_leaves_makes_room():
+def test_a_request_that_ends_makes_room():
     node = _in_flight(threads=16)
-    entered = [node.enter("clerks", 1, max_streams=2) for _ in range(2)]
+    admissions = [node.enter("clerks", 1, max_streams=2) for _ in range(2)]
     assert node.enter("clerks", 1, max_streams=2).code == "node_full"
-    node.leave(entered[0])
+    node.leave(admissions[0])
     assert isinstance(node.enter("clerks", 1, max_streams=2), limits.Admission)
--- a/tests/node/test_path.py
+++ b/tests/node/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes, as callers see it."""
+"""The complete request path through separate processes, as callers see it."""
 
 import json
 
@@ -21,7 +21,7 @@
     return [{"role": "user", "content": text}]
 
 
-def test_whole_answer_through_each_node(site):
+def test_complete_response_through_each_node(site):
     for number in range(3):
         reply = site.caller(number).generate(f"letter {number}", 7)
         assert reply.status == 200
@@ -30,7 +30,7 @@
         assert len({word.split(".")[0] for word in words}) == 1
 
 
-def test_streamed_answer(site):
+def test_streamed_response(site):
     reply = site.caller(1).stream("letter", 9)
     reply.read_all()
     assert len(reply.texts) == 9
@@ -38,7 +38,7 @@
     assert reply.error is None
 
 
-def test_openai_client_whole_answer(client):
+def test_openai_client_complete_response(client):
     answer = client.chat.completions.create(
         model="draft", messages=_messages("hi"), extra_body={"x_answer_tokens": 4}
     )
@@ -64,11 +64,10 @@
     assert [model.id for model in client.models.list()] == ["draft", "reply"]
 
 
-def test_caller_who_leaves_cancels_at_the_engine(client, site):
-    """A clerk closes the window in the middle of a long draft.
+def test_disconnected_caller_cancels_at_the_engine(client, site):
+    """A caller disconnects in the middle of a long generation.
 
-    The engine must not go on computing for nobody: its memory is what other
-    clerks wait for.
+    The engine must not continue it: other requests wait for its memory.
     """
     stream = client.chat.completions.create(
         model="draft", messages=_messages("x"), stream=True, extra_body={"x_answer_tokens": 5000}
@@ -93,7 +92,7 @@
     assert reply.json()["path"].startswith("/gate/7")
 
 
-def test_hold_is_run_once_and_its_answer_replayed_at_another_node(site):
+def test_claimed_call_is_run_once_and_its_response_replayed_at_another_node(site):
     headers = {"Idempotency-Key": "unit-12"}
     first = site.caller(0).call("POST", "/services/holds/units", b'{"unit": 12}', headers)
     again = site.caller(1).call("POST", "/services/holds/units", b'{"unit": 12}', headers)
@@ -109,13 +108,13 @@
     assert (other.status, other.code) == (422, "idempotency_key_reused")
 
 
-def test_reply_to_a_citizen_is_generated_once(site):
+def test_generation_that_is_not_repeatable_is_generated_once(site):
     first = site.caller(0).generate("dear citizen", 5, key="thread-1", model="reply")
     again = site.caller(2).generate("dear citizen", 5, key="thread-1", model="reply")
     assert first.text == again.text
 
 
-def test_addresses_name_live_nodes_in_order(site):
+def test_addresses_list_the_live_nodes(site):
     reply = site.caller(0).call("GET", "/v1/addresses")
     named = reply.json()["addresses"]
     assert set(named) <= {site.address_by_name[f"entry-{n}"] for n in range(3)}
@@ -157,5 +156,5 @@
     assert b"hornbeamglade_time_to_first_token_seconds_bucket" in reply.body
 
 
-def test_status_names_the_revision(site):
+def test_status_shows_the_revision(site):
     assert json.loads(site.caller(0).call("GET", "/status").body)["config_revision"] == 1
--- a/tests/node/test_settings.py
+++ b/tests/node/test_settings.py
@@ -4,7 +4,7 @@
 from hornbeamglade.core import codederrors
 from hornbeamglade.node import settings
 
-GOOD = {
+VALID = {
     "name": "entry-1",
     "site": "krakow",
     "failure_domain": "d1",
@@ -21,8 +21,8 @@
     return settings.load(str(path))
 
 
-def test_good_settings_are_read(tmp_path):
-    assert load(tmp_path, yaml.safe_dump(GOOD).encode()).threads == 448
+def test_valid_settings_are_read(tmp_path):
+    assert load(tmp_path, yaml.safe_dump(VALID).encode()).threads == 448
 
 
 @pytest.mark.parametrize(
@@ -38,22 +38,22 @@
         ("exchange_keys", [{"id": 1, "secret": "short"}]),
         ("threads", 0),
         ("hard_stop_s", -1),
-        ("unheard_of", 1),
+        ("unknown_setting", 1),
     ],
 )
-def test_a_bad_setting_is_named_with_its_file_and_key(tmp_path, key, value):
+def test_the_error_for_an_invalid_setting_names_file_and_key(tmp_path, key, value):
     with pytest.raises(codederrors.CodedError) as raised:
-        load(tmp_path, yaml.safe_dump(GOOD | {key: value}).encode())
+        load(tmp_path, yaml.safe_dump(VALID | {key: value}).encode())
     assert raised.value.code == "settings_invalid"
     assert f"node.yaml: {key}" in raised.value.detail
 
 
 @pytest.mark.parametrize("text", [b"a: [", b"\xff\xfe", b"\x00", b""])
-def test_a_file_that_cannot_be_read_is_named(tmp_path, text):
+def test_the_error_for_an_unreadable_file_names_the_file(tmp_path, text):
     with pytest.raises(codederrors.CodedError, match=r"settings_.*node\.yaml"):
         load(tmp_path, text)
 
 
-def test_a_missing_file_is_named(tmp_path):
+def test_the_error_for_a_missing_file_names_the_file(tmp_path):
     with pytest.raises(codederrors.CodedError, match="settings_unreadable.*absent"):
         settings.load(str(tmp_path / "absent"))
--- a/tests/node/test_siteview.py
+++ b/tests/node/test_siteview.py
@@ -41,22 +41,22 @@
     assert (view.revision, view.service_by_model) == (7, {"draft": "drafts"})
 
 
-def test_the_largest_body_of_any_service_is_taken(view):
+def test_the_maximum_body_size_of_any_service_is_returned(view):
     assert view.max_body_bytes() == 70
 
 
-def test_a_team_gets_only_what_it_may_call(view):
+def test_a_team_may_call_only_its_services(view):
     assert view.permitted("clerks", "drafts").model == "draft"
     assert view.permitted("clerks", "holds").code == "service_not_permitted"
     assert view.permitted("scheduler", "holds").kind == "plain"
     assert view.permitted("scheduler", "none").code == "service_unknown"
 
 
-def test_limits_are_those_of_the_teams(view):
+def test_limits_are_taken_from_the_teams(view):
     limit = {each.name: each for each in view.team_limits()}["clerks"]
     assert (limit.weight, limit.priority, limit.requests_in_flight) == (3.0, 2, 64)
 
 
-def test_a_node_without_a_configuration_says_when_to_come_back():
+def test_a_node_without_a_configuration_returns_a_retry_time():
     refusal = siteview.not_ready("config_missing")
     assert (refusal.http_status, refusal.retry_after_s) == (503, siteview.NOT_READY_RETRY_S)
