--- a/hornbeamglade/admission/policies.py
+++ b/hornbeamglade/admission/policies.py
@@ -74,7 +74,7 @@
 
 
 class PresentMemory(AdmissionPolicy):
-    """Admits a request if its prompt fits beside the memory that is used now.
+    """Admits a request if its prompt fits into the memory that is free now.
 
     Examples
     ========
--- a/hornbeamglade/fairness/fairqueue.py
+++ b/hornbeamglade/fairness/fairqueue.py
@@ -13,7 +13,7 @@
 
 - *First in, first out* lets a burst of one team delay all others.
 - *Shortest expected first* keeps the mean wait low, but lengths are unknown and
-  heavy-tailed, so long drafts would starve under load. Only its useful part is
+  heavy-tailed, so long answers would starve under load. Only its useful part is
   kept: requests that fit may pass a head that does not, ``max_passes`` times. After
   that, free memory accumulates until the head fits or expires.
 - *Strict priorities* starve the lowest class; ageing limits its wait.
--- a/tests/grants/test_remotescheduler.py
+++ b/tests/grants/test_remotescheduler.py
@@ -55,7 +55,10 @@
 
 
 def test_an_immediate_request_is_refused_and_not_queued():
-    """Under overload a request asks several owners; it must not be left in all their queues."""
+    """Under overload a request asks several owners.
+
+    If it were queued there, it would have to be withdrawn from each of them.
+    """
     owner = Owner()
     schedulers = owner.schedulers
     now = dataclasses.replace(lossynetwork.make_request(1), immediate=True)
--- a/tests/routed/test_migration.py
+++ b/tests/routed/test_migration.py
@@ -138,7 +138,10 @@
 
 
 def test_target_is_selected_before_the_slot_and_the_slot_covers_only_the_copy():
-    """A slot held during the search for a target would delay the other runs that leave."""
+    """Many runs leave one engine before it stops.
+
+    Each slot that is held during the search for a target costs another run its migration.
+    """
 
     async def test():
         setup = MigrationSetup()
