--- a/hornbeamglade/entry/daemon.py
+++ b/hornbeamglade/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The process of one entry instance: its servers, threads and graceful shutdown."""
+"""The process of one entry instance: its servers, threads and planned stop."""
 
 import asyncio
 import gc
@@ -80,7 +80,7 @@
         return self._settings.name
 
     async def run(self) -> int:
-        """Serve until a graceful shutdown is complete; return the exit code."""
+        """Serve until a planned stop is complete; return the exit code."""
         self._loop = loop = asyncio.get_running_loop()
         self._stopping = asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, self._stopping.set)
@@ -123,7 +123,7 @@
         )
 
     def _on_instance_list(self, listed: tuple[contract.Instance, ...]) -> None:
-        self._loop.call_soon_threadsafe(self.instance.on_introduction, listed)
+        self._loop.call_soon_threadsafe(self.instance.on_instance_list, listed)
 
     def _on_rows(self, rows: tuple[contract.Row, ...]) -> None:
         self._loop.call_soon_threadsafe(self.instance.quarantine.on_rows, rows)
@@ -198,7 +198,7 @@
 
 
 def run(path: str) -> int:
-    """Run one entry instance until its graceful shutdown; return the exit code.
+    """Run one entry instance until its planned stop; return the exit code.
 
     :param path: its settings file.
     :raises CodedError: if the settings are unusable.
--- a/hornbeamglade/entry/followerrole.py
+++ b/hornbeamglade/entry/followerrole.py
@@ -35,7 +35,7 @@
 snapshot of all tables. But after a store outage every instance of a site is in fallback, and
 each further second costs calls by all of them."""
 
-INTRODUCTION_TIMEOUT_S = 1.0
+INSTANCE_LIST_TIMEOUT_S = 1.0
 """A starting instance waits this long for the list of the other instances, which determines
 whether it follows at all."""
 
@@ -78,7 +78,7 @@
         self._nodes: tuple[str, ...] = ()
         self._notified: tuple[str, ...] = ()
         self._is_chosen = False
-        self._starts_at = clock.now() + INTRODUCTION_TIMEOUT_S
+        self._starts_at = clock.now() + INSTANCE_LIST_TIMEOUT_S
         self._follower_last_seen_at = clock.now()
         self._fallback_until = float("-inf")
         self._next_announcement_at = clock.now()
@@ -86,7 +86,7 @@
         self._change_repeats_left = 0
         self.is_following = False
 
-    def on_introduction(self) -> None:
+    def on_instance_list(self) -> None:
         """Record that the list of the other instances was read."""
         self._starts_at = min(self._starts_at, self._clock.now())
 
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -56,7 +56,7 @@
 all instances are idle, and ticks are most of what an idle instance costs."""
 
 ANNOUNCE_STOP_S = 2.0
-"""How long a graceful shutdown is announced before the listener closes: as long as callers
+"""How long a planned stop is announced before the listener closes: as long as callers
 cache the addresses."""
 
 STOP_MARGIN_S = 0.4
@@ -236,7 +236,7 @@
         )
         self.draining: draining.Draining | None = None
         self._departed_at_by_replica: dict[str, float] = {}
-        self._was_introduced = False
+        self._has_instance_list = False
         self._gauges = gauges.Gauges(
             self.instruments,
             self._current_view,
@@ -265,11 +265,11 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether a graceful shutdown has begun."""
+        """Whether a planned stop has begun."""
         return self.draining is not None
 
     def leave(self) -> draining.Draining:
-        """Begin a graceful shutdown and announce it; return the state machine that tracks it."""
+        """Begin a planned stop and announce it; return the state machine that tracks it."""
         limit_s = self._settings.bounds.stop_s - STOP_MARGIN_S
         now = self._clock.now()
         self.draining = draining.Draining(ANNOUNCE_STOP_S, propagation_s=0.0, hard_limit_s=limit_s)
@@ -411,14 +411,14 @@
                 self._replicas.forget_departed(replica_id)
                 del self._departed_at_by_replica[replica_id]
 
-    def on_introduction(self, listed: tuple[contract.Instance, ...]) -> None:
+    def on_instance_list(self, listed: tuple[contract.Instance, ...]) -> None:
         """Process the list of instances read from the store or a seed."""
         self.peering.heartbeats.apply_list(listed)
-        if not self._was_introduced:
+        if not self._has_instance_list:
             # At large sites, gossip alone would take minutes to introduce this instance.
-            self._was_introduced = True
+            self._has_instance_list = True
             self.peering.heartbeats.announce()
-        self.follower_role.on_introduction()
+        self.follower_role.on_instance_list()
         self.send_announcements()
 
     def _held_versions(self) -> tuple[int, int]:
--- a/hornbeamglade/teams/shares.py
+++ b/hornbeamglade/teams/shares.py
@@ -23,8 +23,8 @@
 Bound: as long as heartbeats take less than one interval, and however many are lost, the
 shares sum to at most the limit; the state machine in the tests searches for violations.
 The bound does not hold in these cases: if heartbeats are late by several intervals, two
-nodes may claim the same part (a trial with delays of up to three intervals, out of order,
-reached 1.19 of the limit); a node that joins the shard adds its floor until the others
+nodes may claim the same part (with delays of up to three intervals, out of order, the shares
+have summed to 1.19 of the limit); a node that joins the shard adds its floor until the others
 have lowered their shares, and so does each node outside it that callers with an outdated
 address list still use; a node that was removed from the list by mistake adds its share; and
 a node without requests in flight accepts one in any case.
--- a/tests/entry/site.py
+++ b/tests/entry/site.py
@@ -190,7 +190,7 @@
                 )
             )
         for node in self.nodes:
-            node.instance.on_introduction(listed.list())
+            node.instance.on_instance_list(listed.list())
         self.read_store()
         await eventloop.until(self.is_ready)
         for node in self.nodes:
--- a/tests/entry/test_evacuations.py
+++ b/tests/entry/test_evacuations.py
@@ -80,7 +80,7 @@
         again = site.nodes[2] = entrysite.Node(2)
         await again.start()
         others = [node.instance.identity for node in site.nodes]
-        again.instance.on_introduction(
+        again.instance.on_instance_list(
             tuple(
                 contract.Instance(
                     each.name, each.failure_domain, each.address, each.exchange, False
--- a/tests/entry/test_followerrole.py
+++ b/tests/entry/test_followerrole.py
@@ -28,7 +28,7 @@
         self.rng = random.Random(7)
         self.role_by_name = {name: self._make_role(name) for name in self.names}
         for role in self.role_by_name.values():
-            role.on_introduction()
+            role.on_instance_list()
 
     def _make_role(self, name):
         return followerrole.FollowerRole(
@@ -137,7 +137,7 @@
     )
     role.tick(("a",))
     assert not role.is_following
-    clock.advance(followerrole.INTRODUCTION_TIMEOUT_S)
+    clock.advance(followerrole.INSTANCE_LIST_TIMEOUT_S)
     role.tick(("a",))
     assert role.is_following
 
--- a/tests/entry/test_membership.py
+++ b/tests/entry/test_membership.py
@@ -39,7 +39,7 @@
                 )
             )
         for node in site.nodes:
-            node.instance.on_introduction(listed.list())
+            node.instance.on_instance_list(listed.list())
         site.read_store()
 
         def members():
--- a/tests/leases/test_leaseholder_machine.py
+++ b/tests/leases/test_leaseholder_machine.py
@@ -57,8 +57,8 @@
 
     def advance(self, seconds):
         self.clock.advance(seconds)
-        due = sorted(send_order for send_order in self.orders if send_order[0] <= self.clock.now())
-        self.orders = [send_order for send_order in self.orders if send_order not in due]
+        due = sorted(order for order in self.orders if order[0] <= self.clock.now())
+        self.orders = [order for order in self.orders if order not in due]
         for _, fencing in due:
             assert fencing >= self.newest_arrived
             self.newest_arrived = fencing
--- a/tests/platform/test_dayreports.py
+++ b/tests/platform/test_dayreports.py
@@ -35,6 +35,6 @@
 
 @pytest.mark.parametrize("document", [b"", b"[]", b"{}", report(G="much"), report(classes=3)])
 def test_malformed_report_is_rejected_with_its_code(document):
-    with pytest.raises(codederrors.CodedError) as fields:
+    with pytest.raises(codederrors.CodedError) as raised:
         dayreports.decode(document)
-    assert fields.value.code == dayreports.REPORT_INVALID
+    assert raised.value.code == dayreports.REPORT_INVALID
