--- a/hornbeamglade/entry/enginemonitor.py
+++ b/hornbeamglade/entry/enginemonitor.py
@@ -123,7 +123,7 @@
         idle connections to the former incarnation. During a network partition neither
         would be reset.
         """
-        self._pool.close_kept(former.address)
+        self._pool.close_idle(former.address)
         self._registry.on_replica_gone(former.id)
 
     def remove_absent(self) -> None:
--- a/hornbeamglade/entry/instance.py
+++ b/hornbeamglade/entry/instance.py
@@ -160,7 +160,7 @@
         )
         self._crashes = crashdetector.CrashDetector(
             self._replicas,
-            self._pool.listens,
+            self._pool.is_listening,
             self._engine_monitor.has_reported_stop,
             lambda replica, lost: self.quarantine.crashed(replica.id, lost),
             clock,
@@ -389,7 +389,7 @@
     def clean_up(self) -> None:
         """Remove obsolete state; called about once a second."""
         present = self._replicas.by_id
-        self._pool.forget(frozenset(each.address for each in present.values()))
+        self._pool.prune(frozenset(each.address for each in present.values()))
         self._loads.forget_absent(present)
         self._available.forget_ended(self._clock.now())
         self._crashes.forget_old()
--- a/hornbeamglade/http1/__init__.py
+++ b/hornbeamglade/http1/__init__.py
@@ -3,14 +3,14 @@
 Explanation
 ===========
 
-The routed path must see what a server or client library hides: bytes that come after
-an answer, a caller's close while its request is under way, a body that the other side
-still owes, the raw form of a request's head. So this package keeps the sockets and
+The routed path needs details that a server or client library hides: bytes that arrive
+after a response, a caller's disconnection while its request is in progress, an unfinished
+body, the raw form of a request head. So this package handles the sockets and
 :mod:`h11` the protocol.
 
 - :mod:`hornbeamglade.http1.fields`: lists of header fields
-- :mod:`hornbeamglade.http1.strictness`: heads that may be read in two ways
-- :mod:`hornbeamglade.http1.serverside`: connections of callers
+- :mod:`hornbeamglade.http1.strictness`: ambiguous request heads
+- :mod:`hornbeamglade.http1.serverside`: connections from callers
 - :mod:`hornbeamglade.http1.clientside`: one connection to a backend server
-- :mod:`hornbeamglade.http1.clientpool`: kept connections to backend servers
+- :mod:`hornbeamglade.http1.clientpool`: pool of connections to backend servers
 """
--- a/hornbeamglade/http1/clientpool.py
+++ b/hornbeamglade/http1/clientpool.py
@@ -1,4 +1,4 @@
-"""Kept connections to backend servers, bounded for each."""
+"""Pool of connections to backend servers."""
 
 import collections
 import collections.abc
@@ -6,16 +6,16 @@
 from hornbeamglade.core import clocks
 from hornbeamglade.http1 import clientside, fields
 
-CONNECT_S = 0.5
-"""A server within a region answers a connection in a few milliseconds; one that is
-partitioned never does, and each second of waiting for it is a caller's."""
+CONNECT_TIMEOUT_S = 0.5
+"""A server within a region accepts a connection in a few milliseconds; a partitioned one
+never does, and waiting for it delays the caller."""
 
 
 class ClientPool:
-    """Opens, keeps and counts connections by address.
+    """Opens, reuses and counts connections by address.
 
     :param clock: monotonic time.
-    :param opened: told of each new connection.
+    :param opened: called with the address of each new connection.
     """
 
     def __init__(
@@ -25,25 +25,25 @@
     ) -> None:
         self._clock = clock
         self._opened = opened
-        self._kept_by_address: dict[str, list[clientside.ServerConnection]] = {}
+        self._idle_by_address: dict[str, list[clientside.ServerConnection]] = {}
         self._open_by_address: collections.Counter[str] = collections.Counter()
 
     def open_count(self, address: str) -> int:
-        """Return how many connections to a server are in use."""
+        """Return the number of connections to a server that are in use."""
         return self._open_by_address[address]
 
     async def acquire(
-        self, address: str, *, fresh: bool = False, timeout_s: float = CONNECT_S
-    ) -> clientside.ServerConnection | clientside.Lost:
+        self, address: str, *, fresh: bool = False, timeout_s: float = CONNECT_TIMEOUT_S
+    ) -> clientside.ServerConnection | clientside.ResponseLost:
         """Return a connection for one request.
 
-        :param fresh: whether only a new one will do.
+        :param fresh: whether the connection must be new.
         """
         self._open_by_address[address] += 1
-        kept = self._kept_by_address.get(address, [])
-        while kept and not fresh:
-            connection = kept.pop()
-            if connection.is_trusted():
+        idle = self._idle_by_address.get(address, [])
+        while idle and not fresh:
+            connection = idle.pop()
+            if connection.is_fresh():
                 return connection
             connection.close()
         self._opened(address)
@@ -52,56 +52,58 @@
             connection = await clientside.connect(address, timeout_s, self._clock)
         finally:
             if not isinstance(connection, clientside.ServerConnection):
-                self._drop(address)
+                self._count_closed(address)
         return connection
 
-    async def listens(self, address: str, *, timeout_s: float = CONNECT_S) -> bool | None:
-        """Tell whether a server takes connections; None when nothing answers."""
+    async def is_listening(
+        self, address: str, *, timeout_s: float = CONNECT_TIMEOUT_S
+    ) -> bool | None:
+        """Return whether a server accepts connections; None if it does not respond."""
         self._opened(address)
         connection = await clientside.connect(address, timeout_s, self._clock)
-        if isinstance(connection, clientside.Lost):
+        if isinstance(connection, clientside.ResponseLost):
             return False if connection.is_refused else None
         connection.close()
         return True
 
     def release(
-        self, connection: clientside.ServerConnection, head: clientside.Head | None
+        self, connection: clientside.ServerConnection, head: clientside.ResponseHead | None
     ) -> None:
-        """Take a connection back; it is kept when it may carry another request.
+        """Return a connection to the pool; it is kept if it may carry another request.
 
-        :param head: the head of the answer that was read to its end, or None.
+        :param head: the head of the response that was read to its end, or None.
         """
-        self._drop(connection.address)
-        if head is not None and connection.may_be_kept and not _closes(head):
-            connection.keep(head)
-            self._kept_by_address.setdefault(connection.address, []).append(connection)
+        self._count_closed(connection.address)
+        if head is not None and connection.may_be_reused and not _announces_close(head):
+            connection.prepare_for_reuse(head)
+            self._idle_by_address.setdefault(connection.address, []).append(connection)
         else:
             connection.close()
 
-    def forget(self, addresses_in_use: collections.abc.Container[str]) -> None:
-        """Close the kept connections to servers that are gone, and those grown old."""
-        for address in list(self._kept_by_address):
-            kept = self._kept_by_address[address]
-            known = address in addresses_in_use
-            trusted = [each for each in kept if known and each.is_trusted()]
-            for connection in kept:
-                if connection not in trusted:
+    def prune(self, addresses_in_use: collections.abc.Container[str]) -> None:
+        """Close idle connections that are no longer fresh or whose server is not in use."""
+        for address in list(self._idle_by_address):
+            idle = self._idle_by_address[address]
+            is_in_use = address in addresses_in_use
+            fresh_connections = [each for each in idle if is_in_use and each.is_fresh()]
+            for connection in idle:
+                if connection not in fresh_connections:
                     connection.close()
-            if trusted:
-                self._kept_by_address[address] = trusted
+            if fresh_connections:
+                self._idle_by_address[address] = fresh_connections
             else:
-                del self._kept_by_address[address]
+                del self._idle_by_address[address]
 
-    def close_kept(self, address: str) -> None:
-        """Close the kept connections to a server that has started anew."""
-        for connection in self._kept_by_address.pop(address, ()):
+    def close_idle(self, address: str) -> None:
+        """Close the idle connections to a server that has restarted."""
+        for connection in self._idle_by_address.pop(address, ()):
             connection.close()
 
-    def _drop(self, address: str) -> None:
+    def _count_closed(self, address: str) -> None:
         self._open_by_address[address] -= 1
         if not self._open_by_address[address]:
             del self._open_by_address[address]
 
 
-def _closes(head: clientside.Head) -> bool:
+def _announces_close(head: clientside.ResponseHead) -> bool:
     return b"close" in fields.tokens(head.fields, b"connection")
--- a/hornbeamglade/http1/fields.py
+++ b/hornbeamglade/http1/fields.py
@@ -15,7 +15,7 @@
 Field = tuple[bytes, bytes]
 Fields = tuple[Field, ...]
 
-# RFC 9110, section 7.6.1, and Keep-Alive and Proxy-Connection of older software.
+# RFC 9110, section 7.6.1, with Keep-Alive and Proxy-Connection of older software.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -69,5 +69,5 @@
 
 
 def end_to_end(fields: Fields) -> Fields:
-    """Return the fields that concern more than one connection."""
+    """Return the end-to-end fields, without those that concern only one connection."""
     return without(fields, HOP_BY_HOP | tokens(fields, b"connection"))
--- a/hornbeamglade/http1/serverside.py
+++ b/hornbeamglade/http1/serverside.py
@@ -1,15 +1,15 @@
-"""Connections of callers: requests in, answers out, one at a time.
+"""Connections from callers, each with one request and response at a time.
 
 Explanation
 ===========
 
-A connection is one :class:`asyncio.Protocol` and one task. The task reads a whole
-request, has it answered by the handler, and goes on with the next. A caller that
-leaves cancels the task, and with it whatever the handler has under way: no backend
-server may go on working for a caller that is gone.
+A connection is one :class:`asyncio.Protocol` and one task. The task reads a complete
+request, lets the handler answer it, and continues with the next. If the caller
+disconnects, the task is cancelled, and with it all work of the handler: no backend
+server may continue to work for a disconnected caller.
 
-A request's body is read whole before it is handled: only then may the request be sent
-to a second backend server, and a caller's slow body never holds a replica's slot.
+A request's body is read completely before it is handled: only then may the request be sent
+to a second backend server, and a caller's slow body never occupies a slot of a replica.
 """
 
 import abc
@@ -23,23 +23,23 @@
 from hornbeamglade.http1 import fields, strictness
 
 READ_AHEAD_BYTES = 65_536
-"""What a caller may send ahead of its turn before it is no longer read."""
+"""Bytes that a caller may send ahead of the current response before reading pauses."""
 
 WRITE_BUFFER_BYTES = 262_144
-"""An answer's bytes that may wait for a slow caller: 256 KiB hold two seconds of the
-densest stream, and a thousand of them would still not fill an instance's memory."""
+"""Bytes of a response that may be buffered for a slow caller: 256 KiB hold two seconds of the
+densest stream, and a thousand such buffers still do not fill an instance's memory."""
 
 _CLOSE = (b"Connection", b"close")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and the duration of a caller's request.
 
-    :param head_bytes: longest head of a request.
-    :param body_bytes: longest body.
-    :param head_s: seconds from a head's first byte to its last.
-    :param idle_s: seconds without a byte, between requests and within a body.
+    :param head_bytes: maximum size of a request head.
+    :param body_bytes: maximum size of a request body.
+    :param head_s: maximum seconds from the first byte of a head to its last.
+    :param idle_s: maximum seconds without a byte, between requests and within a body.
     """
 
     head_bytes: int = 16_384
@@ -50,11 +50,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One request, whole.
+    """One complete request.
 
     :param method: as sent.
     :param target: path and query, as sent.
-    :param fields: as sent, those of the connection included.
+    :param fields: as sent, including those that concern only the connection.
     :param body: without its framing.
     :param arrived_at: monotonic seconds at which its first byte was read.
     """
@@ -71,23 +71,23 @@
 
     @abc.abstractmethod
     async def handle(self, exchange: "Exchange") -> None:
-        """Answer one request; cancelled when the caller leaves."""
+        """Answer one request; cancelled if the caller disconnects."""
 
     @abc.abstractmethod
     def limits(self) -> ConnectionLimits:
-        """Return the limits in force now."""
+        """Return the current limits."""
 
     def refused(self, status: http.HTTPStatus, reason: str) -> None:  # noqa: B027
-        """Note a request that was refused before it could be handled."""
+        """Record a request that was refused before it could be handled."""
 
     def failed(self, error: Exception) -> None:  # noqa: B027
-        """Note an error that handling a request raised."""
+        """Record an error that handling a request raised."""
 
 
 class Exchange:
-    """One request and its answer.
+    """One request and its response.
 
-    :param connection: where the answer goes.
+    :param connection: the connection for the response.
     :param request: the request.
     """
 
@@ -99,13 +99,13 @@
 
     @property
     def peer(self) -> str:
-        """The caller's address."""
+        """The address of the caller."""
         return self._connection.peer
 
     async def answer(
         self, status: int, answer_fields: fields.Fields = (), body: bytes = b""
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = (b"Content-Length", b"%d" % len(body))
         has_length = fields.value(answer_fields, b"content-length") is not None
         framed = answer_fields if has_length else (*answer_fields, length)
@@ -116,24 +116,24 @@
         await self._connection.write(data)
 
     async def begin(self, status: int, answer_fields: fields.Fields) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of a response of unknown length."""
         self.is_answered = True
         await self._connection.write(self._head(status, answer_fields))
 
     async def send(self, data: bytes) -> None:
-        """Send a piece of the body, and wait while the caller is behind."""
+        """Send a piece of the body, and wait while the write buffer is full."""
         await self._connection.write(self._state.send(h11.Data(data=data)))
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """End the response as complete."""
         await self._connection.write(self._state.send(h11.EndOfMessage()))
 
     def abort(self) -> None:
-        """Close the connection; an answer that was begun is seen to be incomplete."""
+        """Close the connection; the caller sees that a response in progress is incomplete."""
         self._connection.abort()
 
     @property
-    def is_keeping_open(self) -> bool:
+    def keeps_connection(self) -> bool:
         """Whether the connection may carry another request."""
         return self._state.our_state is h11.DONE and self._state.their_state is h11.DONE
 
@@ -146,7 +146,7 @@
 
 
 class RefusedError(Exception):
-    """A request that cannot be handled, with the status that says why."""
+    """A request that cannot be handled, with the status to respond with."""
 
     def __init__(self, status: http.HTTPStatus, reason: str) -> None:
         super().__init__(reason)
@@ -171,9 +171,9 @@
         self._handler = handler
         self._open_connections = open_connections
         self._clock = clock
-        self._inbox = bytearray()
+        self._buffer = bytearray()
         self._waiter: asyncio.Future[None] | None = None
-        self._drained: asyncio.Future[None] | None = None
+        self._drain_waiter: asyncio.Future[None] | None = None
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None
         self._is_gone = False
@@ -182,7 +182,7 @@
         self.peer = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         host, port = transport.get_extra_info("peername")[:2]
@@ -191,54 +191,54 @@
         self._task = asyncio.get_running_loop().create_task(self._serve())
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the caller."""
-        self._inbox += data
-        if self.is_busy and len(self._inbox) > READ_AHEAD_BYTES:
+        """Handle bytes from the caller."""
+        self._buffer += data
+        if self.is_busy and len(self._buffer) > READ_AHEAD_BYTES:
             self._transport.pause_reading()
         self._wake()
 
     def eof_received(self) -> bool:
-        """Close when the caller does."""
+        """Close the connection when the caller does."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what is under way: its caller is gone."""
+        """Cancel the request in progress, as its caller has disconnected."""
         self._is_gone = True
         self._open_connections.discard(self)
-        if self._drained is not None and not self._drained.done():
-            self._drained.set_result(None)
+        if self._drain_waiter is not None and not self._drain_waiter.done():
+            self._drain_waiter.set_result(None)
         if self._task is not None:
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Note that the caller is behind."""
-        self._drained = asyncio.get_running_loop().create_future()
+        """Pause writers until the caller has read more."""
+        self._drain_waiter = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """Note that the caller has caught up."""
-        if self._drained is not None and not self._drained.done():
-            self._drained.set_result(None)
-        self._drained = None
+        """Resume writers."""
+        if self._drain_waiter is not None and not self._drain_waiter.done():
+            self._drain_waiter.set_result(None)
+        self._drain_waiter = None
 
     async def write(self, data: bytes) -> None:
-        """Send bytes, and wait while the caller is behind."""
+        """Send bytes, and wait while the write buffer is full."""
         if self._is_gone:
-            raise ConnectionResetError("the caller has left")
+            raise ConnectionResetError("the caller has disconnected")
         self._transport.write(data)
-        if self._drained is not None:
-            await self._drained
+        if self._drain_waiter is not None:
+            await self._drain_waiter
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         self._transport.abort()
 
     def leave(self) -> None:
-        """Close after the next answer; a caller that is idle may send one more request."""
+        """Close after the next response; an idle caller may send one more request."""
         self.is_leaving = True
 
     def close_if_idle(self) -> None:
-        """Close unless a request is under way or has begun to arrive."""
-        if not self.is_busy and not self._inbox:
+        """Close unless a request is in progress or has begun to arrive."""
+        if not self.is_busy and not self._buffer:
             self._transport.close()
 
     async def _serve(self) -> None:
@@ -249,7 +249,7 @@
         except ConnectionResetError:
             self._transport.abort()
         except Exception as error:  # noqa: BLE001
-            # A fault in handling one request ends its connection and nothing else.
+            # An error in handling one request ends only its connection.
             self._handler.failed(error)
             self._transport.abort()
 
@@ -270,7 +270,7 @@
             await self._handler.handle(exchange)
         finally:
             self.is_busy = False
-        if not exchange.is_keeping_open:
+        if not exchange.keeps_connection:
             return False
         self._transport.resume_reading()
         return True
@@ -281,17 +281,17 @@
             return None
         arrived_at = self._clock.now()
         head = await self._read_head(limits)
-        complaint = strictness.complaint(head)
-        if complaint is not None:
-            raise RefusedError(http.HTTPStatus.BAD_REQUEST, complaint)
-        state.receive_data(bytes(self._inbox))
-        self._inbox.clear()
+        ambiguity = strictness.ambiguity(head)
+        if ambiguity is not None:
+            raise RefusedError(http.HTTPStatus.BAD_REQUEST, ambiguity)
+        state.receive_data(bytes(self._buffer))
+        self._buffer.clear()
         try:
             started = state.next_event()
             body = await self._read_body(state, started, limits)
         except h11.RemoteProtocolError as error:
             raise RefusedError(http.HTTPStatus(error.error_status_hint), str(error)) from error
-        self._inbox[:0] = state.trailing_data[0]
+        self._buffer[:0] = state.trailing_data[0]
         return Request(
             bytes(started.method),
             bytes(started.target),
@@ -301,26 +301,26 @@
         )
 
     async def _await_first_byte(self, limits: ConnectionLimits) -> bool:
-        # RFC 9112, section 2.2: an empty line before a request is passed over.
+        # RFC 9112, section 2.2: an empty line before a request is ignored.
         while True:
-            while self._inbox.startswith(b"\r\n"):
-                del self._inbox[:2]
-            if self._inbox and self._inbox != b"\r":
+            while self._buffer.startswith(b"\r\n"):
+                del self._buffer[:2]
+            if self._buffer and self._buffer != b"\r":
                 return True
-            if not await self._more(limits.idle_s):
+            if not await self._await_data(limits.idle_s):
                 return False
 
     async def _read_head(self, limits: ConnectionLimits) -> bytes:
         ends_at = self._clock.now() + limits.head_s
-        while (end := self._inbox.find(strictness.HEAD_END)) < 0:
-            if len(self._inbox) > limits.head_bytes:
+        while (end := self._buffer.find(strictness.HEAD_END)) < 0:
+            if len(self._buffer) > limits.head_bytes:
                 break
-            if not await self._more(ends_at - self._clock.now()):
+            if not await self._await_data(ends_at - self._clock.now()):
                 raise RefusedError(http.HTTPStatus.REQUEST_TIMEOUT, "the head took too long")
         if end < 0 or end > limits.head_bytes:
             status = http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
             raise RefusedError(status, "the head is too long")
-        return bytes(self._inbox[: end + len(strictness.HEAD_END)])
+        return bytes(self._buffer[: end + len(strictness.HEAD_END)])
 
     async def _read_body(
         self, state: h11.Connection, started: h11.Request, limits: ConnectionLimits
@@ -336,10 +336,10 @@
         while True:
             event = state.next_event()
             if event is h11.NEED_DATA:
-                if not await self._more(limits.idle_s):
+                if not await self._await_data(limits.idle_s):
                     raise RefusedError(http.HTTPStatus.REQUEST_TIMEOUT, "the body took too long")
-                state.receive_data(bytes(self._inbox))
-                self._inbox.clear()
+                state.receive_data(bytes(self._buffer))
+                self._buffer.clear()
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > limits.body_bytes:
@@ -348,8 +348,8 @@
             else:
                 return bytes(body)
 
-    async def _more(self, timeout_s: float) -> bool:
-        """Wait for more bytes of the caller; return whether some came in time."""
+    async def _await_data(self, timeout_s: float) -> bool:
+        """Wait for more bytes from the caller; return whether some arrived in time."""
         self._waiter = asyncio.get_running_loop().create_future()
         try:
             async with asyncio.timeout(max(0.0, timeout_s)):
@@ -365,13 +365,13 @@
             self._waiter.set_result(None)
 
     async def _refuse(self, status: http.HTTPStatus) -> None:
-        """Send a status for a request that could not be read, so that it ends the connection."""
+        """Respond to a request that could not be read; its connection is then closed."""
         head = f"HTTP/1.1 {status.value} {status.phrase}\r\n"
         self._transport.write(f"{head}Content-Length: 0\r\nConnection: close\r\n\r\n".encode())
 
 
 class CallersServer:
-    """Listens on one address and keeps its open connections.
+    """Listens on one address and tracks its open connections.
 
     :param handler: answers requests.
     :param clock: monotonic time.
@@ -385,31 +385,31 @@
         self._is_leaving = False
 
     async def listen(self, host: str, port: int, backlog: int = 512) -> str:
-        """Begin to accept; return the address as ``ip:port``."""
+        """Start accepting connections; return the address as ``ip:port``."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._accept, host, port, backlog=backlog)
         bound_host, bound_port = self._server.sockets[0].getsockname()[:2]
         return f"{bound_host}:{bound_port}"
 
     def leave(self) -> None:
-        """Have each connection closed after its next answer."""
+        """Close each connection after its next response."""
         self._is_leaving = True
         for connection in self.connections:
             connection.leave()
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way."""
+        """Close the connections without a request in progress."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def stop_listening(self) -> None:
-        """Accept no more connections; the open ones stay."""
+        """Accept no more connections; open ones are kept."""
         if self._server is not None:
             self._server.close()
 
     @property
     def busy_count(self) -> int:
-        """How many requests are under way."""
+        """The number of requests in progress."""
         return sum(connection.is_busy for connection in self.connections)
 
     def _accept(self) -> CallerConnection:
--- a/hornbeamglade/http1/strictness.py
+++ b/hornbeamglade/http1/strictness.py
@@ -1,13 +1,13 @@
-"""Heads of requests that two readers may understand differently.
+"""Detection of request heads that two parsers may interpret differently.
 
 Explanation
 ===========
 
-Guards against request smuggling: a backend server that reads the end of a body, or
-the name of a field, elsewhere than this node does would take part of one caller's
-body for a request of its own. The parser accepts some of these forms (folded fields,
-bare line feeds, a length beside chunks) for the sake of old senders, so they are
-refused before it sees them.
+Guards against request smuggling: a backend server that finds the end of a body, or
+the name of a field, at another position than this node would take part of one caller's
+body for a separate request. The parser accepts some of these forms (folded fields,
+bare line feeds, a length with chunked encoding) for old senders, so they are
+refused before parsing.
 
 References
 ==========
@@ -28,17 +28,17 @@
 _HOST = re.compile(rb"\nhost:", re.IGNORECASE)
 
 
-def complaint(head: bytes) -> str | None:
-    r"""Return why a request's head is ambiguous, or None.
+def ambiguity(head: bytes) -> str | None:
+    r"""Return the reason why a request head is ambiguous, or None.
 
     :param head: from the request line to the empty line.
 
     Examples
     ========
 
-    >>> complaint(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n") is None
+    >>> ambiguity(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n") is None
     True
-    >>> complaint(b"GET / HTTP/1.1\r\nHost : a\r\n\r\n")
+    >>> ambiguity(b"GET / HTTP/1.1\r\nHost : a\r\n\r\n")
     'a space stands before a colon'
     """
     if _BARE_LINE_FEED.search(head) or _BARE_RETURN.search(head):
--- a/hornbeamglade/platform/enginecalls.py
+++ b/hornbeamglade/platform/enginecalls.py
@@ -66,7 +66,7 @@
     async def report(self, address: str) -> models.EngineReport | models.ReportFailed:
         """Fetch an engine's report."""
         response = await self._call(address, b"GET", b"/v1/report", b"", REPORT_TIMEOUT_S)
-        if isinstance(response, clientside.Lost):
+        if isinstance(response, clientside.ResponseLost):
             return models.ReportFailed(response.is_refused)
         if response.status != 200:
             return models.ReportFailed(is_refused=False)
@@ -92,7 +92,7 @@
         """Copy the KV cache of a run to another engine."""
         body = json.dumps({"id": request_id, "to": to, "last": is_last}).encode()
         response = await self._call(address, b"POST", b"/v1/kv-move", body, timeout_s)
-        if isinstance(response, clientside.Lost):
+        if isinstance(response, clientside.ResponseLost):
             return models.CopyFailed("no_answer")
         copy = _copy(response.content)
         if response.status == 200 and copy is not None:
@@ -104,39 +104,39 @@
         """Free a copy; a copy that no longer exists counts as freed."""
         target = f"/v1/kv-handle/{name}".encode()
         response = await self._call(address, b"DELETE", target, b"", DROP_TIMEOUT_S)
-        return not isinstance(response, clientside.Lost)
+        return not isinstance(response, clientside.ResponseLost)
 
     async def _call(
         self, address: str, method: bytes, target: bytes, body: bytes, timeout_s: float
-    ) -> _Response | clientside.Lost:
+    ) -> _Response | clientside.ResponseLost:
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._exchange(address, method, target, body)
         except TimeoutError:
-            return clientside.Lost("timeout")
+            return clientside.ResponseLost("timeout")
 
     async def _exchange(
         self, address: str, method: bytes, target: bytes, body: bytes
-    ) -> _Response | clientside.Lost:
+    ) -> _Response | clientside.ResponseLost:
         connection = await self._pool.acquire(address)
-        if isinstance(connection, clientside.Lost):
+        if isinstance(connection, clientside.ResponseLost):
             return connection
-        head: clientside.Head | clientside.Lost | None = None
-        content: bytes | clientside.Lost | None = None
+        head: clientside.ResponseHead | clientside.ResponseLost | None = None
+        content: bytes | clientside.ResponseLost | None = None
         try:
             sent_fields = ((b"Host", address.encode()), (b"Content-Type", b"application/json"))
             connection.send(method, target, sent_fields, body)
             head = await connection.head()
-            if isinstance(head, clientside.Head):
+            if isinstance(head, clientside.ResponseHead):
                 content = await connection.body(MAX_BODY_BYTES)
         finally:
             is_complete = isinstance(content, bytes)
             self._pool.release(
-                connection, typing.cast(clientside.Head, head) if is_complete else None
+                connection, typing.cast(clientside.ResponseHead, head) if is_complete else None
             )
-        if isinstance(head, clientside.Lost):
+        if isinstance(head, clientside.ResponseLost):
             return head
-        if isinstance(content, clientside.Lost):
+        if isinstance(content, clientside.ResponseLost):
             return content
         return _Response(head.status, content, requestdialect.rate_limit(head.fields))
 
--- a/hornbeamglade/platform/requestdialect.py
+++ b/hornbeamglade/platform/requestdialect.py
@@ -101,7 +101,7 @@
         sent.append((b"Last-Event-Id", dispatch.last_event_id.encode()))
         return (*fields.without(call.fields, (_LAST_EVENT,)), *sent)
 
-    def parse_response_head(self, head: clientside.Head) -> calls.ResponseHead:
+    def parse_response_head(self, head: clientside.ResponseHead) -> calls.ResponseHead:
         """Parse the head of a replica's response."""
         is_marked = fields.value(head.fields, _NOT_RUN) is not None
         encoding = fields.value(head.fields, b"content-encoding")
--- a/hornbeamglade/routed/dialect.py
+++ b/hornbeamglade/routed/dialect.py
@@ -19,5 +19,5 @@
         """Return the header fields to send with a request to a replica."""
 
     @abc.abstractmethod
-    def parse_response_head(self, head: clientside.Head) -> calls.ResponseHead:
+    def parse_response_head(self, head: clientside.ResponseHead) -> calls.ResponseHead:
         """Parse the head of a replica's response."""
--- a/hornbeamglade/routed/sending.py
+++ b/hornbeamglade/routed/sending.py
@@ -34,7 +34,7 @@
     """
 
     connection: clientside.ServerConnection
-    raw_head: clientside.Head
+    raw_head: clientside.ResponseHead
     head: calls.ResponseHead
 
 
@@ -61,7 +61,7 @@
     ) -> StartedResponse | FailedAttempt:
         """Send a request and wait for the response head; cancellation closes the connection."""
         connection = await self._pool.acquire(replica.address)
-        if isinstance(connection, clientside.Lost):
+        if isinstance(connection, clientside.ResponseLost):
             return FailedAttempt(connection.code, outcomes.RunStatus.NOT_RUN)
         try:
             response = await self._exchange(connection, routed.call, dispatch)
@@ -80,7 +80,7 @@
         finally:
             is_complete = isinstance(body, bytes)
             self._pool.release(response.connection, response.raw_head if is_complete else None)
-        if isinstance(body, clientside.Lost):
+        if isinstance(body, clientside.ResponseLost):
             return FailedAttempt(body.code, outcomes.RunStatus.UNKNOWN)
         return body
 
@@ -102,7 +102,7 @@
         connection.send(call.method, call.target, sent_fields, call.body)
         for _ in range(MAX_SKIPPED_RESPONSES + 1):
             raw_head = await connection.head()
-            if isinstance(raw_head, clientside.Lost):
+            if isinstance(raw_head, clientside.ResponseLost):
                 return FailedAttempt(raw_head.code, outcomes.RunStatus.UNKNOWN)
             head = self._dialect.parse_response_head(raw_head)
             if _matches_request(call, head):
@@ -112,7 +112,7 @@
             # A late response to an earlier request precedes the expected one. Accepting it
             # would send one caller the response meant for another.
             skipped = await connection.body(MAX_BODY_BYTES)
-            if isinstance(skipped, clientside.Lost) or not connection.skip_answer():
+            if isinstance(skipped, clientside.ResponseLost) or not connection.skip_response():
                 break
         return FailedAttempt("crossed_answer", outcomes.RunStatus.UNKNOWN)
 
--- a/hornbeamglade/routed/streamrun.py
+++ b/hornbeamglade/routed/streamrun.py
@@ -251,20 +251,20 @@
             if not await self._continue_stream():
                 return False
 
-    async def _relay_events(self) -> clientside.Lost | None:
+    async def _relay_events(self) -> clientside.ResponseLost | None:
         """Relay events from one replica; return None at the end of the complete response."""
         connection = self._assignment.response.connection
         self._relay.start_connection()
         while True:
             piece = await connection.piece()
-            if isinstance(piece, clientside.Lost):
+            if isinstance(piece, clientside.ResponseLost):
                 return piece
-            if isinstance(piece, clientside.End):
+            if isinstance(piece, clientside.BodyEnd):
                 if await self._relay.finish(self._response_start):
                     return None
-                return clientside.Lost("torn_event")
+                return clientside.ResponseLost("torn_event")
             if not await self._relay.relay(piece, self._response_start):
-                return clientside.Lost("event_missing")
+                return clientside.ResponseLost("event_missing")
             self._report_progress()
 
     def _report_progress(self) -> None:
--- a/tests/http1/raw.py
+++ b/tests/http1/raw.py
@@ -1,4 +1,4 @@
-"""Raw connections, to send and to see what a library would not."""
+"""Raw connections, to send and receive bytes that a library would hide."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
         await self.writer.drain()
 
     async def head(self):
-        """Return an answer's status, and its fields by lower-case name."""
+        """Return the status of a response, and its fields by lower-case name."""
         data = await self.reader.readuntil(b"\r\n\r\n")
         lines = data.decode("latin-1").split("\r\n")
         fields = [line.partition(": ") for line in lines[1:]]
@@ -28,7 +28,7 @@
         return int(lines[0].split(" ")[1]), value_by_name
 
     async def answer(self):
-        """Return an answer's status, fields and body."""
+        """Return the status, fields and body of a response."""
         status, value_by_name = await self.head()
         if "transfer-encoding" in value_by_name:
             return status, value_by_name, await self._chunks()
@@ -54,10 +54,10 @@
 
 
 class ScriptedServer:
-    """Answers each request with the bytes of a script, one entry a request.
+    """Answers each request with the next entry of a script, in bytes.
 
-    An entry that can be called is called with the connection in place of that. With
-    ``reads_bodies`` off it answers once it has a request's head.
+    A callable entry is called with the connection instead. If ``reads_bodies`` is
+    false, each request is answered after its head was read.
     """
 
     def __init__(self, *script, reads_bodies=True):
--- a/tests/http1/test_clientside.py
+++ b/tests/http1/test_clientside.py
@@ -1,4 +1,4 @@
-"""What a connection to a backend server makes of odd answers."""
+"""Connections to backend servers with unusual responses."""
 
 import asyncio
 import socket
@@ -11,7 +11,7 @@
 from tests import eventloop
 from tests.http1 import raw
 
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=10\r\n\r\nok"
+COMPLETE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=10\r\n\r\nok"
 MAX = 1000
 
 
@@ -36,25 +36,25 @@
     await asyncio.sleep(3600)
 
 
-def ask(*script, count=1, body=b"", reads_bodies=True):
-    """Send requests through a pool; return what came, and the server."""
+def send_requests(*script, count=1, body=b"", reads_bodies=True):
+    """Send requests through a pool; return the responses and the server."""
 
     async def main():
         server = raw.ScriptedServer(*script, reads_bodies=reads_bodies)
         address = await server.start()
         pool = clientpool.ClientPool(clocks.SystemClock())
-        got = [await one(pool, address, body) for _ in range(count)]
+        received = [await send_one(pool, address, body) for _ in range(count)]
         server.stop()
-        return got, server
+        return received, server
 
     return eventloop.run(main())
 
 
-async def one(pool, address, body=b""):
+async def send_one(pool, address, body=b""):
     connection = await pool.acquire(address)
     connection.send(b"POST", b"/x", ((b"Host", b"x"),), body)
     head = await connection.head()
-    if isinstance(head, clientside.Lost):
+    if isinstance(head, clientside.ResponseLost):
         pool.release(connection, None)
         return head
     content = await connection.body(MAX)
@@ -62,31 +62,31 @@
     return content
 
 
-def test_connection_is_kept_for_the_next_request():
-    got, server = ask(WHOLE, WHOLE, count=2)
-    assert (got, server.connections) == ([b"ok", b"ok"], 1)
+def test_connection_is_reused_for_the_next_request():
+    received, server = send_requests(COMPLETE, COMPLETE, count=2)
+    assert (received, server.connections) == ([b"ok", b"ok"], 1)
 
 
 @pytest.mark.parametrize(
     "first",
     [
-        WHOLE + b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra",
-        WHOLE + b"x",
-        WHOLE.replace(b"Keep-Alive: timeout=10", b"Connection: close"),
+        COMPLETE + b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra",
+        COMPLETE + b"x",
+        COMPLETE.replace(b"Keep-Alive: timeout=10", b"Connection: close"),
     ],
 )
-def test_connection_is_not_kept_when_anything_follows_or_the_server_closes(first):
-    """A replica sends a second answer after the first.
+def test_connection_is_not_reused_if_bytes_follow_or_the_server_closes(first):
+    """A replica sends a second response after the first.
 
-    On a kept connection it would be taken for the answer to the next caller's request.
+    On a reused connection it would be taken for the response to the next caller's request.
     """
-    got, server = ask(first, WHOLE, count=2)
-    assert (got, server.connections) == ([b"ok", b"ok"], 2)
+    received, server = send_requests(first, COMPLETE, count=2)
+    assert (received, server.connections) == ([b"ok", b"ok"], 2)
 
 
 def test_bytes_on_an_idle_connection_end_it():
     async def main():
-        server = raw.ScriptedServer(WHOLE, WHOLE)
+        server = raw.ScriptedServer(COMPLETE, COMPLETE)
         address = await server.start()
         pool = clientpool.ClientPool(clocks.SystemClock())
         connection = await pool.acquire(address)
@@ -102,13 +102,13 @@
     assert not eventloop.run(main())
 
 
-def test_answer_that_ends_with_its_connection_is_whole_only_when_closed_in_order():
-    """A replica's answer has no length, and its process dies while sending.
+def test_response_that_ends_with_its_connection_is_complete_only_if_closed_in_order():
+    """A replica's response has no length, and its process ends while sending.
 
-    The reset is the only sign that bytes are missing.
+    Only the reset shows that bytes are missing.
     """
-    assert ask(close)[0] == [b"until the end"]
-    assert ask(reset)[0] == [clientside.Lost("reset")]
+    assert send_requests(close)[0] == [b"until the end"]
+    assert send_requests(reset)[0] == [clientside.ResponseLost("reset")]
 
 
 @pytest.mark.parametrize(
@@ -121,53 +121,55 @@
         (b"", "closed"),
     ],
 )
-def test_torn_answer_is_lost(answer, code):
+def test_truncated_response_is_lost(answer, code):
     async def end(_reader, writer):
         writer.write(answer)
         await writer.drain()
         writer.close()
 
-    assert ask(end)[0] == [clientside.Lost(code)]
+    assert send_requests(end)[0] == [clientside.ResponseLost(code)]
 
 
-def test_answer_that_is_too_long_is_lost():
+def test_response_that_is_too_long_is_lost():
     long = b"HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n" + b"a" * 2000
-    assert ask(long)[0] == [clientside.Lost("malformed")]
+    assert send_requests(long)[0] == [clientside.ResponseLost("malformed")]
 
 
-def test_interim_answers_are_passed_over():
-    assert ask(b"HTTP/1.1 102 Processing\r\n\r\n" + WHOLE)[0] == [b"ok"]
+def test_interim_responses_are_ignored():
+    assert send_requests(b"HTTP/1.1 102 Processing\r\n\r\n" + COMPLETE)[0] == [b"ok"]
 
 
-def test_stray_answer_can_be_skipped():
-    """A late answer to an earlier request stands where this request's is due."""
+def test_response_to_an_earlier_request_can_be_skipped():
+    """A late response to an earlier request arrives before the response to this request."""
 
     async def main():
         stray = b"HTTP/1.1 200 OK\r\nX-Id: old\r\nContent-Length: 3\r\n\r\nold"
-        server = raw.ScriptedServer(stray + WHOLE)
+        server = raw.ScriptedServer(stray + COMPLETE)
         address = await server.start()
         connection = await clientside.connect(address, 5.0, clocks.SystemClock())
         connection.send(b"POST", b"/", ((b"Host", b"x"),), b"abc")
         first = await connection.head()
         old = await connection.body(MAX)
-        skipped = connection.skip_answer()
+        skipped = connection.skip_response()
         await connection.head()
         content = await connection.body(MAX)
         server.stop()
-        return first.fields[0], old, skipped, content, connection.may_be_kept
+        return first.fields[0], old, skipped, content, connection.may_be_reused
 
-    got = eventloop.run(main())
-    assert got == ((b"X-Id", b"old"), b"old", True, b"ok", False)
+    received = eventloop.run(main())
+    assert received == ((b"X-Id", b"old"), b"old", True, b"ok", False)
 
 
-def test_early_answer_leaves_no_request_behind_its_unsent_body():
-    """A replica refuses a long body before it has read it, and keeps the connection.
+def test_connection_with_an_unsent_body_is_not_reused_after_an_early_response():
+    """A replica refuses a long body before it has read it, and keeps the connection open.
 
-    What is still due there is the rest of that body: the next request's bytes would be
-    taken for it.
+    It still expects the rest of that body: the bytes of the next request would be taken
+    for it.
     """
-    got, server = ask(answer_early, WHOLE, count=2, body=b"a" * 30_000_000, reads_bodies=False)
-    assert (got, server.connections) == ([b"", b"ok"], 2)
+    received, server = send_requests(
+        answer_early, COMPLETE, count=2, body=b"a" * 30_000_000, reads_bodies=False
+    )
+    assert (received, server.connections) == ([b"", b"ok"], 2)
 
 
 def test_unreachable_server_received_nothing():
@@ -179,20 +181,20 @@
         pool = clientpool.ClientPool(clocks.SystemClock())
         return await pool.acquire(address), pool.open_count(address)
 
-    lost = clientside.Lost("not_connected", sent=False, is_refused=True)
+    lost = clientside.ResponseLost("not_connected", sent=False, is_refused=True)
     assert eventloop.run(main()) == (lost, 0)
 
 
-def test_kept_connection_is_trusted_for_part_of_the_stated_time():
+def test_idle_connection_is_reused_for_part_of_the_stated_timeout():
     async def main():
         clock = clocks.ManualClock(100.0)
-        server = raw.ScriptedServer(WHOLE, WHOLE, WHOLE)
+        server = raw.ScriptedServer(COMPLETE, COMPLETE, COMPLETE)
         address = await server.start()
         pool = clientpool.ClientPool(clock)
         counts = []
         for pause_s in (0.0, 6.9, 7.1):
             clock.advance(pause_s)
-            await one(pool, address)
+            await send_one(pool, address)
             counts.append(server.connections)
         server.stop()
         return counts
--- a/tests/http1/test_serverside.py
+++ b/tests/http1/test_serverside.py
@@ -1,4 +1,4 @@
-"""Connections of callers, met with raw bytes."""
+"""Connections from callers, tested with raw bytes."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Recorder(serverside.Handler):
-    """Echoes bodies; waits, fails or streams when the target says so."""
+    """Echoes bodies; waits, fails or streams depending on the target."""
 
     def __init__(self, limits=None):
         self.requests = []
@@ -41,7 +41,7 @@
                 self.cancelled.set()
                 raise
         if target == b"/fault":
-            raise ValueError("a fault of the handler")
+            raise ValueError("injected handler error")
         if target in (b"/stream", b"/torn"):
             await exchange.begin(200, ())
             await exchange.send(b"one")
@@ -59,7 +59,7 @@
 
 
 def exchange(*sent, handler=None, answers=1):
-    """Send bytes on one connection; return the handler and the answers."""
+    """Send bytes on one connection; return the handler and the responses."""
 
     async def main():
         recorder = handler or Recorder()
@@ -68,15 +68,15 @@
         for data in sent:
             await client.send(data)
             await asyncio.sleep(0)
-        got = [await client.answer() for _ in range(answers)]
+        received = [await client.answer() for _ in range(answers)]
         client.close()
         server.stop_listening()
-        return recorder, got
+        return recorder, received
 
     return eventloop.run(main())
 
 
-def test_request_comes_as_it_was_sent():
+def test_request_is_received_as_sent():
     sent = b"PUT /a?b=%20c HTTP/1.1\r\nHost: x\r\nX-Odd-Case: V\r\nContent-Length: 3\r\n\r\nabc"
     recorder, _ = exchange(sent)
     request = recorder.requests[0]
@@ -84,21 +84,21 @@
     assert (b"X-Odd-Case", b"V") in request.fields
 
 
-def test_body_in_chunks_is_put_together():
+def test_chunked_body_is_assembled():
     sent = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
-    recorder, got = exchange(sent, b"3\r\nabc\r\n", b"2\r\nde\r\n0\r\n\r\n")
+    recorder, received = exchange(sent, b"3\r\nabc\r\n", b"2\r\nde\r\n0\r\n\r\n")
     assert recorder.requests[0].body == b"abcde"
-    assert got[0][2] == b"abcde"
+    assert received[0][2] == b"abcde"
 
 
 def test_requests_on_one_connection_are_answered_in_order():
-    _, got = exchange(GET + GET.replace(b"/a", b"/b"), answers=2)
-    assert [status for status, _, _ in got] == [200, 200]
+    _, received = exchange(GET + GET.replace(b"/a", b"/b"), answers=2)
+    assert [status for status, _, _ in received] == [200, 200]
 
 
-def test_answer_without_length_is_sent_in_chunks():
-    _, got = exchange(b"GET /stream HTTP/1.1\r\nHost: x\r\n\r\n")
-    assert got[0][2] == b"one"
+def test_response_without_length_is_sent_in_chunks():
+    _, received = exchange(b"GET /stream HTTP/1.1\r\nHost: x\r\n\r\n")
+    assert received[0][2] == b"one"
 
 
 @pytest.mark.parametrize(
@@ -112,30 +112,30 @@
         (b"nonsense\r\n\r\n", 400),
     ],
 )
-def test_bad_request_gets_its_status_and_ends_the_connection(sent, status):
+def test_invalid_request_gets_its_status_and_ends_the_connection(sent, status):
     async def main():
         recorder = Recorder(serverside.ConnectionLimits(head_bytes=300, body_bytes=10))
         server, address = await serve(recorder)
         client = await raw.RawClient.connect(address)
         await client.send(sent)
-        got = await client.answer()
+        received = await client.answer()
         is_closed = await client.is_closed()
         server.stop_listening()
-        return recorder, got[0], is_closed
+        return recorder, received[0], is_closed
 
-    recorder, got, is_closed = eventloop.run(main())
-    assert (got, is_closed, recorder.requests) == (status, True, [])
+    recorder, received, is_closed = eventloop.run(main())
+    assert (received, is_closed, recorder.requests) == (status, True, [])
     assert recorder.refusals == [status]
 
 
 @pytest.mark.parametrize(
     "sent", [b"GET / HT", b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nab"]
 )
-def test_slow_request_is_told_so(sent):
-    """A caller begins a request and sends no more of it.
+def test_slow_request_gets_a_timeout_status(sent):
+    """A caller begins a request and never completes it.
 
-    Its connection would hold memory and a descriptor for good, and a thousand such
-    callers all of them.
+    Its connection would occupy memory and a descriptor permanently, and a thousand such
+    callers would exhaust them.
     """
 
     async def main():
@@ -143,14 +143,14 @@
         server, address = await serve(recorder)
         client = await raw.RawClient.connect(address)
         await client.send(sent)
-        got = await client.answer()
+        received = await client.answer()
         server.stop_listening()
-        return got[0], await client.is_closed()
+        return received[0], await client.is_closed()
 
     assert eventloop.run(main()) == (408, True)
 
 
-def test_idle_connection_is_closed_without_a_word():
+def test_idle_connection_is_closed_without_a_response():
     async def main():
         server, address = await serve(Recorder(serverside.ConnectionLimits(idle_s=0.05)))
         client = await raw.RawClient.connect(address)
@@ -161,11 +161,11 @@
     assert eventloop.run(main())
 
 
-def test_caller_that_leaves_ends_the_work_for_it():
-    """A clerk closes the page while the answer is being made.
+def test_request_of_a_disconnected_caller_is_cancelled():
+    """A caller disconnects while its response is being produced.
 
-    The close arrives at the node, which waits for a replica: unless the wait is
-    cancelled the replica works on for nobody.
+    The node waits for a replica: unless the wait is cancelled, the replica continues
+    although no caller waits for the response.
     """
 
     async def main():
@@ -182,7 +182,7 @@
     eventloop.run(main())
 
 
-def test_torn_answer_does_not_look_whole():
+def test_aborted_response_does_not_look_complete():
     async def main():
         server, address = await serve(Recorder())
         client = await raw.RawClient.connect(address)
@@ -199,7 +199,7 @@
     assert not eventloop.run(main()).endswith(b"0\r\n\r\n")
 
 
-def test_fault_of_the_handler_ends_one_connection_only():
+def test_error_of_the_handler_ends_one_connection_only():
     async def main():
         recorder = Recorder()
         server, address = await serve(recorder)
@@ -208,19 +208,19 @@
         is_closed = await broken.is_closed()
         other = await raw.RawClient.connect(address)
         await other.send(GET)
-        got = await other.answer()
+        received = await other.answer()
         server.stop_listening()
-        return recorder, is_closed, got[0]
+        return recorder, is_closed, received[0]
 
     recorder, is_closed, status = eventloop.run(main())
     assert (is_closed, status, len(recorder.failures)) == (True, 200, 1)
 
 
-def test_leaving_server_says_that_it_closes_and_serves_what_comes():
+def test_leaving_server_announces_that_it_closes_and_still_serves():
     """An instance is stopped while a caller keeps its connection open.
 
-    Closed under a request that is on its way, the connection would cost the caller its
-    answer; told with the next answer, the caller goes elsewhere by itself.
+    If the connection were closed while a request is in transit, the caller would get no
+    response; if the close is announced with the next response, it connects elsewhere.
     """
 
     async def main():
@@ -236,7 +236,7 @@
         await late.send(GET)
         third = await late.answer()
         server.stop_listening()
-        return [got[1].get("connection") for got in (first, second, third)], is_closed
+        return [received[1].get("connection") for received in (first, second, third)], is_closed
 
     assert eventloop.run(main()) == ([None, "close", "close"], True)
 
@@ -255,8 +255,8 @@
         server.close_idle()
         is_closed = await idle.is_closed()
         await begun.send(b"Host: x\r\n\r\n")
-        got = await begun.answer()
+        received = await begun.answer()
         server.stop_listening()
-        return is_closed, got[0], server.busy_count
+        return is_closed, received[0], server.busy_count
 
     assert eventloop.run(main()) == (True, 200, 1)
--- a/tests/http1/test_strictness.py
+++ b/tests/http1/test_strictness.py
@@ -1,4 +1,4 @@
-"""Heads that two readers may understand differently are refused."""
+"""Request heads that two parsers may interpret differently are refused."""
 
 import pytest
 
@@ -26,17 +26,17 @@
     ],
 )
 def test_ambiguous_head_is_refused(fields):
-    """A caller hides a second request in the body of its first.
+    """A caller hides a second request in the body of its first (request smuggling).
 
-    A node and a backend server that read the body's end at different places take the
-    rest of it for a request, which then runs under another caller's name.
+    If a node and a backend server find the end of the body at different positions, the
+    rest is taken for a request, which then runs on behalf of another caller.
     """
-    assert strictness.complaint(START + fields + b"\r\n") is not None
+    assert strictness.ambiguity(START + fields + b"\r\n") is not None
 
 
 @pytest.mark.parametrize(
     "fields",
     [b"", b"Content-Length: 12\r\n", b"Transfer-Encoding: Chunked\r\n", b"X: a b\r\nY:\r\n"],
 )
-def test_plain_head_is_taken(fields):
-    assert strictness.complaint(START + fields + b"\r\n") is None
+def test_plain_head_is_accepted(fields):
+    assert strictness.ambiguity(START + fields + b"\r\n") is None
--- a/tests/platform/test_requestdialect.py
+++ b/tests/platform/test_requestdialect.py
@@ -121,7 +121,7 @@
 
 
 def head(status, *fields):
-    return DIALECT.parse_response_head(clientside.Head(status, fields))
+    return DIALECT.parse_response_head(clientside.ResponseHead(status, fields))
 
 
 def test_response_head_is_parsed():
@@ -179,10 +179,10 @@
 )
 def test_limit_is_parsed_and_a_malformed_one_counts_as_zero(named, requests_per_s, problem):
     """A malformed limit of an overloaded server must not be misread as a high one."""
-    head = clientside.Head(200, tuple((b"Server-Limit", each) for each in named))
+    head = clientside.ResponseHead(200, tuple((b"Server-Limit", each) for each in named))
     limit = DIALECT.parse_response_head(head).limit
     assert (limit.requests_per_s, limit.problem) == (requests_per_s, problem)
 
 
 def test_response_without_a_limit_has_none():
-    assert DIALECT.parse_response_head(clientside.Head(200, ())).limit is None
+    assert DIALECT.parse_response_head(clientside.ResponseHead(200, ())).limit is None
--- a/tests/routed/test_bufferedexchange.py
+++ b/tests/routed/test_bufferedexchange.py
@@ -43,7 +43,7 @@
         )
         crash_detector = crashdetector.CrashDetector(
             self.replica_list,
-            pool.listens,
+            pool.is_listening,
             lambda replica_id: False,
             lambda replica, lost: self.quarantine.crashed(replica.id, lost),
             self.clock,
