--- a/hornbeamglade/callers/answers.py
+++ b/hornbeamglade/callers/answers.py
@@ -1,4 +1,4 @@
-"""Assemble a whole answer from an engine's events, for callers who do not stream."""
+"""Assembles a complete response from an engine's events, for callers that do not stream."""
 
 import json
 from typing import Any
@@ -10,24 +10,24 @@
 
 
 def assemble(path: str, events: list[bytes]) -> bytes:
-    """Join the chunks of one generation into one JSON answer.
+    """Join the chunks of one generation into one JSON response.
 
-    :param path: the API path, which decides the answer's shape.
+    :param path: the API path, which determines the format of the response.
     :param events: raw ``data:`` lines in order, without ``[DONE]``.
-    :raises CodedError: ``answer_malformed`` when an event is not a chunk; leaving it
-        out would give the caller a text with a gap as if it were whole.
+    :raises CodedError: ``answer_malformed`` if an event is not a chunk; if it
+        were omitted, the caller would take a text with a gap for a complete one.
     """
     try:
-        return _assembled(path == generationcalls.CHAT_PATH, events)
+        return _assemble_chunks(path == generationcalls.CHAT_PATH, events)
     except (ValueError, LookupError, TypeError, AttributeError, RecursionError) as error:
         detail = f"an event of the engine is not a chunk: {error!r}"
         raise codederrors.CodedError("answer_malformed", detail) from error
 
 
-def _assembled(is_chat: bool, events: list[bytes]) -> bytes:
+def _assemble_chunks(is_chat: bool, events: list[bytes]) -> bytes:
     chunks = [json.loads(event[len(DATA_PREFIX) :]) for event in events]
     text = "".join(_chunk_text(chunk, is_chat) for chunk in chunks)
-    answer = {
+    response = {
         "id": chunks[0].get("id", ""),
         "object": "chat.completion" if is_chat else "text_completion",
         "created": chunks[0].get("created", 0),
@@ -35,7 +35,7 @@
         "choices": [_choice(text, _finish_reason(chunks), is_chat)],
         "usage": _usage(chunks),
     }
-    return json.dumps(answer).encode()
+    return json.dumps(response).encode()
 
 
 def _chunk_text(chunk: dict[str, Any], is_chat: bool) -> str:
--- a/hornbeamglade/callers/bodies.py
+++ b/hornbeamglade/callers/bodies.py
@@ -1,4 +1,4 @@
-"""Read a request's body whole and within bounds, or refuse the request."""
+"""Reads a request's body completely and within its limit, or refuses the request."""
 
 import typing
 
@@ -7,13 +7,13 @@
 from hornbeamglade.callers import server
 from hornbeamglade.core import outcomes
 
-DRAINED_BODY_BYTES = 8 * 1024 * 1024
-"""An oversized body up to this size is read to its end before its 413: closing a
-connection with unread data resets it, and the caller would lose the answer."""
+MAX_DRAINED_BODY_BYTES = 8 * 1024 * 1024
+"""An oversized body up to this size is read to its end before the 413 is sent: closing a
+connection with unread data resets it, and the caller would not get the response."""
 
 READ_PIECE_BYTES = 65_536
 CHUNK_FRAMING = 4
-"""Bytes that cheroot counts for one byte of data when every chunk holds a single one."""
+"""Bytes that cheroot counts per byte of data if every chunk contains a single byte."""
 
 _READ_ERRORS = (OSError, ValueError, cheroot.errors.MaxSizeExceeded)
 
@@ -24,9 +24,9 @@
     """Read the body of one request.
 
     :param environ: the WSGI environment.
-    :param link: the caller's connection; closed after the answer when the rest of
+    :param link: the caller's connection; closed after the response if the rest of
         the body cannot be skipped.
-    :param bound: the largest body in bytes.
+    :param bound: the maximum size of the body in bytes.
     """
     if environ.get("wsgi.input_terminated"):
         return _read_chunked(environ["wsgi.input"], link, bound)
@@ -41,24 +41,24 @@
     source: typing.Any, link: server.CallerLink, bound: int, declared: int
 ) -> bytes | outcomes.Refusal:
     if declared > bound:
-        if declared <= DRAINED_BODY_BYTES:
+        if declared <= MAX_DRAINED_BODY_BYTES:
             _skip(source)
         return _too_large(bound)
     pieces: list[bytes] = []
-    left = declared
-    while left > 0:
+    remaining = declared
+    while remaining > 0:
         try:
-            piece = source.read(min(READ_PIECE_BYTES, left))
+            piece = source.read(min(READ_PIECE_BYTES, remaining))
         except _READ_ERRORS:
             break
         if not piece:
             break
         pieces.append(piece)
-        left -= len(piece)
+        remaining -= len(piece)
     link.body_read()
-    if left:
+    if remaining:
         link.close_after_answer()
-        detail = f"only {declared - left} of {declared} bytes of the body arrived in time"
+        detail = f"only {declared - remaining} of {declared} bytes of the body arrived in time"
         return outcomes.Refusal("body_timeout", 408, detail)
     return b"".join(pieces)
 
@@ -66,9 +66,9 @@
 def _read_chunked(
     source: typing.Any, link: server.CallerLink, bound: int
 ) -> bytes | outcomes.Refusal:
-    # cheroot reads each chunk whole: without the bound, one chunk that declares
-    # gigabytes fills this instance's memory before any of it is seen here.
-    source.maxlen = DRAINED_BODY_BYTES + CHUNK_FRAMING * bound
+    # cheroot reads each chunk completely: without this limit, one chunk that declares
+    # gigabytes would fill this instance's memory before its size is checked here.
+    source.maxlen = MAX_DRAINED_BODY_BYTES + CHUNK_FRAMING * bound
     pieces: list[bytes] = []
     size = 0
     try:
@@ -81,27 +81,27 @@
         if size > bound:
             _skip(source)
             return _too_large(bound)
-        # The empty line after the last chunk belongs to this request. Left unread it
-        # counts as the start of the next one, which then times out with a stray 408.
+        # The empty line after the last chunk belongs to this request. If it were not read, it
+        # would count as the start of another request, which times out with an unexpected 408.
         for _ in source.read_trailer_lines():
             pass
     except cheroot.errors.MaxSizeExceeded:
         return _too_large(bound)
     except (OSError, ValueError) as error:
-        # A chunked body names no length, so one that was cut off looks whole but for
-        # this error; passed on, a backend server would run half a request.
+        # A chunked body has no declared length, so only this error shows that it is
+        # truncated; if forwarded, a backend server would run an incomplete request.
         link.close_after_answer()
-        return _cut_off(error, bound)
+        return _incomplete_refusal(error, bound)
     finally:
         link.body_read()
     return b"".join(pieces)
 
 
-def _cut_off(error: Exception, bound: int) -> outcomes.Refusal:
+def _incomplete_refusal(error: Exception, bound: int) -> outcomes.Refusal:
     if isinstance(error, TimeoutError):
         return outcomes.Refusal("body_timeout", 408, "the body did not arrive in time")
     if isinstance(error, OSError) and error.errno is None:
-        return _too_large(bound)  # cheroot's word for a chunk beyond ``maxlen``
+        return _too_large(bound)  # how cheroot reports a chunk beyond ``maxlen``
     return outcomes.Refusal("body_malformed", 400, f"the chunked body is not whole: {error}")
 
 
--- a/hornbeamglade/callers/generationcalls.py
+++ b/hornbeamglade/callers/generationcalls.py
@@ -1,4 +1,4 @@
-"""Parse and check the body of a generation request."""
+"""Parses and validates the body of a generation request."""
 
 import dataclasses
 import json
@@ -12,14 +12,14 @@
 CHAT_PATH = "/v1/chat/completions"
 COMPLETIONS_PATH = "/v1/completions"
 CHARACTERS_PER_TOKEN = 4
-"""Rough length of a token in characters; the tokenizer is the engine's."""
+"""Approximate characters per token; only the engine has the tokenizer."""
 
-MOST_TOKENS = 2**31 - 1
-DEEPEST_NESTING = 100
-"""The interpreter's own bound is met later by the encoder than by the decoder, and
-counts from wherever the caller's frame is; this one is the same for every request."""
+MAX_TOKENS = 2**31 - 1
+MAX_NESTING = 100
+"""The interpreter's recursion limit is reached at different depths by the encoder and the
+decoder and depends on the current stack depth; this limit is the same for every request."""
 
-TokenBound = Annotated[int, pydantic.Field(ge=1, le=MOST_TOKENS)]
+TokenLimit = Annotated[int, pydantic.Field(ge=1, le=MAX_TOKENS)]
 
 
 class _Message(pydantic.BaseModel):
@@ -34,8 +34,8 @@
 
     model: str
     stream: bool = False
-    max_tokens: TokenBound | None = None
-    max_completion_tokens: TokenBound | None = None
+    max_tokens: TokenLimit | None = None
+    max_completion_tokens: TokenLimit | None = None
     n: Annotated[int, pydantic.Field(ge=1, le=1)] | None = None
 
 
@@ -49,15 +49,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GenerationCall:
-    """A checked generation request.
+    """A validated generation request.
 
-    :param path: the API path, the same towards callers and engines.
-    :param model: the model's name as the caller wrote it.
+    :param path: the API path, the same for callers and engines.
+    :param model: the model's name as specified by the caller.
     :param stream: whether the caller wants server-sent events.
-    :param prompt: the prompt's text, for its length and prefix.
-    :param max_tokens: the caller's bound on the answer, or None.
-    :param include_usage: whether the caller asked for usage in the stream.
-    :param body: the body for the engine, always streaming.
+    :param prompt: the text of the prompt, used for its length and prefix.
+    :param max_tokens: the caller's limit on the generated tokens, or None.
+    :param include_usage: whether the caller requested usage in the stream.
+    :param body: the body for the engine, which always requests a stream.
     """
 
     path: str
@@ -75,7 +75,7 @@
 
 
 def parse(path: str, body: bytes) -> GenerationCall | outcomes.Refusal:
-    """Check a body against the usual API.
+    """Parse and validate a body of the OpenAI-compatible API.
 
     :param path: ``CHAT_PATH`` or ``COMPLETIONS_PATH``.
     :param body: the request's bytes.
@@ -91,37 +91,39 @@
     try:
         document = json.loads(body, parse_constant=_refuse_constant)
     except (ValueError, RecursionError) as error:
-        return _bad("body_not_json", f"the body is not JSON: {error}")
-    if _is_deeper(document, DEEPEST_NESTING):
-        return _bad("body_invalid", f"the body is nested deeper than {DEEPEST_NESTING}")
+        return _invalid("body_not_json", f"the body is not JSON: {error}")
+    if _exceeds_depth(document, MAX_NESTING):
+        return _invalid("body_invalid", f"the body is nested deeper than {MAX_NESTING}")
     if not isinstance(document, dict):
-        return _bad("body_invalid", f"the body is a JSON {type(document).__name__}, not an object")
+        return _invalid(
+            "body_invalid", f"the body is a JSON {type(document).__name__}, not an object"
+        )
     model = _ChatBody if path == CHAT_PATH else _CompletionBody
     try:
-        checked = model.model_validate(document)
+        parsed = model.model_validate(document)
     except pydantic.ValidationError as error:
-        return _bad("body_invalid", _first_error(error))
-    return _call(path, document, checked)
+        return _invalid("body_invalid", _first_error(error))
+    return _call(path, document, parsed)
 
 
-def _call(path: str, document: dict[str, Any], checked: _Body) -> GenerationCall:
+def _call(path: str, document: dict[str, Any], parsed: _Body) -> GenerationCall:
     options = document.get("stream_options")
     include_usage = isinstance(options, dict) and options.get("include_usage") is True
     return GenerationCall(
         path=path,
-        model=checked.model,
-        stream=checked.stream,
-        prompt=_prompt(checked),
-        max_tokens=checked.max_completion_tokens or checked.max_tokens,
+        model=parsed.model,
+        stream=parsed.stream,
+        prompt=_prompt(parsed),
+        max_tokens=parsed.max_completion_tokens or parsed.max_tokens,
         include_usage=include_usage,
         body=json.dumps(document | {"stream": True}).encode(),
     )
 
 
-def _prompt(checked: _Body) -> str:
-    if isinstance(checked, _CompletionBody):
-        return checked.prompt
-    return "\n".join(f"{each.role}: {_text(each.content)}" for each in checked.messages)
+def _prompt(parsed: _Body) -> str:
+    if isinstance(parsed, _CompletionBody):
+        return parsed.prompt
+    return "\n".join(f"{each.role}: {_text(each.content)}" for each in parsed.messages)
 
 
 def _text(content: str | list[dict[str, Any]] | None) -> str:
@@ -136,13 +138,13 @@
     raise ValueError(f"{name} is not a JSON number")
 
 
-def _is_deeper(value: Any, levels: int) -> bool:
+def _exceeds_depth(value: Any, levels: int) -> bool:
     if not isinstance(value, dict | list):
         return False
     if not levels:
         return True
     inner = value.values() if isinstance(value, dict) else value
-    return any(_is_deeper(each, levels - 1) for each in inner)
+    return any(_exceeds_depth(each, levels - 1) for each in inner)
 
 
 def _first_error(error: pydantic.ValidationError) -> str:
@@ -151,5 +153,5 @@
     return f"{where}: {first['msg']}"
 
 
-def _bad(code: str, detail: str) -> outcomes.Refusal:
+def _invalid(code: str, detail: str) -> outcomes.Refusal:
     return outcomes.Refusal(code, 400, detail)
--- a/hornbeamglade/callers/problems.py
+++ b/hornbeamglade/callers/problems.py
@@ -1,4 +1,4 @@
-"""Refusals as problem details.
+"""Rendering of refusals as problem details.
 
 References
 ==========
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """A whole HTTP answer.
+    """A complete HTTP response.
 
     :param status: the HTTP status.
     :param headers: name and value pairs.
@@ -32,7 +32,7 @@
 
     @property
     def status_line(self) -> str:
-        """The status with its reason phrase, as WSGI wants it."""
+        """The status with its reason phrase, in the format of WSGI."""
         try:
             phrase = http.HTTPStatus(self.status).phrase
         except ValueError:
@@ -43,7 +43,7 @@
 def render(refusal: outcomes.Refusal, request_id: str) -> Response:
     """Render a refusal as problem details [1]_.
 
-    :param refusal: what is said to the caller.
+    :param refusal: the refusal to report to the caller.
     :param request_id: the request's id, for the operator's logs.
     """
     body = {
@@ -66,12 +66,12 @@
 
 
 def render_event(refusal: outcomes.Refusal) -> bytes:
-    """Render a refusal as the terminal event of a stream that has begun."""
+    """Render a refusal as the final event of a stream that has begun."""
     return b"data: " + json.dumps({"error": error_object(refusal)}).encode() + b"\n\n"
 
 
 def error_object(refusal: outcomes.Refusal) -> dict[str, str]:
-    """Build the ``error`` member that the usual client libraries read."""
+    """Return the ``error`` member that common client libraries read."""
     return {
         "code": refusal.code,
         "type": refusal.code,
--- a/hornbeamglade/callers/server.py
+++ b/hornbeamglade/callers/server.py
@@ -19,10 +19,10 @@
 
 
 class CallerLink:
-    """The caller's connection, as far as the application may see it.
+    """The part of the caller's connection that the application may use.
 
     :param request: cheroot's request; None in tests without a socket.
-    :param senders: where reading connections are listed.
+    :param senders: tracks the connections whose request is being read.
     """
 
     __slots__ = ("_request", "_senders")
@@ -36,11 +36,11 @@
         self._senders = senders
 
     def is_gone(self) -> bool:
-        """Tell whether the caller has closed its connection.
+        """Return whether the caller has closed its connection.
 
-        Guards a replica's memory against requests whose caller left while they
-        waited: such a connection reads as end of file. A pipelined request reads
-        as data and is left in place.
+        Guards a replica's memory against requests whose caller disconnected while they
+        waited: on such a connection a read returns end of file. A pipelined request reads
+        as data and is not consumed.
         """
         if self._request is None:
             return False
@@ -50,30 +50,30 @@
                 return False
             return connection.recv(1, socket.MSG_PEEK) == b""
         except (OSError, ValueError):
-            return True  # broken, or closed by a stop of this node
+            return True  # reset, or closed because this node stops
 
     def body_read(self) -> None:
-        """Note that the request has arrived whole."""
+        """Record that the request has been received completely."""
         if self._request is not None and self._senders is not None:
             self._senders.done(self._request.conn.socket)
 
     def close_after_answer(self) -> None:
-        """Close the connection after this answer, the rest of the body unread."""
+        """Close the connection after this response without reading the rest of the body."""
         if self._request is not None:
             self._request.close_connection = True
 
 
 def _is_readable(connection: socket.socket) -> bool:
-    # poll() rather than select(): descriptors above 1,023 are ordinary here.
+    # poll() rather than select(): descriptors above 1,023 are common here.
     poller = select.poll()
     poller.register(connection, select.POLLIN | select.POLLHUP | select.POLLERR)
     return bool(poller.poll(0))
 
 
-class _ReusingServer(wsgi.Server):
-    """Lets a restarted node have its address back while old connections fade.
+class _AddressReusingServer(wsgi.Server):
+    """Allows a restarted node to bind its address while old connections are in TIME_WAIT.
 
-    Cheroot sets the option for a fixed port only; a port that the system chose could
+    Cheroot sets the option only for a fixed port; a port that the system chose could
     not be bound again for a minute after the node was killed.
     """
 
@@ -85,20 +85,20 @@
 
 
 class CallersServer:
-    """Serve a WSGI application on an ``ip:port``.
+    """Serves a WSGI application on an ``ip:port``.
 
-    The address is bound at once, so that others can be told of it; requests are
-    answered from :meth:`start` on.
+    The address is bound at construction, so that it can be announced; requests are
+    answered once :meth:`start` was called.
 
-    :param address: where to listen; port 0 takes a free one.
-    :param threads: connections served at once; a thread a stream.
-    :param senders: bounds the time a request may take to arrive.
-    :raises CodedError: ``callers_address_unusable`` when it cannot be bound.
+    :param address: where to listen; port 0 selects a free port.
+    :param threads: connections served at once; each stream occupies a thread.
+    :param senders: limits the time that a request may take to arrive.
+    :raises CodedError: ``callers_address_unusable`` if it cannot be bound.
     """
 
     def __init__(self, address: str, threads: int, senders: slowsenders.SlowSenders) -> None:
         host, _, port = address.rpartition(":")
-        self._server = _ReusingServer(
+        self._server = _AddressReusingServer(
             (host.strip("[]"), int(port)),
             None,
             numthreads=threads,
@@ -119,12 +119,12 @@
 
     @property
     def address(self) -> str:
-        """Where the server listens, as ``ip:port``."""
+        """The address on which the server listens, as ``ip:port``."""
         host, port = self._server.bind_addr[:2]
         return f"{host}:{port}"
 
     def start(self, application: Callable) -> None:
-        """Serve in a thread of its own.
+        """Serve in a separate thread.
 
         :param application: the WSGI application.
         """
@@ -134,45 +134,45 @@
 
     @property
     def busy(self) -> int:
-        """How many connections have a request under way, from its first byte on."""
+        """The number of connections with a request in progress, from its first byte on."""
         return self._state.busy
 
     def leave(self) -> None:
-        """Answer from now on with ``Connection: close``.
+        """Send ``Connection: close`` with all responses from now on.
 
-        Guards a planned stop against callers who keep their connection: they would
-        come back on it for as long as they have requests.
+        Guards a planned stop against callers that keep their connection open: they would
+        use it for as long as they have requests.
         """
         self._state.is_leaving = True
 
     def close_listener(self) -> None:
-        """Take no further connection; those that were taken are served on."""
+        """Accept no further connections; accepted ones are still served."""
         listener = self._server.socket
         self._server.socket = None
         listener.close()
 
     def stop(self) -> None:
-        """Stop serving; connections that are still open are closed."""
+        """Stop serving; open connections are closed."""
         self._server.stop()
         if self._thread is not None:
             self._thread.join()
 
 
 class _ServingState:
-    """What the connections of one server share."""
+    """State shared by the connections of one server."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self.busy = 0
         self.is_leaving = False
 
-    def change_busy(self, by: int) -> None:
+    def change_busy(self, change: int) -> None:
         with self._lock:
-            self.busy += by
+            self.busy += change
 
 
 def _gateway_class(senders: slowsenders.SlowSenders, state: _ServingState) -> type:
-    """Make a gateway that adds the caller's link to the WSGI environment."""
+    """Return a gateway class that adds the caller's link to the WSGI environment."""
 
     class Gateway(wsgi.Gateway_10):
         def get_environ(self) -> dict:
@@ -183,8 +183,8 @@
             return environ
 
         def respond(self) -> None:
-            # The library's own leaves ``close`` out when the headers cannot be sent, as
-            # to a caller that has gone: what the stream holds would be held for ever.
+            # The library's own method omits ``close`` if the headers cannot be sent, as
+            # to a disconnected caller: the stream's resources would never be released.
             response = self.req.server.wsgi_app(self.env, self.start_response)
             try:
                 for piece in filter(None, response):
@@ -198,7 +198,7 @@
 
 
 def _connection_class(senders: slowsenders.SlowSenders, state: _ServingState) -> type:
-    """Make a connection that lists itself while its request arrives."""
+    """Return a connection class that registers itself while its request arrives."""
 
     class Connection(cheroot.server.HTTPConnection):
         def communicate(self) -> bool:
--- a/hornbeamglade/callers/slowsenders.py
+++ b/hornbeamglade/callers/slowsenders.py
@@ -1,12 +1,12 @@
-"""Bound the time that a caller may take to send one request.
+"""Limits the time that a caller may take to send one request.
 
 Explanation
 ===========
 
-A caller that sends a byte now and then keeps a thread for as long as it likes:
-the socket's own timeout starts anew with each byte. Every connection that is
-being read is listed here, and a sweep ends the reading of those that took
-longer than the bound. The caller can still be written to, so it gets its 408.
+A caller that sends a byte occasionally occupies a thread without end:
+the socket's timeout restarts with each byte. Every connection that is
+being read is registered here, and a sweep ends the reading of those that took
+longer than the limit. The connection can still be written to, so the caller gets a 408.
 """
 
 import socket
@@ -18,7 +18,7 @@
 
 
 class SlowSenders:
-    """Connections whose request is being read, with the time it began.
+    """Connections whose request is being read, with the time at which it began.
 
     :param clock: monotonic time.
     """
@@ -26,21 +26,21 @@
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        self._began_by_connection: dict[socket.socket, float] = {}
+        self._start_by_connection: dict[socket.socket, float] = {}
 
     def begin(self, connection: socket.socket) -> None:
-        """Note that a request begins to arrive."""
+        """Record that a request begins to arrive."""
         with self._lock:
-            self._began_by_connection[connection] = self._clock.now()
+            self._start_by_connection[connection] = self._clock.now()
 
     def done(self, connection: socket.socket) -> None:
-        """Note that the request has arrived whole, or was given up; idempotent."""
+        """Record that the request has arrived completely or was abandoned; idempotent."""
         with self._lock:
-            self._began_by_connection.pop(connection, None)
+            self._start_by_connection.pop(connection, None)
 
     def sweep(self) -> int:
-        """End the reading of the connections that took too long; return how many."""
-        late = self._take_late()
+        """End reading from the connections that took too long; return how many."""
+        late = self._remove_late()
         for connection in late:
             try:
                 connection.shutdown(socket.SHUT_RD)
@@ -48,10 +48,12 @@
                 pass
         return len(late)
 
-    def _take_late(self) -> tuple[socket.socket, ...]:
+    def _remove_late(self) -> tuple[socket.socket, ...]:
         oldest = self._clock.now() - REQUEST_READ_S
         with self._lock:
-            late = tuple(c for c, began in self._began_by_connection.items() if began < oldest)
+            late = tuple(
+                c for c, started_at in self._start_by_connection.items() if started_at < oldest
+            )
             for connection in late:
-                del self._began_by_connection[connection]
+                del self._start_by_connection[connection]
         return late
--- a/hornbeamglade/core/__init__.py
+++ b/hornbeamglade/core/__init__.py
@@ -1,4 +1,4 @@
-"""Values that every other subpackage builds on: clocks, coded errors, outcomes."""
+"""Types that all other subpackages use: clocks, coded errors, outcomes."""
 
 from hornbeamglade.core.clocks import Clock, ManualClock, SystemClock
 from hornbeamglade.core.codederrors import CodedError, InvariantError
--- a/hornbeamglade/core/clocks.py
+++ b/hornbeamglade/core/clocks.py
@@ -1,4 +1,4 @@
-"""Clocks, passed in to every decision so that tests and benches can turn them."""
+"""Clocks, passed to all components so that tests and benchmarks can control time."""
 
 import abc
 import time
@@ -9,11 +9,11 @@
 
     @abc.abstractmethod
     def now(self) -> float:
-        """Return monotonic seconds; only differences have a meaning."""
+        """Return monotonic seconds; only differences are meaningful."""
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Return seconds since the Unix epoch, for records that people read."""
+        """Return seconds since the Unix epoch, for records read by people."""
 
     @abc.abstractmethod
     def sleep(self, seconds: float) -> None:
@@ -21,18 +21,18 @@
 
 
 class SystemClock(Clock):
-    """The machine's clock.
+    """The clock of the operating system.
 
     Explanation
     ===========
 
-    ``now`` reads ``CLOCK_BOOTTIME``: unlike ``CLOCK_MONOTONIC`` it goes on while
-    the instance is suspended, so a holder that was suspended past its lease
-    sees that the lease has lapsed.
+    ``now`` reads ``CLOCK_BOOTTIME``: unlike ``CLOCK_MONOTONIC`` it advances while
+    the instance is suspended, so a holder that was suspended beyond the end of its lease
+    detects that the lease has expired.
     """
 
     def now(self) -> float:
-        """Return seconds since boot, suspended time included."""
+        """Return seconds since boot, including suspended time."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
@@ -45,7 +45,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when it is told to.
+    """A clock that advances only when requested.
 
     Examples
     ========
@@ -74,9 +74,9 @@
     def advance(self, seconds: float) -> None:
         """Move the clock forward.
 
-        :param seconds: how far; not negative.
-        :raises ValueError: when ``seconds`` is negative.
+        :param seconds: the time to advance by; not negative.
+        :raises ValueError: if ``seconds`` is negative.
         """
         if seconds < 0:
-            raise ValueError(f"a clock cannot go back by {seconds} s")
+            raise ValueError(f"cannot advance a clock by a negative time: {seconds} s")
         self._now += seconds
--- a/hornbeamglade/core/codederrors.py
+++ b/hornbeamglade/core/codederrors.py
@@ -1,16 +1,16 @@
 """Exceptions that carry a stable code.
 
-Outcomes that a caller is expected to handle are values
-(:mod:`hornbeamglade.core.outcomes`); exceptions are for bad input at the
-border and for broken invariants.
+Outcomes that calling code is expected to handle are values
+(:mod:`hornbeamglade.core.outcomes`); exceptions report invalid input at the
+system boundary and violated invariants.
 """
 
 
 class CodedError(Exception):
-    """Bad input or a failed operation, with a code that scripts may match.
+    """Invalid input or a failed operation, with a code that scripts may match.
 
     :param code: a stable lower-case identifier, such as ``config_unknown_key``.
-    :param detail: one sentence for a person; names the offending value.
+    :param detail: one human-readable sentence that names the invalid value.
 
     Examples
     ========
@@ -26,4 +26,4 @@
 
 
 class InvariantError(CodedError):
-    """A broken invariant: the only error that may stop a process."""
+    """A violated invariant: the only error that may stop a process."""
--- a/hornbeamglade/packed/__init__.py
+++ b/hornbeamglade/packed/__init__.py
@@ -1,1 +1,1 @@
-"""Starting a program from one file that holds the code of all its modules."""
+"""Starts a program from one file that contains the code of all its modules."""
--- a/hornbeamglade/packed/__main__.py
+++ b/hornbeamglade/packed/__main__.py
@@ -1,15 +1,15 @@
-"""Run a program from its pack: ``python -S -m hornbeamglade.packed PACK MODULE``.
+"""Runs a program from its pack: ``python -S -m hornbeamglade.packed PACK MODULE``.
 
 Explanation
 ===========
 
-The module's ``main`` is called; what it returns is the exit code. Without a pack that can be
-used, the program's modules are found as usual, which takes longer.
+The module's ``main`` is called and returns the exit code. Without a usable pack, the
+program's modules are imported as usual, which takes longer.
 """
 
 import gc
 
-# Imports make only objects that stay: each collection meanwhile looks at all of them in vain.
+# Imports create only long-lived objects, which each garbage collection would scan in vain.
 gc.disable()
 
 import importlib  # noqa: E402
@@ -22,7 +22,7 @@
     """Import the program from its pack and run it; return its exit code."""
     path, program = sys.argv[1:]
     packed = packfile.read(path)
-    if isinstance(packed, packfile.Unusable):
+    if isinstance(packed, packfile.UnusablePack):
         print(f"pack_unusable: {packed.reason}", file=sys.stderr)
         return importlib.import_module(program).main()
     finder = importer.PackImporter(packed)
--- a/hornbeamglade/packed/importer.py
+++ b/hornbeamglade/packed/importer.py
@@ -1,17 +1,17 @@
-"""Imports modules from a pack; all others are found as usual."""
+"""Imports modules from a pack; all others are imported as usual."""
 
 import importlib.machinery
 import marshal
 
 from hornbeamglade.packed import packfile
 
-# The types of modules and of code, without the module that names them.
+# The types of modules and code objects, without importing ``types``.
 _Module = type(marshal)
 _Code = type((lambda: None).__code__)
 
 
 class PackImporter:
-    """A finder and loader in one, for ``sys.meta_path``.
+    """A combined finder and loader for ``sys.meta_path``.
 
     :param module_by_name: the pack's modules.
     """
@@ -22,7 +22,7 @@
     def find_spec(
         self, name: str, path: object = None, target: object = None
     ) -> importlib.machinery.ModuleSpec | None:
-        """Return where a module of the pack comes from, or None for any other."""
+        """Return the spec of a module of the pack, or None for any other."""
         module = self._module_by_name.get(name)
         if module is None:
             return None
@@ -36,7 +36,7 @@
         return spec
 
     def create_module(self, spec: importlib.machinery.ModuleSpec) -> None:
-        """Leave making the module to the import system."""
+        """Let the import system create the module."""
 
     def exec_module(self, module: _Module) -> None:
         """Run a module's code."""
@@ -45,7 +45,7 @@
     def get_code(self, name: str) -> _Code:
         """Return a module's code.
 
-        :raises ImportError: when the pack does not hold it, or was closed.
+        :raises ImportError: if the pack does not contain it, or was closed.
         """
         module = self._module_by_name.get(name)
         if module is None:
@@ -53,5 +53,5 @@
         return marshal.loads(module.code)
 
     def close(self) -> None:
-        """Forget the pack, when all is imported; what is not is found as usual then."""
+        """Release the pack after startup; modules imported later are imported as usual."""
         self._module_by_name.clear()
--- a/hornbeamglade/packed/packfile.py
+++ b/hornbeamglade/packed/packfile.py
@@ -1,18 +1,18 @@
-"""The file of packed modules: what it holds, how it is written and read.
+"""The file of packed modules: its format, writing and reading.
 
 Explanation
 ===========
 
-A module's code is looked for, opened and read with a dozen calls to the system; a program of
-some hundred modules spends a good part of its start on that. A pack holds the code of all
-of them one after another, with an index before it.
+Finding, opening and reading a module's code takes a dozen system calls; a program of
+some hundred modules spends a considerable part of its startup on that. A pack contains the
+code of all of them in sequence, preceded by an index.
 
-Code of one version of the interpreter means nothing to another, and the paths of modules
-outside the program's own folder are those of the machine that packed them. A pack says for
+Code of one version of the interpreter cannot be used by another, and the paths of modules
+outside the program's own folder are those of the machine that packed them. A pack states for
 which interpreter it was made, and is not used by any other.
 
-What is imported before a pack is open is found the long way, so this module and the importer
-need next to nothing: their values are plain classes with slots.
+Modules imported before a pack is open are imported the slow way, so this module and the
+importer have minimal imports: their values are plain classes with slots.
 """
 
 import importlib.util
@@ -26,8 +26,8 @@
 class PackedModule:
     """One module of a pack.
 
-    :param path: its source, relative to the program's folder or absolute.
-    :param search_paths: where the modules below a package lie; None for a plain module.
+    :param path: the path of its source, relative to the program's folder or absolute.
+    :param search_paths: the search paths of a package's submodules; None for a plain module.
     :param code: its code, marshalled.
     """
 
@@ -41,10 +41,10 @@
         self.code = code
 
 
-class Unusable:
-    """A pack cannot be used.
+class UnusablePack:
+    """A pack that cannot be used.
 
-    :param reason: why, in a few words.
+    :param reason: a short explanation.
     """
 
     __slots__ = ("reason",)
@@ -53,46 +53,48 @@
         self.reason = reason
 
 
-def made_for() -> tuple[int, bytes, str]:
-    """Return what a pack must have been made for to be used by this process."""
+def compatibility_key() -> tuple[int, bytes, str]:
+    """Return the key that a pack must contain to be used by this process."""
     return FORMAT, importlib.util.MAGIC_NUMBER, sys.base_prefix
 
 
 def write(path: str, module_by_name: dict[str, PackedModule]) -> None:
-    """Write a pack, as a whole or not at all."""
+    """Write a pack atomically."""
     index = []
     start = 0
     for name, module in sorted(module_by_name.items()):
         index.append((name, module.path, module.search_paths, start, start + len(module.code)))
         start += len(module.code)
-    head = marshal.dumps((made_for(), index))
-    unfinished = f"{path}.part"
-    with open(unfinished, "wb") as file:
+    head = marshal.dumps((compatibility_key(), index))
+    temporary_path = f"{path}.part"
+    with open(temporary_path, "wb") as file:
         file.write(len(head).to_bytes(4, "little"))
         file.write(head)
         for _, module in sorted(module_by_name.items()):
             file.write(module.code)
-    os.replace(unfinished, path)
+    os.replace(temporary_path, path)
 
 
-def read(path: str) -> dict[str, PackedModule] | Unusable:
-    """Read a pack; paths are absolute afterwards."""
+def read(path: str) -> dict[str, PackedModule] | UnusablePack:
+    """Read a pack and make its paths absolute."""
     try:
         with open(path, "rb") as file:
             data = memoryview(file.read())
         size = int.from_bytes(data[:4], "little")
         head_end = 4 + size
-        maker, index = marshal.loads(data[4:head_end])
+        key, index = marshal.loads(data[4:head_end])
     except (OSError, EOFError, ValueError, TypeError) as error:
-        return Unusable(f"{path}: {type(error).__name__}")
-    if maker != made_for():
-        return Unusable(f"{path}: made for another interpreter")
+        return UnusablePack(f"{path}: {type(error).__name__}")
+    if key != compatibility_key():
+        return UnusablePack(f"{path}: made for another interpreter")
     root = os.getcwd()
     return {
         name: PackedModule(
             os.path.join(root, source),
-            None if searched is None else tuple(os.path.join(root, each) for each in searched),
+            None
+            if search_paths is None
+            else tuple(os.path.join(root, each) for each in search_paths),
             data[head_end + start : head_end + end],
         )
-        for name, source, searched, start, end in index
+        for name, source, search_paths, start, end in index
     }
--- a/hornbeamglade/packed/packing.py
+++ b/hornbeamglade/packed/packing.py
@@ -3,8 +3,8 @@
 Explanation
 ===========
 
-The program's module is imported as its start does, and whatever is then in memory and has a
-source is packed. Modules that are imported later are found as usual.
+The program's module is imported as at its startup, and all modules then loaded that have a
+source are packed. Modules that are imported later are imported as usual.
 """
 
 import importlib
@@ -17,7 +17,7 @@
 
 
 def pack(program: str, path: str) -> int:
-    """Pack all that importing ``program`` imports; return the number of modules.
+    """Pack all modules that importing ``program`` loads; return their number.
 
     :param program: a module's name.
     :param path: where to write the pack.
@@ -34,7 +34,7 @@
 
 def _packed(name: str, module: types.ModuleType) -> packfile.PackedModule | None:
     spec = getattr(module, "__spec__", None)
-    # What imports from a pack is imported before there is one.
+    # The modules that import from a pack are loaded before the pack is open.
     if spec is None or spec.name != name or name.startswith("hornbeamglade.packed"):
         return None
     if not (spec.origin or "").endswith(".py") or not hasattr(spec.loader, "get_code"):
@@ -42,18 +42,18 @@
     try:
         code = spec.loader.get_code(name)
     except ImportError:
-        # A module that a library has put there under another name.
+        # A module that a library registered under another name.
         return None
-    searched = spec.submodule_search_locations
+    search_paths = spec.submodule_search_locations
     return packfile.PackedModule(
         _relative(spec.origin),
-        None if searched is None else tuple(_relative(each) for each in searched),
+        None if search_paths is None else tuple(_relative(each) for each in search_paths),
         marshal.dumps(code),
     )
 
 
 def _relative(path: str) -> str:
-    """Return a path below the present folder relative to it, and any other as it is."""
+    """Return a path below the working directory relative to it, and any other unchanged."""
     root = os.path.join(os.getcwd(), "")
     return os.path.abspath(path).removeprefix(root)
 
--- a/tests/callers/callerside.py
+++ b/tests/callers/callerside.py
@@ -1,4 +1,4 @@
-"""A caller's raw connection, and handlers that do what the path says."""
+"""A caller's raw connection, and handlers whose behaviour the path selects."""
 
 import json
 import socket
@@ -8,14 +8,14 @@
 from hornbeamglade.callers import application, problems
 from hornbeamglade.core import outcomes
 
-BOUND = 2000
-PATIENCE_S = 10.0
+MAX_BODY_BYTES = 2000
+TIMEOUT_S = 10.0
 
 
 def wait_for(condition):
-    ends = time.monotonic() + PATIENCE_S
+    ends = time.monotonic() + TIMEOUT_S
     while not condition():
-        assert time.monotonic() < ends, "waited in vain"
+        assert time.monotonic() < ends, "condition not met in time"
         time.sleep(0.005)
 
 
@@ -56,11 +56,11 @@
         self.requests = []
         self.errors = []
         self.refusals = []
-        self.links_gone = []
+        self.disconnected_requests = []
         self.entered = threading.Event()
 
     def max_body_bytes(self):
-        return BOUND
+        return MAX_BODY_BYTES
 
     def generate(self, request):
         self.streams.append(Stream(request.body.decode()))
@@ -73,7 +73,7 @@
         if service == "wait":
             self.entered.set()
             wait_for(request.link.is_gone)
-            self.links_gone.append(request.request_id)
+            self.disconnected_requests.append(request.request_id)
         return problems.Response(200, (("Content-Type", "text/plain"),), request.body)
 
     def page(self, name, request):
@@ -87,11 +87,11 @@
 
 
 class Caller:
-    """One connection; answers are read by their framing, so that a stray byte shows."""
+    """One connection; responses are read by their framing, so that a stray byte is detected."""
 
     def __init__(self, address):
         host, _, port = address.rpartition(":")
-        self.socket = socket.create_connection((host, int(port)), PATIENCE_S)
+        self.socket = socket.create_connection((host, int(port)), TIMEOUT_S)
         self.reader = self.socket.makefile("rb")
 
     def __enter__(self):
@@ -107,12 +107,12 @@
     def send(self, data):
         self.socket.sendall(data)
 
-    def ask(self, method, path, body=b"", headers=b""):
+    def send_request(self, method, path, body=b"", headers=b""):
         self.send(request(method, path, body, headers))
         return self.answer(method)
 
     def answer(self, method="GET"):
-        """Return status, headers and body of the next answer; None at the end."""
+        """Return status, headers and body of the next response; None at the end."""
         line = self.reader.readline()
         if not line:
             return None
@@ -143,5 +143,5 @@
     return head + b"\r\n" + body
 
 
-def run_of(answer):
+def run_status(answer):
     return outcomes.RunStatus(json.loads(answer[2])["run"])
--- a/tests/callers/test_answers.py
+++ b/tests/callers/test_answers.py
@@ -27,7 +27,7 @@
     return b"data: " + json.dumps({"id": "g", "choices": [{"delta": {"content": text}}]}).encode()
 
 
-def test_a_chat_answer_holds_every_token_and_the_usage():
+def test_a_chat_response_contains_every_token_and_the_usage():
     usage = {"prompt_tokens": 3, "completion_tokens": 2}
     end = {"choices": [{"delta": {}, "finish_reason": "length"}], "usage": usage}
     events = [token("za "), token("żółw"), b"data: " + json.dumps(end).encode()]
@@ -51,10 +51,10 @@
 
 
 @pytest.mark.parametrize("event", [b"data: 5", b"data: {", b'data: {"choices":[7]}'])
-def test_an_event_that_is_no_chunk_is_never_left_out(event):
-    """An engine sends one garbled event in the middle of a text.
+def test_an_event_that_is_not_a_chunk_is_never_omitted(event):
+    """An engine sends one malformed event in the middle of a text.
 
-    Left out, the caller would get a text with a gap and no word of it.
+    If it were omitted, the caller would get a text with a gap and no error.
     """
     with pytest.raises(codederrors.CodedError, match="answer_malformed"):
         answers.assemble(generationcalls.CHAT_PATH, [token("a"), event, token("b")])
--- a/tests/callers/test_application.py
+++ b/tests/callers/test_application.py
@@ -27,9 +27,9 @@
 
 @pytest.fixture(scope="module")
 def node():
-    made = Node()
-    yield made
-    made.server.stop()
+    created = Node()
+    yield created
+    created.server.stop()
 
 
 def test_pipelined_requests_are_answered_in_order(node):
@@ -39,35 +39,35 @@
 
 
 @pytest.mark.parametrize("path", ["/healthz", "/nowhere", ECHO])
-def test_an_answer_to_head_has_no_body(node, path):
+def test_a_response_to_head_has_no_body(node, path):
     """A monitor sends HEAD and then GET on one connection.
 
-    With a body after the first answer it would read that as the second one.
+    It would read a body after the first response as the second response.
     """
     with node.caller() as caller:
-        caller.ask("HEAD", path)
-        assert caller.ask("GET", "/healthz")[2] == b"health"
+        caller.send_request("HEAD", path)
+        assert caller.send_request("GET", "/healthz")[2] == b"health"
 
 
-def test_a_chunked_body_arrives_whole_and_its_connection_goes_on(node):
-    """The empty line that ends a chunked body is left in the connection.
+def test_a_chunked_body_is_read_completely_and_its_connection_stays_usable(node):
+    """The empty line that ends a chunked body remains unread in the connection.
 
-    A thread would wait for a request behind it and then send a stray 408, which the
-    caller takes for the answer to its next request.
+    A thread would wait for a request after it and then send an unexpected 408, which the
+    caller takes for the response to its next request.
     """
     with node.caller() as caller:
         body = b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nTrailer: t\r\n\r\n"
-        assert caller.ask("POST", ECHO, body, CHUNKED)[2] == b"abcde"
-        assert caller.ask("POST", ECHO, b"next")[2] == b"next"
+        assert caller.send_request("POST", ECHO, body, CHUNKED)[2] == b"abcde"
+        assert caller.send_request("POST", ECHO, b"next")[2] == b"next"
 
 
 @pytest.mark.parametrize(
     "body", [b"5\r\nab", b"3\r\nabc\r\n", b"zz\r\n", b"3\r\nabcdef\r\n0\r\n\r\n"]
 )
-def test_a_chunked_body_that_is_cut_off_is_not_run(node, body):
-    """A caller's link breaks in the middle of a chunked reservation.
+def test_a_truncated_chunked_body_is_not_run(node, body):
+    """A caller's connection is lost in the middle of a chunked body.
 
-    No length tells that more was to come, so the half would be passed on as the whole.
+    No length shows that more was to come, so the truncated body would be forwarded.
     """
     before = len(node.handlers.requests)
     with node.caller() as caller:
@@ -75,52 +75,52 @@
         caller.socket.shutdown(socket.SHUT_WR)
         answer = caller.answer()
         assert answer[0] in (400, 408)
-        assert callerside.run_of(answer) is outcomes.RunStatus.NOT_RUN
+        assert callerside.run_status(answer) is outcomes.RunStatus.NOT_RUN
     assert len(node.handlers.requests) == before
 
 
 @pytest.mark.parametrize(
-    ("path", "body"), [(ECHO, b"x" * callerside.BOUND + b"y"), (ECHO + "\x01", b"")]
+    ("path", "body"), [(ECHO, b"x" * callerside.MAX_BODY_BYTES + b"y"), (ECHO + "\x01", b"")]
 )
-def test_not_run_speaks_of_the_attempt_alone_when_there_is_a_key(node, path, body):
-    """A hold ran and its answer was lost; the retry is refused before its key is looked up.
+def test_not_run_covers_only_the_attempt_if_there_is_a_key(node, path, body):
+    """A request ran and its response was lost; the retry is refused before its key is read.
 
-    "Not run" would have the caller hold a second unit under another key.
+    After "not run" the caller would repeat the request under another key.
     """
     with node.caller() as caller:
-        answer = caller.ask("POST", path, body, b"Idempotency-Key: k1\r\n")
-    assert callerside.run_of(answer) is outcomes.RunStatus.UNKNOWN
+        answer = caller.send_request("POST", path, body, b"Idempotency-Key: k1\r\n")
+    assert callerside.run_status(answer) is outcomes.RunStatus.UNKNOWN
     assert b'"attempt_run": "not_run"' in answer[2]
 
 
-def test_a_length_beside_chunks_does_not_hide_a_request(node):
-    """Both a length and chunks: by the length, what follows would be a request of its own."""
+def test_a_length_with_chunked_encoding_hides_no_request(node):
+    """With a length and chunks, the bytes after the length would be a separate request."""
     hidden = callerside.request("GET", "/services/echo/hidden")
     body = b"%x\r\n%s\r\n0\r\n\r\n" % (len(hidden), hidden)
     before = len(node.handlers.requests)
     with node.caller() as caller:
         headers = CHUNKED + b"Content-Length: 2\r\n"
-        assert caller.ask("POST", ECHO, body, headers)[2] == hidden
-        assert caller.ask("GET", "/healthz")[2] == b"health"
+        assert caller.send_request("POST", ECHO, body, headers)[2] == hidden
+        assert caller.send_request("GET", "/healthz")[2] == b"health"
     assert len(node.handlers.requests) == before + 1
 
 
-@pytest.mark.parametrize("size", [callerside.BOUND + 1, 6_000_000])
+@pytest.mark.parametrize("size", [callerside.MAX_BODY_BYTES + 1, 6_000_000])
 @pytest.mark.parametrize("headers", [b"", CHUNKED])
 def test_an_oversized_body_gets_its_413(node, size, headers):
     body = b"x" * size
     if headers:
         body = b"3e8\r\n%s\r\n" % (b"x" * 1000) * (size // 1000 + 1) + b"0\r\n\r\n"
     with node.caller() as caller:
-        answer = caller.ask("POST", ECHO, body, headers)
+        answer = caller.send_request("POST", ECHO, body, headers)
         assert answer[0] == 413
-        assert callerside.run_of(answer) is outcomes.RunStatus.NOT_RUN
+        assert callerside.run_status(answer) is outcomes.RunStatus.NOT_RUN
 
 
 def test_a_chunk_that_declares_gigabytes_is_refused_unread(node):
-    """One chunk of 64 GiB is announced: read before it is judged, it fills the memory."""
+    """One chunk of 64 GiB is announced: if read before it is checked, it fills the memory."""
     with node.caller() as caller:
-        assert caller.ask("POST", ECHO, b"1000000000\r\n", CHUNKED)[0] == 413
+        assert caller.send_request("POST", ECHO, b"1000000000\r\n", CHUNKED)[0] == 413
 
 
 @pytest.mark.parametrize(
@@ -141,9 +141,9 @@
     ],
 )
 def test_a_malformed_request_reaches_no_handler(node, sent):
-    """A request that no client library would send on is passed to a backend server.
+    """A request that the client library rejects is to be forwarded to a backend server.
 
-    The library refuses it at each replica, and three good ones count as unreachable.
+    The library rejects it for each replica, and three healthy ones count as unreachable.
     """
     before = len(node.handlers.requests), len(node.handlers.errors)
     with node.caller() as caller:
@@ -151,24 +151,24 @@
         assert caller.answer()[0] in (400, 505)
     assert (len(node.handlers.requests), len(node.handlers.errors)) == before
     with node.caller() as caller:
-        assert caller.ask("GET", "/healthz")[0] == 200
+        assert caller.send_request("GET", "/healthz")[0] == 200
 
 
 @pytest.mark.parametrize("sent", [b"GET /hea", callerside.request("POST", ECHO, b"x" * 9)[:-5]])
-def test_a_slow_sender_is_given_up_on(node, sent):
-    """A caller sends a byte now and then: each restarts the socket's own timeout."""
+def test_reading_from_a_slow_sender_is_ended(node, sent):
+    """A caller sends a byte occasionally, and each one restarts the socket's timeout."""
     with node.caller() as caller:
         caller.send(sent)
-        callerside.wait_for(lambda: len(node.senders._began_by_connection) == 1)
+        callerside.wait_for(lambda: len(node.senders._start_by_connection) == 1)
         assert node.senders.sweep() == 0
         node.clock.advance(slowsenders.REQUEST_READ_S + 1)
         assert node.senders.sweep() == 1
         answer = caller.answer()
         assert answer is None or answer[0] in (400, 408)
-    callerside.wait_for(lambda: not node.senders._began_by_connection)
+    callerside.wait_for(lambda: not node.senders._start_by_connection)
 
 
-def test_a_caller_that_waits_for_its_answer_is_no_slow_sender(node):
+def test_a_caller_that_waits_for_its_response_is_not_a_slow_sender(node):
     with node.caller() as caller:
         caller.send(callerside.request("POST", CHAT, b"endless"))
         assert caller.reader.readline().startswith(b"HTTP/1.1 200")
@@ -177,14 +177,14 @@
     callerside.wait_for(lambda: node.handlers.streams[-1].closes == 1)
 
 
-def test_a_caller_that_leaves_while_it_waits_is_seen(node):
+def test_a_caller_that_disconnects_while_it_waits_is_detected(node):
     with node.caller() as caller:
         caller.send(callerside.request("GET", "/services/wait/x"))
-        assert node.handlers.entered.wait(callerside.PATIENCE_S)
-    callerside.wait_for(lambda: node.handlers.links_gone)
+        assert node.handlers.entered.wait(callerside.TIMEOUT_S)
+    callerside.wait_for(lambda: node.handlers.disconnected_requests)
 
 
-def test_a_link_whose_connection_this_node_closed_counts_as_gone():
+def test_a_connection_closed_by_this_node_counts_as_disconnected():
     class Request:
         class conn:  # noqa: N801
             socket = socket.socket()
@@ -195,20 +195,20 @@
 
 def test_a_handler_that_raises_is_answered_as_unknown(node):
     with node.caller() as caller:
-        answer = caller.ask("GET", "/services/raise/x")
+        answer = caller.send_request("GET", "/services/raise/x")
         assert answer[0] == 500
-        assert callerside.run_of(answer) is outcomes.RunStatus.UNKNOWN
-        assert caller.ask("GET", "/healthz")[0] == 200
+        assert callerside.run_status(answer) is outcomes.RunStatus.UNKNOWN
+        assert caller.send_request("GET", "/healthz")[0] == 200
     assert len(node.handlers.errors) == 1
     node.handlers.errors.clear()
 
 
 @pytest.mark.parametrize("kind", ["whole", "raise", "raise_first", "raise_close"])
 def test_a_stream_is_closed_once_and_the_next_request_is_served(node, kind):
-    """A stream fails in the middle: the caller gets one error event and never a [DONE]."""
+    """If a stream fails in the middle, the caller gets one error event and no [DONE]."""
     with node.caller() as caller:
-        body = caller.ask("POST", CHAT, kind.encode())[2]
-        assert caller.ask("GET", "/healthz")[0] == 200
+        body = caller.send_request("POST", CHAT, kind.encode())[2]
+        assert caller.send_request("GET", "/healthz")[0] == 200
     assert node.handlers.streams[-1].closes == 1
     assert len(node.handlers.errors) == (kind != "whole")
     assert (b"[DONE]" in body) == (kind in ("whole", "raise_close"))
@@ -216,10 +216,10 @@
     node.handlers.errors.clear()
 
 
-def test_a_stream_whose_caller_leaves_is_closed_once_and_can_be_read_on(node):
-    """A caller leaves in the middle of a stream that runs at most once.
+def test_a_stream_of_a_disconnected_caller_is_closed_once_and_can_still_be_read(node):
+    """A caller disconnects in the middle of a stream that runs at most once.
 
-    Its answer is read to the end all the same, so that a retry finds it recorded.
+    Its response is still read to the end, so that a retry finds it recorded.
     """
     with node.caller() as caller:
         caller.send(callerside.request("POST", CHAT, b"recorded"))
@@ -231,11 +231,11 @@
     assert stream.rest[-1] == b"data: [DONE]\n\n"
 
 
-def test_a_stream_is_closed_when_not_even_its_head_can_be_sent(node):
+def test_a_stream_is_closed_if_its_head_cannot_be_sent(node):
     """A caller resets its connection while its stream ends without a piece.
 
-    The server cannot send the head then, and without a close the request's grant and
-    its place in the team's limit are held for ever.
+    The server then cannot send the head, and without a close the request's grant and
+    its place in the team's limit are never released.
     """
 
     class Request:
--- a/tests/callers/test_generationcalls.py
+++ b/tests/callers/test_generationcalls.py
@@ -54,10 +54,10 @@
 
 @pytest.mark.parametrize("brackets", [(b"[", b"]"), (b'{"a":', b"}")])
 def test_deep_nesting_gives_a_call_or_a_refusal(brackets):
-    """A caller sends a body that is nested almost as deep as the interpreter allows.
+    """A caller sends a body that is nested almost as deeply as the interpreter allows.
 
-    Decoding still works, encoding for the engine does not any more, and the caller
-    would see an internal error with "unknown" for a request that never left the node.
+    It can be decoded but not encoded for the engine, and the caller would get an
+    internal error with "unknown" for a request that was never sent.
     """
     opening, closing = brackets
     for depth in (90, *range(700, 1000), 100_000):
@@ -66,13 +66,13 @@
 
 
 @pytest.mark.parametrize("name", ["NaN", "Infinity", "-Infinity"])
-def test_numbers_that_json_does_not_have_are_refused(name):
-    """Python's decoder takes NaN and its encoder sends it on; a strict engine rejects it."""
+def test_numbers_that_are_not_json_are_refused(name):
+    """Python's decoder accepts NaN and its encoder forwards it; a strict engine rejects it."""
     body = f'{{"model":"m","prompt":"p","temperature":{name}}}'.encode()
     assert generationcalls.parse(generationcalls.COMPLETIONS_PATH, body).code == "body_not_json"
 
 
-def test_a_bound_that_no_answer_reaches_is_refused():
-    """One request with a bound of 400 digits raised a team's demand beyond any float."""
+def test_a_token_limit_out_of_range_is_refused():
+    """One request with a limit of 400 digits raised a team's demand beyond the range of floats."""
     body = b'{"model":"m","prompt":"p","max_tokens":' + b"9" * 400 + b"}"
     assert generationcalls.parse(generationcalls.COMPLETIONS_PATH, body).code == "body_invalid"
--- a/tests/docs/refusalcodes.py
+++ b/tests/docs/refusalcodes.py
@@ -10,7 +10,7 @@
 PACKAGE = pathlib.Path(hornbeamglade.__file__).parent
 REFUSAL = "Refusal"
 CODE = "code"
-FOLLOWED = ("_maybe_ran", "unanswered_refusal")
+FOLLOWED = ("_outcome_unknown", "failed_attempt_refusal")
 """Helpers of ``node.attempts`` that other modules give the code to, first."""
 
 
--- a/tests/grants/test_grantacquirer.py
+++ b/tests/grants/test_grantacquirer.py
@@ -161,7 +161,7 @@
     thread, results = acquire_in_thread(site)
     for number in range(FILLED):
         site.schedulers.finish("e1", f"e1-{number}")
-    thread.join(callerside.PATIENCE_S)
+    thread.join(callerside.TIMEOUT_S)
     assert results[0].replica == "e1"
 
 
@@ -171,7 +171,7 @@
     before = site.held_count()
     thread, results = acquire_in_thread(site)
     site.headroom_by_replica["e2"] = 90_000
-    thread.join(callerside.PATIENCE_S)
+    thread.join(callerside.TIMEOUT_S)
     assert results[0].replica == "e2"
     assert site.held_count() == before + 1
     results[0].release()
--- a/tests/packed/test_packed.py
+++ b/tests/packed/test_packed.py
@@ -1,4 +1,4 @@
-"""A program started from a pack of its modules is the same program."""
+"""Programs started from a pack behave like those started from their sources."""
 
 import os
 import pathlib
@@ -23,7 +23,7 @@
 
 
 def run(folder, *arguments):
-    """Run the interpreter as a deployment does: without the folder of site packages."""
+    """Run the interpreter as a deployment does, without processing site-packages."""
     libraries = sysconfig.get_paths()["purelib"]
     paths = os.pathsep.join((str(folder), str(ROOT), libraries))
     return subprocess.run(
@@ -47,12 +47,12 @@
     assert packed.returncode == 0, packed.stderr
 
 
-def test_modules_come_from_the_pack_and_the_rest_as_usual(tmp_path):
+def test_modules_are_imported_from_the_pack_and_others_as_usual(tmp_path):
     small_program(tmp_path)
-    ended = run(tmp_path, "hornbeamglade.packed", "program.pack", "program")
-    assert ended.stderr == ""
-    assert ended.returncode == 3
-    first, second = ended.stdout.splitlines()
+    completed = run(tmp_path, "hornbeamglade.packed", "program.pack", "program")
+    assert completed.stderr == ""
+    assert completed.returncode == 3
+    first, second = completed.stdout.splitlines()
     assert first == f"hello PackImporter {tmp_path / 'tools' / 'words.py'}"
     assert second == "later module"
 
@@ -60,56 +60,56 @@
 def test_a_pack_of_another_interpreter_is_not_used(tmp_path):
     """An operator upgrades the interpreter and starts an instance with the former pack.
 
-    Its code would mean something else, or nothing, to the new one: the instance says so and
-    starts from its sources.
+    The new interpreter cannot use that code: the instance reports this and starts from its
+    sources.
     """
     small_program(tmp_path)
     pack = tmp_path / "program.pack"
     data = pack.read_bytes()
     pack.write_bytes(data.replace(sys.base_prefix.encode(), b"x" * len(sys.base_prefix), 1))
-    ended = run(tmp_path, "hornbeamglade.packed", "program.pack", "program")
-    assert ended.stderr == "pack_unusable: program.pack: made for another interpreter\n"
-    assert ended.returncode == 3
-    assert "SourceFileLoader" in ended.stdout
+    completed = run(tmp_path, "hornbeamglade.packed", "program.pack", "program")
+    assert completed.stderr == "pack_unusable: program.pack: made for another interpreter\n"
+    assert completed.returncode == 3
+    assert "SourceFileLoader" in completed.stdout
 
 
-def test_a_pack_that_is_missing_or_cut_short_is_not_used(tmp_path):
-    """A build is stopped half-way, or its folder is cleared: the program still starts."""
+def test_a_pack_that_is_missing_or_truncated_is_not_used(tmp_path):
+    """If a build is interrupted, or its folder is cleared, the program still starts."""
     small_program(tmp_path)
     pack = tmp_path / "program.pack"
-    whole = pack.read_bytes()
-    for broken in (None, b"", whole[:50]):
-        if broken is None:
+    data = pack.read_bytes()
+    for content in (None, b"", data[:50]):
+        if content is None:
             pack.unlink()
         else:
-            pack.write_bytes(broken)
-        ended = run(tmp_path, "hornbeamglade.packed", "program.pack", "program")
-        assert ended.stderr.startswith("pack_unusable: program.pack: ")
-        assert ended.returncode == 3
+            pack.write_bytes(content)
+        completed = run(tmp_path, "hornbeamglade.packed", "program.pack", "program")
+        assert completed.stderr.startswith("pack_unusable: program.pack: ")
+        assert completed.returncode == 3
 
 
 def test_an_entry_instance_starts_from_its_pack(tmp_path):
-    """What the deployment runs: bad settings are told as by the command line."""
+    """As in a deployment: invalid settings are reported as by the command line."""
     entry = "hornbeamglade.entry.__main__"
     packed = run(tmp_path, "hornbeamglade.packed.packing", entry, "entry.pack")
     assert packed.returncode == 0, packed.stderr
-    ended = run(tmp_path, "hornbeamglade.packed", "entry.pack", entry)
-    assert ended.returncode == 2
-    assert ended.stderr.startswith("settings_unreadable: ")
+    completed = run(tmp_path, "hornbeamglade.packed", "entry.pack", entry)
+    assert completed.returncode == 2
+    assert completed.stderr.startswith("settings_unreadable: ")
 
 
 NOT_NEEDED_TO_SERVE = ("click", "prometheus_client", "hornbeamglade.cli", "hornbeamglade.bench")
 
 
 def test_an_entry_instance_imports_nothing_that_serving_does_not_need(tmp_path):
-    """After a loss of all instances callers wait for imports.
+    """After a full outage callers wait until the instances have imported their modules.
 
     One import of the command line or of the exposition library in a module of the request
-    path makes each start longer, and nothing else shows it.
+    path delays each start, and no other test would detect it.
     """
     listing = "import sys, hornbeamglade.entry.__main__; print(*sys.modules)"
     libraries = sysconfig.get_paths()["purelib"]
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-S", "-c", listing],
         env={**os.environ, "PYTHONPATH": os.pathsep.join((str(ROOT), libraries))},
         capture_output=True,
@@ -117,6 +117,6 @@
         timeout=120,
         check=True,
     )
-    imported = ended.stdout.split()
+    imported = completed.stdout.split()
     assert "hornbeamglade.entry.daemon" in imported
     assert not [name for name in imported if name.startswith(NOT_NEEDED_TO_SERVE)]
