--- a/hornbeamglade/bench/barerelay.py
+++ b/hornbeamglade/bench/barerelay.py
@@ -27,7 +27,7 @@
 _STACK_BYTES = 262_144
 _BACKLOG = 512
 _POLL_S = 0.05
-_PASSED_HEADERS = {"HTTP_X_REQUEST_ID": "X-Request-Id", "HTTP_X_PRIORITY": "X-Priority"}
+_FORWARDED_HEADERS = {"HTTP_X_REQUEST_ID": "X-Request-Id", "HTTP_X_PRIORITY": "X-Priority"}
 
 
 class BareRelay:
@@ -37,7 +37,7 @@
     """
 
     def __init__(self, engines: collections.abc.Sequence[str]) -> None:
-        self._turns = itertools.cycle(engines)
+        self._engine_cycle = itertools.cycle(engines)
         self._lock = threading.Lock()
         self._pool = urllib3.PoolManager(
             num_pools=len(engines), maxsize=THREADS, block=False, retries=False
@@ -48,31 +48,31 @@
     ) -> collections.abc.Iterable[bytes]:
         """Pass a request to the next engine and its answer back."""
         with self._lock:
-            engine = next(self._turns)
+            engine = next(self._engine_cycle)
         header_by_name = {
-            name: environ[key] for key, name in _PASSED_HEADERS.items() if key in environ
+            name: environ[key] for key, name in _FORWARDED_HEADERS.items() if key in environ
         }
-        answer = self._pool.request(
+        response = self._pool.request(
             environ["REQUEST_METHOD"],
             f"http://{engine}{environ['PATH_INFO']}",
             body=environ["wsgi.input"].read(),
             headers={"Content-Type": "application/json", **header_by_name},
             preload_content=False,
         )
-        content_type = answer.headers.get("Content-Type", "application/json")
-        start_response(f"{answer.status} {answer.reason}", [("Content-Type", content_type)])
-        return _passed_on(answer)
+        content_type = response.headers.get("Content-Type", "application/json")
+        start_response(f"{response.status} {response.reason}", [("Content-Type", content_type)])
+        return _relay_body(response)
 
 
-def _passed_on(answer: urllib3.BaseHTTPResponse) -> collections.abc.Iterator[bytes]:
+def _relay_body(response: urllib3.BaseHTTPResponse) -> collections.abc.Iterator[bytes]:
     try:
-        if answer.chunked:
-            yield from answer.read_chunked(decode_content=False)
+        if response.chunked:
+            yield from response.read_chunked(decode_content=False)
         else:
-            yield answer.read()
+            yield response.read()
     finally:
         # Closed, not reused: the caller may have left in the middle of the answer.
-        answer.close()
+        response.close()
 
 
 class RelayServer:
--- a/hornbeamglade/bench/load.py
+++ b/hornbeamglade/bench/load.py
@@ -94,7 +94,7 @@
         addresses_by_team = {team: site.addresses(team) for team in WEIGHT_BY_TEAM}
         report = _drive(shape, addresses_by_team, key_by_team, loadsite.MODEL, folder)
         preemptions = site.preemptions()
-    return summary(policy, shape, report, preemptions)
+    return summarize(policy, shape, report, preemptions)
 
 
 def run_remote(
@@ -113,7 +113,7 @@
         first = number % len(addresses)
         addresses_by_team[team] = addresses[first:] + addresses[:first]
     report = _drive(shape, addresses_by_team, key_by_team, model, folder)
-    return summary("as configured", shape, report, None)
+    return summarize("as configured", shape, report, None)
 
 
 def _drive(
@@ -140,17 +140,17 @@
     return loadcoordinator.run_drivers(planned, schedule, _DRIVERS, folder)
 
 
-def summary(
+def summarize(
     policy: str, shape: LoadShape, report: loadcoordinator.LoadReport, preemptions: int | None
 ) -> LoadResult:
     """Return the figures of the requests that were due after the warm-up."""
     results = [result for result in report.results if result.at_s >= shape.warmup_s]
-    begun = [result for result in results if result.tokens]
-    whole = [result for result in begun if result.ending == "complete"]
+    started = [result for result in results if result.tokens]
+    whole = [result for result in started if result.ending == "complete"]
     refused = [result for result in results if result.ending == "refused"]
-    tokens = sum(result.tokens for result in begun)
-    stalls_s = sorted(result.stall_s for result in begun)
-    firsts_s = sorted(result.time_to_first_token_s for result in begun)
+    tokens = sum(result.tokens for result in started)
+    stalls_s = sorted(result.stall_s for result in started)
+    first_token_times_s = sorted(result.time_to_first_token_s for result in started)
     return LoadResult(
         policy=policy,
         offered=len(results),
@@ -158,11 +158,11 @@
         refusals_by_code=dict(collections.Counter(result.code for result in refused)),
         refused_share_by_team=_share_by_team(results, refused),
         goodput=sum(result.tokens for result in whole) / (shape.seconds - shape.warmup_s),
-        stalled=_share(sum(stall_s > 0 for stall_s in stalls_s), len(begun)),
+        stalled=_share(sum(stall_s > 0 for stall_s in stalls_s), len(started)),
         stall_s_per_1000_tokens=_share(1000 * sum(stalls_s), tokens),
         stall_p99_s=quantile(stalls_s, 0.99),
-        first_token_p50_s=quantile(firsts_s, 0.5),
-        first_token_p95_s=quantile(firsts_s, 0.95),
+        first_token_p50_s=quantile(first_token_times_s, 0.5),
+        first_token_p95_s=quantile(first_token_times_s, 0.95),
         gaps=report.gaps,
         preemptions=preemptions,
         latest_start_s=max((result.late_s for result in results), default=0.0),
@@ -212,8 +212,8 @@
     return (
         result.policy,
         str(result.offered),
-        _counts(result.count_by_ending),
-        _counts(result.refusals_by_code),
+        _format_counts(result.count_by_ending),
+        _format_counts(result.refusals_by_code),
         f"{result.goodput:.0f}",
         f"{result.stalled:.1%}",
         f"{result.stall_s_per_1000_tokens:.2f}",
@@ -225,5 +225,5 @@
     )
 
 
-def _counts(count_by_name: dict[str, int]) -> str:
+def _format_counts(count_by_name: dict[str, int]) -> str:
     return " ".join(f"{name}:{count}" for name, count in sorted(count_by_name.items())) or "-"
--- a/hornbeamglade/bench/loadcoordinator.py
+++ b/hornbeamglade/bench/loadcoordinator.py
@@ -8,8 +8,8 @@
 
 from hornbeamglade.bench import loaddriver, loadplan, loadprocesses
 
-START_S = 2.0  # until the drivers have started and read their plans
-_END_S = 30.0
+STARTUP_S = 2.0  # until the drivers have started and read their plans
+_EXIT_GRACE_S = 30.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
     :param at_window_start: called in this process when the window begins.
     :param at_window_end: called when it ends.
     """
-    epoch_s = time.monotonic() + START_S
+    epoch_s = time.monotonic() + STARTUP_S
     plans = [
         loadplan.DriverPlan(
             epoch_s=epoch_s,
@@ -75,33 +75,35 @@
         )
         for number in range(drivers)
     ]
-    with concurrent.futures.ThreadPoolExecutor(drivers) as waiters:
-        running = [
-            waiters.submit(_drive, number, plan, folder) for number, plan in enumerate(plans)
+    with concurrent.futures.ThreadPoolExecutor(drivers) as executor:
+        futures = [
+            executor.submit(_drive, number, plan, folder) for number, plan in enumerate(plans)
         ]
         _sleep_until(epoch_s + schedule.window_from_s)
         at_window_start()
         _sleep_until(epoch_s + schedule.window_until_s)
         at_window_end()
-        reports = [future.result() for future in running]
-    return _together(reports)
+        reports = [future.result() for future in futures]
+    return _merge_reports(reports)
 
 
 def _drive(number: int, plan: loadplan.DriverPlan, folder: pathlib.Path) -> loadplan.DriverReport:
     module = ("hornbeamglade.bench.loaddriver",)
     child = loadprocesses.Child(f"driver-{number}", module, folder)
     try:
-        answer = child.exchange(plan.model_dump_json(), START_S + plan.stop_at_s + _END_S)
+        output = child.communicate(
+            plan.model_dump_json(), STARTUP_S + plan.stop_at_s + _EXIT_GRACE_S
+        )
     finally:
         child.stop()
-    return loadplan.DriverReport.model_validate_json(answer)
+    return loadplan.DriverReport.model_validate_json(output)
 
 
-def _sleep_until(moment: float) -> None:
-    time.sleep(max(0.0, moment - time.monotonic()))
+def _sleep_until(until: float) -> None:
+    time.sleep(max(0.0, until - time.monotonic()))
 
 
-def _together(reports: list[loadplan.DriverReport]) -> LoadReport:
+def _merge_reports(reports: list[loadplan.DriverReport]) -> LoadReport:
     gaps = loaddriver.merged_gaps(reports)
     quantiles_ms = [gaps.get_value_at_percentile(percent) / 1000 for percent in (50, 95, 99)]
     results = [result for report in reports for result in report.results]
--- a/hornbeamglade/bench/loaddriver.py
+++ b/hornbeamglade/bench/loaddriver.py
@@ -21,10 +21,10 @@
 from hornbeamglade.bench import loadplan, loadstream
 from hornbeamglade.core import codederrors
 
-_HIGHEST_US = 600_000_000
-_DIGITS = 3
+_MAX_GAP_US = 600_000_000
+_SIGNIFICANT_DIGITS = 3
 _MICROSECONDS = 1_000_000
-_LONGEST_WAIT_S = 0.5
+_MAX_SELECT_S = 0.5
 
 
 class Driver:
@@ -49,45 +49,45 @@
         stop_at = self._plan.epoch_s + self._plan.stop_at_s
         while (self._pending or self._open) and time.monotonic() < stop_at:
             self._send_due(time.monotonic())
-            for key, _ in self._selector.select(self._wait_s(stop_at)):
-                self._serve(key.data)
+            for key, _ in self._selector.select(self._select_timeout_s(stop_at)):
+                self._handle_ready(key.data)
         for stream in list(self._open):
-            stream.cut()
+            stream.cut_off()
             self._close(stream, time.monotonic())
         self._selector.close()
         return self._report()
 
-    def _wait_s(self, stop_at: float) -> float:
+    def _select_timeout_s(self, stop_at: float) -> float:
         until = stop_at
         if self._pending:
             until = min(until, self._plan.epoch_s + self._pending[-1].at_s)
-        return min(_LONGEST_WAIT_S, max(0.0, until - time.monotonic()))
+        return min(_MAX_SELECT_S, max(0.0, until - time.monotonic()))
 
     def _send_due(self, now: float) -> None:
         while self._pending:
-            due = self._plan.epoch_s + self._pending[-1].at_s
-            if due > now:
+            due_at = self._plan.epoch_s + self._pending[-1].at_s
+            if due_at > now:
                 return
             planned = self._pending.pop()
-            stream = loadstream.CallerStream(planned, now, due, self._plan.stall_threshold_s)
+            stream = loadstream.CallerStream(planned, now, due_at, self._plan.stall_threshold_s)
             self._open.add(stream)
             self._selector.register(stream.connection, selectors.EVENT_WRITE, stream)
 
-    def _serve(self, stream: loadstream.CallerStream) -> None:
+    def _handle_ready(self, stream: loadstream.CallerStream) -> None:
         connection = stream.connection
         try:
             if self._selector.get_key(connection).events & selectors.EVENT_WRITE:
                 if stream.write():
                     self._selector.modify(connection, selectors.EVENT_READ, stream)
                 return
-            before = stream.last_token_at
+            previous_token_at = stream.last_token_at
             now = time.monotonic()
-            self._measure(stream.read(now), before, now)
+            self._record_tokens(stream.read(now), previous_token_at, now)
         except BlockingIOError:
             return
         except (OSError, codederrors.CodedError, ValueError) as error:
             self._selector.unregister(connection)
-            if stream.lost(error):
+            if stream.connection_failed(error):
                 self._selector.register(stream.connection, selectors.EVENT_WRITE, stream)
                 return
             self._finish(stream, time.monotonic())
@@ -95,12 +95,12 @@
         if stream.ending is not None:
             self._close(stream, now)
 
-    def _measure(self, tokens: int, before: float | None, now: float) -> None:
+    def _record_tokens(self, tokens: int, previous_token_at: float | None, now: float) -> None:
         if not tokens or not self._window_from <= now < self._window_until:
             return
         self._window_tokens += tokens
-        if before is not None and before >= self._window_from:
-            self._gaps_s.append(now - before)
+        if previous_token_at is not None and previous_token_at >= self._window_from:
+            self._gaps_s.append(now - previous_token_at)
         # Tokens of one read reached the caller together.
         self._gaps_s.extend([0.0] * (tokens - 1))
 
@@ -116,7 +116,7 @@
     def _report(self) -> loadplan.DriverReport:
         histogram = new_gap_histogram()
         for gap_s in self._gaps_s:
-            histogram.record_value(min(int(gap_s * _MICROSECONDS), _HIGHEST_US))
+            histogram.record_value(min(int(gap_s * _MICROSECONDS), _MAX_GAP_US))
         return loadplan.DriverReport(
             results=tuple(self._results),
             window_tokens=self._window_tokens,
@@ -127,7 +127,7 @@
 
 def new_gap_histogram() -> hdrhistogram.HdrHistogram:
     """Return an empty histogram of gaps in microseconds, to 0.1 %."""
-    return hdrhistogram.HdrHistogram(1, _HIGHEST_US, _DIGITS)
+    return hdrhistogram.HdrHistogram(1, _MAX_GAP_US, _SIGNIFICANT_DIGITS)
 
 
 def merged_gaps(reports: list[loadplan.DriverReport]) -> hdrhistogram.HdrHistogram:
--- a/hornbeamglade/bench/loadprocesses.py
+++ b/hornbeamglade/bench/loadprocesses.py
@@ -64,7 +64,7 @@
             raise codederrors.CodedError("child_failed", f"{self.name} ended: {self.log_tail()}")
         return line
 
-    def exchange(self, document: str, timeout_s: float) -> str:
+    def communicate(self, document: str, timeout_s: float) -> str:
         """Send ``document``, wait for the child to end, and return what it wrote.
 
         :raises CodedError: when it fails or takes longer than ``timeout_s``.
@@ -102,10 +102,10 @@
         """Return the end of the child's standard error."""
         return self._log.read_text(encoding="utf-8", errors="replace")[-_LOG_TAIL_CHARACTERS:]
 
-    def send(self, number: signal.Signals) -> None:
+    def send(self, signal_number: signal.Signals) -> None:
         """Send a signal; nothing when the process has ended."""
         if self._process.poll() is None:
-            self._process.send_signal(number)
+            self._process.send_signal(signal_number)
 
     def stop(self) -> None:
         """Ask the process to end, and end it when it does not; idempotent."""
--- a/hornbeamglade/bench/loadresponses.py
+++ b/hornbeamglade/bench/loadresponses.py
@@ -82,13 +82,13 @@
         self._raw = b""
         self._chunked = False
         self._is_stream = False
-        self._length: int | None = None
+        self._body_length: int | None = None
         self._received = 0
 
     @property
     def complete(self) -> bool:
         """Whether the whole body of a known length has arrived."""
-        return self._length is not None and self._received >= self._length
+        return self._body_length is not None and self._received >= self._body_length
 
     def feed(self, data: bytes) -> list[Event]:
         """Take received bytes and return the events that they complete.
@@ -98,9 +98,9 @@
         self._raw += data
         if self.status is None and not self._read_head():
             return []
-        plain = self._dechunked() if self._chunked else self._taken()
-        self._received += len(plain)
-        self.body += plain
+        payload = self._dechunked() if self._chunked else self._take_raw()
+        self._received += len(payload)
+        self.body += payload
         return self._events() if self._is_stream else []
 
     def _read_head(self) -> bool:
@@ -117,12 +117,12 @@
         self.status = int(parts[1])
         self._chunked = "chunked" in self.header_by_name.get("transfer-encoding", "")
         length = self.header_by_name.get("content-length")
-        self._length = int(length) if length else None
+        self._body_length = int(length) if length else None
         self._is_stream = "event-stream" in self.header_by_name.get("content-type", "")
         self._raw = rest
         return True
 
-    def _taken(self) -> bytes:
+    def _take_raw(self) -> bytes:
         taken, self._raw = self._raw, b""
         return taken
 
@@ -136,7 +136,7 @@
             if len(raw) < start + size + len(_LINE_END):
                 break
             if size == 0:
-                self._length = self._received + sum(map(len, parts))
+                self._body_length = self._received + sum(map(len, parts))
             parts.append(raw[start : start + size])
             position = start + size + len(_LINE_END)
         self._raw = raw[position:]
--- a/hornbeamglade/bench/loadsite.py
+++ b/hornbeamglade/bench/loadsite.py
@@ -105,27 +105,27 @@
 
     def preemptions(self) -> int:
         """Return the preemptions that the engines have counted so far."""
-        return sum(self._load(engine)["preemptions"] for engine in self.engines)
+        return sum(self._load_report(engine)["preemptions"] for engine in self.engines)
 
     def addresses(self, team: str) -> tuple[str, ...]:
         """Return the addresses that a node names to a team's callers."""
-        answer = self._http.request(
+        response = self._http.request(
             "GET",
             f"http://{next(iter(self.node_by_address))}/v1/addresses",
             headers={"Authorization": f"Bearer {team_key(team)}"},
         )
-        if answer.status != 200:
-            detail = f"{answer.status}: {answer.data[:200]!r}"
+        if response.status != 200:
+            detail = f"{response.status}: {response.data[:200]!r}"
             raise codederrors.CodedError("addresses_refused", detail)
-        return tuple(answer.json()["addresses"])
+        return tuple(response.json()["addresses"])
 
-    def _load(self, engine: str) -> dict[str, typing.Any]:
+    def _load_report(self, engine: str) -> dict[str, typing.Any]:
         return self._http.request("GET", f"http://{engine}/load").json()
 
     def _start_engine(self, number: int) -> str:
         settings = dataclasses.asdict(self._shape.engine) | {"models": (MODEL,), "seed": number}
-        module = ("hornbeamglade.bench.loadengine", json.dumps(settings))
-        return self._start(f"engine-{number}", module).first_line()
+        module_arguments = ("hornbeamglade.bench.loadengine", json.dumps(settings))
+        return self._start(f"engine-{number}", module_arguments).first_line()
 
     def _start(
         self, name: str, module_arguments: collections.abc.Sequence[str]
@@ -149,8 +149,8 @@
         for instance in instances:
             path = self._folder / f"{instance.name}.yaml"
             path.write_text(yaml.safe_dump(self._node_settings(instance)), encoding="utf-8")
-            module = ("hornbeamglade", "node", "--settings", str(path))
-            self.node_by_address[instance.address] = self._start(instance.name, module)
+            module_arguments = ("hornbeamglade", "node", "--settings", str(path))
+            self.node_by_address[instance.address] = self._start(instance.name, module_arguments)
         for address in self.node_by_address:
             loadprocesses.wait_until(
                 lambda address=address: self._ready(address),
--- a/hornbeamglade/bench/loadstream.py
+++ b/hornbeamglade/bench/loadstream.py
@@ -21,17 +21,17 @@
         self,
         planned: loadplan.PlannedRequest,
         now: float,
-        due: float,
+        due_at: float,
         stall_threshold_s: float,
     ) -> None:
         self.planned = planned
         self.ending: loadplan.Ending | None = None
         self.last_token_at: float | None = None
         self._sent_at = now
-        self._due = due
+        self._due_at = due_at
         self._attempt = 0
         self._times = metricsstream.StreamTimes(now, stall_threshold_s=stall_threshold_s)
-        self._reader = loadresponses.ResponseParser()
+        self._parser = loadresponses.ResponseParser()
         self._outgoing = b""
         self._mark = b""
         self._next_offset = 0
@@ -53,26 +53,28 @@
             self._closed_by_peer()
             return 0
         tokens = 0
-        for event in self._reader.feed(data):
+        for event in self._parser.feed(data):
             if isinstance(event, loadresponses.Token):
                 tokens += 1
-                self._take(event, now)
+                self._check_token(event, now)
             elif event is loadresponses.KEEP_ALIVE:
                 self._keep_alives += self._next_offset > 0
             elif event is loadresponses.DONE:
-                whole = self._next_offset == self.planned.answer_tokens
-                self._end("complete" if whole else "violated", "" if whole else "short")
+                is_complete = self._next_offset == self.planned.answer_tokens
+                self._end(
+                    "complete" if is_complete else "violated", "" if is_complete else "short"
+                )
             else:
                 self._error = event.data
                 self._end("failed", "")
-        if self.ending is None and self._reader.complete:
+        if self.ending is None and self._parser.complete:
             self._closed_by_peer()
         return tokens
 
-    def lost(self, error: Exception) -> bool:
+    def connection_failed(self, error: Exception) -> bool:
         """Note that the connection failed; return whether another address is tried."""
         self.connection.close()
-        answered = self._reader.status is not None
+        answered = self._parser.status is not None
         self._attempt += 1
         if answered or self._attempt >= len(self.planned.addresses):
             self._end("failed", type(error).__name__)
@@ -80,22 +82,22 @@
         self.connection = self._connect()
         return True
 
-    def cut(self) -> None:
+    def cut_off(self) -> None:
         """Note that the bench ended before the stream."""
         self._end("cut", "")
 
     def result(self, now: float) -> loadplan.StreamResult:
         """Return what the caller saw."""
         self._times.finish(now)
-        problem = _problem(self._error or self._reader.body)
+        problem = _problem(self._error or self._parser.body)
         refused_or_failed = self.ending in ("refused", "failed")
         return loadplan.StreamResult(
             number=self.planned.number,
             team=self.planned.team,
             at_s=self.planned.at_s,
-            late_s=self._sent_at - self._due,
+            late_s=self._sent_at - self._due_at,
             ending=self.ending or "cut",
-            status=self._reader.status,
+            status=self._parser.status,
             code=self._code or (problem.get("code", "") if refused_or_failed else ""),
             run=problem.get("run", "") if refused_or_failed else "",
             tokens=self._next_offset,
@@ -106,7 +108,7 @@
             duration_s=now - self._sent_at,
         )
 
-    def _take(self, token: loadresponses.Token, now: float) -> None:
+    def _check_token(self, token: loadresponses.Token, now: float) -> None:
         if self._next_offset == 0:
             self._mark = token.mark
         if token.offset != self._next_offset or token.mark != self._mark:
@@ -116,7 +118,7 @@
         self.last_token_at = now
 
     def _closed_by_peer(self) -> None:
-        status = self._reader.status
+        status = self._parser.status
         if status is not None and status >= 400:
             self._end("refused", "")
         else:
@@ -160,6 +162,6 @@
         return {}
     if not isinstance(document, dict):
         return {}
-    inner = document.get("error")
-    merged = {**inner, **document} if isinstance(inner, dict) else document
+    error_object = document.get("error")
+    merged = {**error_object, **document} if isinstance(error_object, dict) else document
     return {name: str(merged[name]) for name in ("code", "run") if name in merged}
--- a/hornbeamglade/bench/pairedtrials.py
+++ b/hornbeamglade/bench/pairedtrials.py
@@ -37,7 +37,7 @@
     """Plays days."""
 
     @abc.abstractmethod
-    def run_trial(self, play: Trial) -> dayreports.DayOutcome:
+    def run_trial(self, trial: Trial) -> dayreports.DayOutcome:
         """Play a day to its end.
 
         :raises CodedError: when it has no result.
@@ -86,7 +86,7 @@
     Examples
     ========
 
-    >>> [play.variant for play in plan_trials(["old", "new"], ["quiet"], [1, 2])]
+    >>> [trial.variant for trial in plan_trials(["old", "new"], ["quiet"], [1, 2])]
     ['old', 'new', 'old', 'new']
     """
     return tuple(
@@ -95,10 +95,10 @@
 
 
 def run_trials(
-    plays: collections.abc.Iterable[Trial],
-    player: TrialRunner,
-    at_once: int,
-    ended: collections.abc.Callable[[Trial], None] = lambda play: None,
+    trials: collections.abc.Iterable[Trial],
+    runner: TrialRunner,
+    concurrency: int,
+    on_trial_end: collections.abc.Callable[[Trial], None] = lambda trial: None,
 ) -> tuple[Outcomes, Failures]:
     """Play all, a few at a time; a play without a result ends no other.
 
@@ -108,15 +108,15 @@
     outcomes: Outcomes = {}
     failures: Failures = {}
 
-    def one(play: Trial) -> None:
+    def run_one(trial: Trial) -> None:
         try:
-            outcomes[play] = player.run_trial(play)
+            outcomes[trial] = runner.run_trial(trial)
         except codederrors.CodedError as error:
-            failures[play] = error
-        ended(play)
+            failures[trial] = error
+        on_trial_end(trial)
 
-    with concurrent.futures.ThreadPoolExecutor(at_once) as crew:
-        for future in [crew.submit(one, play) for play in plays]:
+    with concurrent.futures.ThreadPoolExecutor(concurrency) as executor:
+        for future in [executor.submit(run_one, trial) for trial in trials]:
             future.result()
     return outcomes, failures
 
@@ -143,36 +143,36 @@
 def _comparison(first: str, variant: str, outcomes: Outcomes) -> Comparison:
     pairs = [
         (outcomes[base], outcome)
-        for play, outcome in outcomes.items()
-        if play.variant == variant
-        and (base := dataclasses.replace(play, variant=first)) in outcomes
+        for trial, outcome in outcomes.items()
+        if trial.variant == variant
+        and (base := dataclasses.replace(trial, variant=first)) in outcomes
     ]
-    own = [outcome for _, outcome in pairs]
+    variant_outcomes = [outcome for _, outcome in pairs]
     differences = [outcome.worth - base.worth for base, outcome in pairs]
-    ends = {end for outcome in own for end in outcome.unserved_by_end}
+    ends = {end for outcome in variant_outcomes for end in outcome.unserved_by_end}
     return Comparison(
         variant,
         len(pairs),
-        _mean(outcome.worth for outcome in own),
+        _mean(outcome.worth for outcome in variant_outcomes),
         _mean(differences),
         _standard_error(differences),
-        _mean(outcome.lost for outcome in own),
-        _mean(outcome.late for outcome in own),
+        _mean(outcome.lost for outcome in variant_outcomes),
+        _mean(outcome.late for outcome in variant_outcomes),
         {
-            end: _mean(outcome.unserved_by_end.get(end, 0) for outcome in own)
+            end: _mean(outcome.unserved_by_end.get(end, 0) for outcome in variant_outcomes)
             for end in sorted(ends)
         },
         tuple(
-            (play, outcome.broken)
-            for play, outcome in outcomes.items()
-            if play.variant == variant and outcome.broken
+            (trial, outcome.broken)
+            for trial, outcome in outcomes.items()
+            if trial.variant == variant and outcome.broken
         ),
     )
 
 
 def _mean(values: collections.abc.Iterable[float]) -> float:
-    told = list(values)
-    return statistics.fmean(told) if told else math.nan
+    collected = list(values)
+    return statistics.fmean(collected) if collected else math.nan
 
 
 def _standard_error(differences: collections.abc.Sequence[float]) -> float:
@@ -201,7 +201,7 @@
         ends = ", ".join(f"{end} {count:.1f}" for end, count in each.unserved_by_end.items())
         notes.append(f"{each.variant}: unserved a day: {ends or 'none'}")
         notes += [
-            f"{each.variant}: {play.day}, seed {play.seed}: {', '.join(broken)}"
-            for play, broken in each.broken
+            f"{each.variant}: {trial.day}, seed {trial.seed}: {', '.join(broken)}"
+            for trial, broken in each.broken
         ]
     return "\n".join((*rows, "", *notes))
--- a/hornbeamglade/bench/policyclairvoyant.py
+++ b/hornbeamglade/bench/policyclairvoyant.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Course:
+class _StreamProjection:
     """The course of one stream: when it ends, and what it holds by then."""
 
     ends_at: float
@@ -38,55 +38,58 @@
     ) -> None:
         super().__init__(capacity_tokens, max_running)
         self._answer_tokens_by_id = answer_tokens_by_id
-        self._course_by_id: dict[str, _Course] = {}
+        self._projection_by_id: dict[str, _StreamProjection] = {}
 
     def fits(self, work: outcomes.Work, now: float) -> bool:
         """Tell whether no later moment overflows with ``work`` taken on too."""
         if self.is_at_limit():
             return False
-        return self._least_room([*self._course_by_id.values(), self._course(work, now)], now) >= 0
+        return (
+            self._min_headroom([*self._projection_by_id.values(), self._project(work, now)], now)
+            >= 0
+        )
 
     def headroom(self, now: float) -> float:
         """Return the tokens left at the fullest later moment."""
-        return self._least_room(list(self._course_by_id.values()), now)
+        return self._min_headroom(list(self._projection_by_id.values()), now)
 
     def admit(self, work: outcomes.Work, now: float) -> None:
         """Count ``work`` in."""
         super().admit(work, now)
-        self._course_by_id[work.request_id] = self._course(work, now)
+        self._projection_by_id[work.request_id] = self._project(work, now)
 
     def progress(self, request_id: str, produced: int, now: float) -> None:
         """Correct the end of a stream that was delayed."""
         super().progress(request_id, produced, now)
-        course = self._course_by_id.get(request_id)
-        if course is not None:
-            left = self._answer_tokens_by_id[request_id] - produced
-            course.ends_at = now + left * policyworkload.STEP_S
+        projection = self._projection_by_id.get(request_id)
+        if projection is not None:
+            remaining = self._answer_tokens_by_id[request_id] - produced
+            projection.ends_at = now + remaining * policyworkload.STEP_S
 
     def finish(self, request_id: str, now: float) -> None:
         """Count a request out."""
         super().finish(request_id, now)
-        self._course_by_id.pop(request_id, None)
+        self._projection_by_id.pop(request_id, None)
 
-    def _course(self, work: outcomes.Work, now: float) -> _Course:
+    def _project(self, work: outcomes.Work, now: float) -> _StreamProjection:
         tokens = self._answer_tokens_by_id[work.request_id]
         last_tokens = work.prompt_tokens + tokens + policyworkload.BLOCK_TOKENS
-        return _Course(now + (tokens + 1) * policyworkload.STEP_S, last_tokens)
+        return _StreamProjection(now + (tokens + 1) * policyworkload.STEP_S, last_tokens)
 
-    def _least_room(self, courses: list[_Course], now: float) -> float:
+    def _min_headroom(self, projections: list[_StreamProjection], now: float) -> float:
         """Return the least room over the ends, from the last backwards.
 
         At time t each stream that still runs holds its last tokens less one for
         each step from t to its end.
         """
-        courses.sort(key=lambda course: -course.ends_at)
-        least = float(self.ledger.capacity)
+        projections.sort(key=lambda projection: -projection.ends_at)
+        minimum = float(self.ledger.capacity)
         last_tokens = 0
-        ends = 0.0
-        for count, course in enumerate(courses, 1):
-            last_tokens += course.last_tokens
-            ends += course.ends_at
-            at = max(now, course.ends_at)
-            steps_left = (ends - count * at) / policyworkload.STEP_S
-            least = min(least, self.ledger.capacity - (last_tokens - max(0.0, steps_left)))
-        return least
+        end_sum = 0.0
+        for count, projection in enumerate(projections, 1):
+            last_tokens += projection.last_tokens
+            end_sum += projection.ends_at
+            moment = max(now, projection.ends_at)
+            steps_left = (end_sum - count * moment) / policyworkload.STEP_S
+            minimum = min(minimum, self.ledger.capacity - (last_tokens - max(0.0, steps_left)))
+        return minimum
--- a/hornbeamglade/bench/policydispatch.py
+++ b/hornbeamglade/bench/policydispatch.py
@@ -26,41 +26,43 @@
         self.recorder = recorder
 
     @abc.abstractmethod
-    def offer(self, request: policyworkload.Request, now: float) -> None:
+    def dispatch(self, request: policyworkload.Request, now: float) -> None:
         """Take a request that has just arrived, or comes back from a lost replica."""
 
     @abc.abstractmethod
-    def turn(self, step: int, now: float) -> None:
+    def tick(self, step: int, now: float) -> None:
         """Do what is due by the passage of time; once a step."""
 
-    def finished(self, replica: policypool.Replica, served: policypool.Served, now: float) -> None:
+    def on_finished(
+        self, replica: policypool.Replica, active: policypool.ActiveRequest, now: float
+    ) -> None:
         """Hear that an answer has come to its end."""
         return
 
-    def lost(
-        self, replica: policypool.Replica, served: list[policypool.Served], now: float
+    def on_replica_lost(
+        self, replica: policypool.Replica, active: list[policypool.ActiveRequest], now: float
     ) -> None:
         """Hear that a replica is lost: what has not begun is placed again."""
-        for each in served:
+        for each in active:
             if each.last_step >= 0:
-                self.recorder.lost(now)
+                self.recorder.record_loss(now)
             else:
-                self.offer(each.request, now)
+                self.dispatch(each.request, now)
 
-    def back(self, replica: policypool.Replica, now: float) -> None:
+    def on_replica_restored(self, replica: policypool.Replica, now: float) -> None:
         """Hear that a lost replica is there again, empty."""
         return
 
     def deadline(self, request: policyworkload.Request) -> float:
         """Return when a request must have started."""
-        return request.at_s + self.scenario.wait_bound_s
+        return request.at_s + self.scenario.max_wait_s
 
-    def up(self) -> list[policypool.Replica]:
+    def live_replicas(self) -> list[policypool.Replica]:
         """Return the replicas that take work."""
         return [replica for replica in self.replica_by_name.values() if replica.is_up]
 
 
-class _Unadmitted(Dispatcher):
+class _WithoutAdmission(Dispatcher):
     """Sends each request to an engine at once, where it may wait up to the bound."""
 
     def __init__(
@@ -70,30 +72,30 @@
         recorder: policymetrics.Recorder,
     ) -> None:
         super().__init__(scenario, pool, recorder)
-        self._started_by: collections.deque[tuple[policypool.Replica, policyworkload.Request]]
-        self._started_by = collections.deque()
+        self._pending: collections.deque[tuple[policypool.Replica, policyworkload.Request]]
+        self._pending = collections.deque()
 
-    def offer(self, request: policyworkload.Request, now: float) -> None:
+    def dispatch(self, request: policyworkload.Request, now: float) -> None:
         """Submit to the replica that the policy picks."""
         replica = self.pick()
         replica.submit(request)
-        self._started_by.append((replica, request))
+        self._pending.append((replica, request))
 
-    def turn(self, step: int, now: float) -> None:
+    def tick(self, step: int, now: float) -> None:
         """Refuse what has not begun by its deadline."""
-        while self._started_by and self.deadline(self._started_by[0][1]) <= now:
-            replica, request = self._started_by.popleft()
-            served = replica.served_by_id.get(request.work.request_id)
-            if served is not None and served.last_step < 0:
+        while self._pending and self.deadline(self._pending[0][1]) <= now:
+            replica, request = self._pending.popleft()
+            active = replica.active_by_id.get(request.work.request_id)
+            if active is not None and active.last_step < 0:
                 replica.cancel(request.work.request_id)
-                self.recorder.refused(now)
+                self.recorder.record_refusal(now)
 
     @abc.abstractmethod
     def pick(self) -> policypool.Replica:
         """Return the replica for the next request."""
 
 
-class RoundRobin(_Unadmitted):
+class RoundRobin(_WithoutAdmission):
     """Takes the replicas in turn."""
 
     def __init__(
@@ -103,17 +105,17 @@
         recorder: policymetrics.Recorder,
     ) -> None:
         super().__init__(scenario, pool, recorder)
-        self._turns = itertools.count()
+        self._positions = itertools.count()
 
     def pick(self) -> policypool.Replica:
         """Return the next replica in turn."""
-        up = self.up()
-        return up[next(self._turns) % len(up)]
+        live = self.live_replicas()
+        return live[next(self._positions) % len(live)]
 
 
-class LeastOutstanding(_Unadmitted):
+class LeastOutstanding(_WithoutAdmission):
     """Takes the replica with the fewest requests, waiting ones included."""
 
     def pick(self) -> policypool.Replica:
         """Return the replica with the fewest requests."""
-        return min(self.up(), key=lambda replica: len(replica.served_by_id))
+        return min(self.live_replicas(), key=lambda replica: len(replica.active_by_id))
--- a/hornbeamglade/bench/policymetrics.py
+++ b/hornbeamglade/bench/policymetrics.py
@@ -60,42 +60,42 @@
         self._arrived = self._refused = self._lost = self._preemptions = 0
         self.recomputed_tokens = 0
 
-    def arrived(self, request: policyworkload.Request) -> None:
+    def record_arrival(self, request: policyworkload.Request) -> None:
         """Note an arrival."""
         if request.at_s >= self._warm_up_s:
             self._arrived += 1
             self._offered_by_team[request.work.team] += request.answer_tokens
 
-    def refused(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Note a refusal."""
         self._refused += now >= self._warm_up_s
 
-    def lost(self, now: float) -> None:
+    def record_loss(self, now: float) -> None:
         """Note a stream that was cut off after its first token."""
         self._lost += now >= self._warm_up_s
 
-    def preempted(self, count: int, now: float) -> None:
+    def record_preemptions(self, count: int, now: float) -> None:
         """Note preemptions."""
         self._preemptions += count if now >= self._warm_up_s else 0
 
-    def first_token(self, request: policyworkload.Request, now: float) -> None:
+    def record_first_token(self, request: policyworkload.Request, now: float) -> None:
         """Note the start of an answer."""
         if now >= self._warm_up_s:
             self._waits_s.append(now - request.at_s)
 
-    def tokens(self, teams: collections.abc.Iterable[str], now: float) -> None:
+    def record_tokens(self, teams: collections.abc.Iterable[str], now: float) -> None:
         """Note one delivered token for each named team."""
         if now >= self._warm_up_s:
             self._tokens_by_team.update(teams)
 
-    def gaps(self, steps: int, count: int, now: float) -> None:
+    def record_gaps(self, steps: int, count: int, now: float) -> None:
         """Note ``count`` gaps of so many steps between tokens."""
         if now >= self._warm_up_s:
             self._gap_count_by_steps[steps] += count
 
     def figures(self, end_s: float) -> Figures:
         """Return the figures of the window."""
-        span_s = end_s - self._warm_up_s
+        window_s = end_s - self._warm_up_s
         delivered = sum(self._tokens_by_team.values())
         started = max(1, len(self._waits_s))
         capacity = policyworkload.capacity_per_s(self._scenario)
@@ -111,8 +111,8 @@
         shares = self._shares()
         return Figures(
             started=len(self._waits_s),
-            goodput=delivered / span_s,
-            goodput_share=delivered / span_s / capacity,
+            goodput=delivered / window_s,
+            goodput_share=delivered / window_s / capacity,
             stall_s_per_1000=1000 * stalled * step_s / started,
             preemptions_per_1000=1000 * self._preemptions / started,
             gap_p50_s=gaps[0.5],
@@ -164,14 +164,20 @@
     """
     entitled: dict[str, float] = {}
     left = served
-    open_teams = set(offered_by_team)
-    while open_teams:
-        level = left / sum(weight_by_team[team] for team in open_teams)
-        content = [t for t in open_teams if offered_by_team[t] <= level * weight_by_team[t]]
-        if not content:
-            return entitled | {team: level * weight_by_team[team] for team in open_teams}
-        for team in content:
+    remaining_teams = set(offered_by_team)
+    while remaining_teams:
+        share_per_weight = left / sum(weight_by_team[team] for team in remaining_teams)
+        satisfied = [
+            t
+            for t in remaining_teams
+            if offered_by_team[t] <= share_per_weight * weight_by_team[t]
+        ]
+        if not satisfied:
+            return entitled | {
+                team: share_per_weight * weight_by_team[team] for team in remaining_teams
+            }
+        for team in satisfied:
             entitled[team] = offered_by_team[team]
             left -= offered_by_team[team]
-        open_teams -= set(content)
+        remaining_teams -= set(satisfied)
     return entitled
--- a/hornbeamglade/bench/policypool.py
+++ b/hornbeamglade/bench/policypool.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Served:
+class ActiveRequest:
     """A request on an engine, and what its caller has got so far."""
 
     request: policyworkload.Request
@@ -31,9 +31,9 @@
     def __init__(self, name: str, domain: str, scenario: policyworkload.Scenario) -> None:
         self.name = name
         self.domain = domain
-        self.served_by_id: dict[str, Served] = {}
+        self.active_by_id: dict[str, ActiveRequest] = {}
         self.is_up = True
-        self.slow_steps = 1
+        self.step_interval = 1
         self._scenario = scenario
         self._recomputed_before = 0
         self._sequence = 0
@@ -52,31 +52,31 @@
             work.request_id, work.prompt_tokens, request.answer_tokens, work.priority
         )
         self.engine.submit(sequence)
-        self.served_by_id[work.request_id] = Served(request)
+        self.active_by_id[work.request_id] = ActiveRequest(request)
 
     def cancel(self, request_id: str) -> None:
         """Take a request off the engine."""
         self.engine.cancel(request_id)
-        del self.served_by_id[request_id]
+        del self.active_by_id[request_id]
 
-    def lose(self) -> list[Served]:
+    def fail(self) -> list[ActiveRequest]:
         """Stop the engine, and return what it served."""
         self.is_up = False
-        served = list(self.served_by_id.values())
-        self.served_by_id = {}
+        active = list(self.active_by_id.values())
+        self.active_by_id = {}
         self._reports.clear()
         self._recomputed_before += self.engine.recomputed_tokens
         self.engine = self._new_engine()
-        return served
+        return active
 
-    def step(self, step: int, now: float, recorder: policymetrics.Recorder) -> list[Served]:
+    def step(self, step: int, now: float, recorder: policymetrics.Recorder) -> list[ActiveRequest]:
         """Advance by one step of the bench and return what finished in it."""
-        if not self.is_up or step % self.slow_steps:
+        if not self.is_up or step % self.step_interval:
             return []
         result = self.engine.step()
-        recorder.preempted(len(result.preempted), now)
+        recorder.record_preemptions(len(result.preempted), now)
         self._record_tokens(result.token_count_by_id, step, now, recorder)
-        return [self.served_by_id.pop(request_id) for request_id in result.finished]
+        return [self.active_by_id.pop(request_id) for request_id in result.finished]
 
     def reports(self, step: int, now: float) -> list[tokenledger.LoadView]:
         """Publish a report now and then, and return those that arrive now."""
@@ -103,18 +103,18 @@
         teams = []
         gaps: collections.Counter[int] = collections.Counter()
         for request_id in token_count_by_id:
-            served = self.served_by_id[request_id]
-            served.produced += 1
-            teams.append(served.request.work.team)
-            if served.last_step < 0:
-                served.first_at = now
-                recorder.first_token(served.request, now)
+            active = self.active_by_id[request_id]
+            active.produced += 1
+            teams.append(active.request.work.team)
+            if active.last_step < 0:
+                active.first_at = now
+                recorder.record_first_token(active.request, now)
             else:
-                gaps[step - served.last_step] += 1
-            served.last_step = step
-        recorder.tokens(teams, now)
+                gaps[step - active.last_step] += 1
+            active.last_step = step
+        recorder.record_tokens(teams, now)
         for steps, count in gaps.items():
-            recorder.gaps(steps, count, now)
+            recorder.record_gaps(steps, count, now)
 
     def _new_engine(self) -> enginemodel.EngineModel:
         return enginemodel.EngineModel(
--- a/hornbeamglade/bench/policyreport.py
+++ b/hornbeamglade/bench/policyreport.py
@@ -38,7 +38,7 @@
     """
 
     heading: str
-    form: str
+    format_spec: str
     figures: tuple[str, ...]
 
 
@@ -120,12 +120,12 @@
         raise codederrors.CodedError("plot_unavailable", detail) from error
     figure = figures.Figure(figsize=(11, 5), layout="constrained")
     axes = figure.subplots(1, 2)
-    wanted = (("preemptions_per_1000", "preemptions per 1,000"), ("stall_s_per_1000", "stall, s"))
+    plotted = (("preemptions_per_1000", "preemptions per 1,000"), ("stall_s_per_1000", "stall, s"))
     points_by_policy: dict[str, list[list[RunRecord]]] = collections.defaultdict(list)
     for runs_by_policy in _grouped(report).values():
         for policy, runs in runs_by_policy.items():
             points_by_policy[policy].append(runs)
-    for axis, (name, label) in zip(axes, wanted, strict=True):
+    for axis, (name, label) in zip(axes, plotted, strict=True):
         for policy, points in points_by_policy.items():
             goodputs = [_mean(runs, "goodput_share") for runs in points]
             axis.plot(goodputs, [_mean(runs, name) for runs in points], "o", label=policy)
@@ -148,11 +148,11 @@
 
 
 def _cell(runs: list[RunRecord], column: _Column) -> str:
-    cell = " / ".join(format(_mean(runs, figure), column.form) for figure in column.figures)
+    cell = " / ".join(format(_mean(runs, figure), column.format_spec) for figure in column.figures)
     if len(runs) < 2 or len(column.figures) > 1:
         return cell
     spread = statistics.stdev(run.figures[column.figures[0]] for run in runs)
-    return f"{cell} ± {format(spread, column.form)}"
+    return f"{cell} ± {format(spread, column.format_spec)}"
 
 
 def _ratio(runs: list[RunRecord], clairvoyant: list[RunRecord] | None) -> str:
--- a/hornbeamglade/bench/policyrun.py
+++ b/hornbeamglade/bench/policyrun.py
@@ -54,24 +54,24 @@
     :param seed: of the requests; the same ones for every policy.
     :param duration_s: virtual seconds, of which the first two fifths are not measured.
     """
-    requests = policyworkload.draw(scenario, seed, duration_s)
+    requests = policyworkload.draw_requests(scenario, seed, duration_s)
     pool = policypool.replicas(scenario)
     recorder = policymetrics.Recorder(scenario, WARM_UP_SHARE * duration_s)
     dispatcher = _dispatcher(scenario, policy, seed, requests, pool, recorder)
-    arriving = iter(requests)
-    coming = next(arriving, None)
+    arrivals = iter(requests)
+    next_request = next(arrivals, None)
     recomputed_before = 0
     for step in range(int(duration_s / policyworkload.STEP_S)):
         now = step * policyworkload.STEP_S
         _apply_fault(scenario, pool[0], dispatcher, now, duration_s)
-        dispatcher.turn(step, now)
-        while coming is not None and coming.at_s <= now:
-            recorder.arrived(coming)
-            dispatcher.offer(coming, now)
-            coming = next(arriving, None)
+        dispatcher.tick(step, now)
+        while next_request is not None and next_request.at_s <= now:
+            recorder.record_arrival(next_request)
+            dispatcher.dispatch(next_request, now)
+            next_request = next(arrivals, None)
         for replica in pool:
-            for served in replica.step(step, now, recorder):
-                dispatcher.finished(replica, served, now)
+            for active in replica.step(step, now, recorder):
+                dispatcher.on_finished(replica, active, now)
         if now < WARM_UP_SHARE * duration_s:
             recomputed_before = sum(replica.recomputed_tokens for replica in pool)
     recorder.recomputed_tokens = sum(replica.recomputed_tokens for replica in pool)
@@ -89,14 +89,14 @@
     start_s = _FAULT_AT * duration_s
     is_faulty = start_s <= now < start_s + _FAULT_SPAN_S
     if scenario.fault is policyworkload.Fault.SLOWED:
-        replica.slow_steps = _SLOW_STEPS if is_faulty else 1
+        replica.step_interval = _SLOW_STEPS if is_faulty else 1
     if scenario.fault is not policyworkload.Fault.LOST:
         return
     if is_faulty and replica.is_up:
-        dispatcher.lost(replica, replica.lose(), now)
+        dispatcher.on_replica_lost(replica, replica.fail(), now)
     elif not is_faulty and not replica.is_up:
         replica.is_up = True
-        dispatcher.back(replica, now)
+        dispatcher.on_replica_restored(replica, now)
 
 
 def _dispatcher(
@@ -120,21 +120,21 @@
     scenario: policyworkload.Scenario, policy: str, requests: list[policyworkload.Request]
 ) -> collections.abc.Callable[[lengthmodel.LengthModel], policies.AdmissionPolicy]:
     capacity = scenario.capacity_tokens
-    bound = scenario.max_running
+    max_running = scenario.max_running
     answer_tokens_by_id = {each.work.request_id: each.answer_tokens for each in requests}
-    settings = replicaadmission.AdmissionSettings(max_running=bound)
+    settings = replicaadmission.AdmissionSettings(max_running=max_running)
     factory_by_policy = {
-        "present-memory": lambda _: policies.PresentMemory(capacity, bound),
+        "present-memory": lambda _: policies.PresentMemory(capacity, max_running),
         "probabilistic": lambda lengths: replicaadmission.ReplicaAdmission(
             capacity, lengths, settings
         ),
         "clairvoyant": lambda _: policyclairvoyant.Clairvoyant(
-            capacity, bound, answer_tokens_by_id
+            capacity, max_running, answer_tokens_by_id
         ),
     }
     fixed = _FIXED_RESERVE.fullmatch(policy)
     if fixed is not None:
-        return lambda _: policies.FixedReserve(capacity, int(fixed[1]), bound)
+        return lambda _: policies.FixedReserve(capacity, int(fixed[1]), max_running)
     if policy not in factory_by_policy:
         raise codederrors.CodedError("policy_unknown", f"there is no policy {policy!r}")
     return factory_by_policy[policy]
--- a/hornbeamglade/bench/policyscenarios.py
+++ b/hornbeamglade/bench/policyscenarios.py
@@ -4,12 +4,12 @@
 from hornbeamglade.core import codederrors
 
 _LOADS = (0.7, 0.9, 1.0, 1.2, 1.5)
-_CROWDED = 1.2
-_CROWDED_NAME = "load-1.2"
+_OVERLOAD = 1.2
+_OVERLOAD_SCENARIO = "load-1.2"
 
 
-def _krakow(name: str, load: float, **differing: object) -> policyworkload.Scenario:
-    return policyworkload.Scenario(name, load, **differing)
+def _krakow(name: str, load: float, **overrides: object) -> policyworkload.Scenario:
+    return policyworkload.Scenario(name, load, **overrides)
 
 
 def _pirkanmaa(load: float) -> policyworkload.Scenario:
@@ -19,24 +19,24 @@
 
 SCENARIOS_BY_SET: dict[str, tuple[policyworkload.Scenario, ...]] = {
     "load": tuple(_krakow(f"load-{load:g}", load) for load in _LOADS),
-    "pirkanmaa": tuple(_pirkanmaa(load) for load in (1.0, _CROWDED)),
+    "pirkanmaa": tuple(_pirkanmaa(load) for load in (1.0, _OVERLOAD)),
     "lengths": (
-        _krakow("bursty", _CROWDED, arrivals=policyworkload.Arrivals.BURSTY),
-        _krakow("drifting", _CROWDED, arrivals=policyworkload.Arrivals.DRIFTING),
-        _krakow("pareto", _CROWDED, shape=policyworkload.Shape.PARETO),
+        _krakow("bursty", _OVERLOAD, arrivals=policyworkload.Arrivals.BURSTY),
+        _krakow("drifting", _OVERLOAD, arrivals=policyworkload.Arrivals.DRIFTING),
+        _krakow("pareto", _OVERLOAD, shape=policyworkload.Shape.PARETO),
     ),
     "reports": (
-        _krakow("reports-0s", _CROWDED, report_lag_s=0.0, requests_of=_CROWDED_NAME),
-        _krakow("reports-5s", _CROWDED, report_lag_s=5.0, requests_of=_CROWDED_NAME),
-        _krakow("two-owners", _CROWDED, owners=2, requests_of=_CROWDED_NAME),
+        _krakow("reports-0s", _OVERLOAD, report_lag_s=0.0, request_source=_OVERLOAD_SCENARIO),
+        _krakow("reports-5s", _OVERLOAD, report_lag_s=5.0, request_source=_OVERLOAD_SCENARIO),
+        _krakow("two-owners", _OVERLOAD, owners=2, request_source=_OVERLOAD_SCENARIO),
     ),
     "routing": (
-        _krakow("compared-3", _CROWDED, samples=3, requests_of=_CROWDED_NAME),
-        _krakow("compared-6", _CROWDED, samples=6, requests_of=_CROWDED_NAME),
+        _krakow("compared-3", _OVERLOAD, samples=3, request_source=_OVERLOAD_SCENARIO),
+        _krakow("compared-6", _OVERLOAD, samples=6, request_source=_OVERLOAD_SCENARIO),
     ),
     "faults": (
-        _krakow("replica-lost", 1.0, fault=policyworkload.Fault.LOST, requests_of="load-1"),
-        _krakow("replica-slowed", 1.0, fault=policyworkload.Fault.SLOWED, requests_of="load-1"),
+        _krakow("replica-lost", 1.0, fault=policyworkload.Fault.LOST, request_source="load-1"),
+        _krakow("replica-slowed", 1.0, fault=policyworkload.Fault.SLOWED, request_source="load-1"),
     ),
     "quick": (_krakow("quick", 1.5, replicas=3, capacity_tokens=12_000),),
 }
--- a/hornbeamglade/bench/policyschedulers.py
+++ b/hornbeamglade/bench/policyschedulers.py
@@ -14,9 +14,9 @@
 from hornbeamglade.routing import candidates, choice, outliers, placements
 
 _PROGRESS_EVERY_STEPS = 38
-_SETTLE_EVERY_STEPS = 8
+_QUEUE_EVERY_STEPS = 8
 _DIGEST_EVERY_STEPS = 10
-_TRIES = 2
+_MAX_TRIES = 2
 _NODES = 6
 _NODES_PER_TEAM = 2
 
@@ -67,66 +67,68 @@
         self._digests: collections.deque[tuple[float, list[candidates.Candidate]]]
         self._digests = collections.deque()
 
-    def offer(self, request: policyworkload.Request, now: float) -> None:
+    def dispatch(self, request: policyworkload.Request, now: float) -> None:
         """Ask the chosen replica's owner, and the next best one when that refuses."""
         work = request.work
         self._request_by_id[work.request_id] = request
-        node = self._node(work.team)
-        for name in self._choices(work, node, now):
+        node = self._node_of(work.team)
+        for name in self._ranked_replicas(work, node, now):
             scheduler = self._rng.choice(self._schedulers_by_replica[name])
             weight = policyworkload.WEIGHT_BY_TEAM[work.team]
-            answer = scheduler.request_grant(work, weight, now, self.deadline(request))
-            if isinstance(answer, outcomes.Refusal):
+            response = scheduler.request_grant(work, weight, now, self.deadline(request))
+            if isinstance(response, outcomes.Refusal):
                 continue
             needed = candidates.needed_tokens(work, self._settings)
             self._placements_by_node[node].placed(name, needed, now)
             self._scheduler_by_request[work.request_id] = scheduler
-            if isinstance(answer, replicascheduler.Granted):
+            if isinstance(response, replicascheduler.Granted):
                 self.replica_by_name[name].submit(request)
             return
         self._refuse(work.request_id, now)
 
-    def finished(self, replica: policypool.Replica, served: policypool.Served, now: float) -> None:
+    def on_finished(
+        self, replica: policypool.Replica, active: policypool.ActiveRequest, now: float
+    ) -> None:
         """Learn the length, give back the grant and serve who is next."""
-        work = served.request.work
-        self._lengths.observe(work.service, work.team, served.produced)
-        if served.produced > 1:
-            between_s = (now - served.first_at) / (served.produced - 1)
-            self._detector.succeeded(replica.name, between_s, now)
+        work = active.request.work
+        self._lengths.observe(work.service, work.team, active.produced)
+        if active.produced > 1:
+            token_interval_s = (now - active.first_at) / (active.produced - 1)
+            self._detector.succeeded(replica.name, token_interval_s, now)
         scheduler = self._scheduler_by_request.pop(work.request_id)
         scheduler.finish(work.request_id, now)
         del self._request_by_id[work.request_id]
-        self._settle(replica, scheduler, now)
+        self._process_queue(replica, scheduler, now)
 
-    def lost(
-        self, replica: policypool.Replica, served: list[policypool.Served], now: float
+    def on_replica_lost(
+        self, replica: policypool.Replica, active: list[policypool.ActiveRequest], now: float
     ) -> None:
         """Place again what waited for the replica too."""
-        waiting_ids = [
+        queued_ids = [
             settled.request_id
             for scheduler in self._schedulers_by_replica[replica.name]
             for settled in scheduler.drain()
         ]
-        super().lost(replica, served, now)
-        for request_id in waiting_ids:
-            self.offer(self._request_by_id[request_id], now)
+        super().on_replica_lost(replica, active, now)
+        for request_id in queued_ids:
+            self.dispatch(self._request_by_id[request_id], now)
 
-    def back(self, replica: policypool.Replica, now: float) -> None:
+    def on_replica_restored(self, replica: policypool.Replica, now: float) -> None:
         """Open new schedulers."""
         self._schedulers_by_replica[replica.name] = self._new_schedulers(replica.name, now)
 
-    def turn(self, step: int, now: float) -> None:
+    def tick(self, step: int, now: float) -> None:
         """Pass on reports, progress and digests when they are due."""
-        for i, replica in enumerate(self.up()):
+        for i, replica in enumerate(self.live_replicas()):
             schedulers = self._schedulers_by_replica[replica.name]
             for view in replica.reports(step, now):
                 for scheduler in schedulers:
                     scheduler.apply_report(view, False, now)
             if (step + 6 * i) % _PROGRESS_EVERY_STEPS == 0:
                 self._report_progress(replica, now)
-            if (step + i) % _SETTLE_EVERY_STEPS == 0:
+            if (step + i) % _QUEUE_EVERY_STEPS == 0:
                 for scheduler in schedulers:
-                    self._settle(replica, scheduler, now)
+                    self._process_queue(replica, scheduler, now)
         if step % _DIGEST_EVERY_STEPS == 0:
             self._digests.append((now, self._digest(now)))
             while len(self._digests) > 1 and self._is_due(self._digests[1][0], now):
@@ -146,38 +148,38 @@
         )
         return scheduler
 
-    def _node(self, team: str) -> int:
+    def _node_of(self, team: str) -> int:
         first = list(policyworkload.WEIGHT_BY_TEAM).index(team)
         return (first + self._rng.randrange(_NODES_PER_TEAM)) % _NODES
 
-    def _choices(self, work: outcomes.Work, node: int, now: float) -> list[str]:
+    def _ranked_replicas(self, work: outcomes.Work, node: int, now: float) -> list[str]:
         probe = self._detector.probe_due(now)
         if probe is not None and self.replica_by_name[probe].is_up:
             return [probe]
-        known = self._placements_by_node[node].applied(self._known(node, now), now)
+        known = self._placements_by_node[node].applied(self._candidates_at(node, now), now)
         ordered = choice.rank(work, known, self._rng, self._settings)
-        return [each.candidate.replica for each in ordered[:_TRIES]]
+        return [each.candidate.replica for each in ordered[:_MAX_TRIES]]
 
-    def _known(self, node: int, now: float) -> list[candidates.Candidate]:
+    def _candidates_at(self, node: int, now: float) -> list[candidates.Candidate]:
         """Return what a node knows: its own replicas as they are, the others by digests."""
         if not self.scenario.report_lag_s:
             return self._digest(now)
         taken_at, digest = self._digests[0]
         known = []
-        for i, (replica, late) in enumerate(
+        for i, (replica, stale) in enumerate(
             zip(self.replica_by_name.values(), digest, strict=True)
         ):
             if i % _NODES == node:
                 known.append(dataclasses.replace(self._candidate(replica, now), local=True))
                 continue
-            late = dataclasses.replace(
-                late,
+            stale = dataclasses.replace(
+                stale,
                 report_age_s=now - taken_at,
                 leaving=not replica.is_up,
                 ejected=self._detector.is_ejected(replica.name),
                 slow_factor=self._detector.slow_factor(replica.name),
             )
-            known.append(late)
+            known.append(stale)
         return known
 
     def _digest(self, now: float) -> list[candidates.Candidate]:
@@ -203,11 +205,11 @@
         return now - taken_at >= self.scenario.report_lag_s
 
     def _report_progress(self, replica: policypool.Replica, now: float) -> None:
-        for request_id, served in replica.served_by_id.items():
+        for request_id, active in replica.active_by_id.items():
             scheduler = self._scheduler_by_request[request_id]
-            scheduler.progress(request_id, served.produced, now)
+            scheduler.progress(request_id, active.produced, now)
 
-    def _settle(
+    def _process_queue(
         self, replica: policypool.Replica, scheduler: replicascheduler.ReplicaScheduler, now: float
     ) -> None:
         for settled in scheduler.process_queue(now):
@@ -219,4 +221,4 @@
     def _refuse(self, request_id: str, now: float) -> None:
         self._request_by_id.pop(request_id, None)
         self._scheduler_by_request.pop(request_id, None)
-        self.recorder.refused(now)
+        self.recorder.record_refusal(now)
--- a/hornbeamglade/bench/policyworkload.py
+++ b/hornbeamglade/bench/policyworkload.py
@@ -24,7 +24,7 @@
 SERVICE = "drafts"
 _PROMPT_RANGE = (50, 150)
 _PROMPT_MEAN = 100
-_STRATA = 20_000
+_QUANTILES = 20_000
 _DRIFT_FACTOR = 3.0
 _DRIFT_SPAN = (0.4, 0.6)
 _BURST_FACTOR = 2.0
@@ -86,8 +86,8 @@
     samples: int = 2
     capacity_tokens: int = 36_000
     max_running: int = 64
-    wait_bound_s: float = 10.0
-    requests_of: str = ""
+    max_wait_s: float = 10.0
+    request_source: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -125,10 +125,12 @@
 
 def capacity_per_s(scenario: Scenario, scale: float = 1.0) -> float:
     """Return the requests per second that saturate the pool in the mean."""
-    lengths = [answer_tokens(scenario.shape, (i + 0.5) / _STRATA, scale) for i in range(_STRATA)]
+    lengths = [
+        answer_tokens(scenario.shape, (i + 0.5) / _QUANTILES, scale) for i in range(_QUANTILES)
+    ]
     prompt = _PROMPT_MEAN + BLOCK_TOKENS / 2
-    held = statistics.fmean(n * prompt + n * n / 2 for n in lengths)
-    by_memory = scenario.capacity_tokens / held
+    mean_token_steps = statistics.fmean(n * prompt + n * n / 2 for n in lengths)
+    by_memory = scenario.capacity_tokens / mean_token_steps
     by_bound = scenario.max_running / statistics.fmean(lengths)
     return scenario.replicas * min(by_memory, by_bound) / STEP_S
 
@@ -136,17 +138,17 @@
 def mean_answer_tokens(scenario: Scenario) -> float:
     """Return the mean answer length before any drift."""
     return statistics.fmean(
-        answer_tokens(scenario.shape, (i + 0.5) / _STRATA) for i in range(_STRATA)
+        answer_tokens(scenario.shape, (i + 0.5) / _QUANTILES) for i in range(_QUANTILES)
     )
 
 
-def draw(scenario: Scenario, seed: int, duration_s: float) -> list[Request]:
+def draw_requests(scenario: Scenario, seed: int, duration_s: float) -> list[Request]:
     """Return the requests of a run, in order of arrival; the same for every policy."""
-    rng = random.Random(f"{scenario.requests_of or scenario.name}/{seed}")
+    rng = random.Random(f"{scenario.request_source or scenario.name}/{seed}")
     teams = list(DEMAND_BY_TEAM)
     shares = list(DEMAND_BY_TEAM.values())
     drawn = []
-    for at_s, scale in _times(scenario, rng, duration_s):
+    for at_s, scale in _arrival_times(scenario, rng, duration_s):
         work = outcomes.Work(
             request_id=f"r{len(drawn)}",
             service=SERVICE,
@@ -159,16 +161,16 @@
     return drawn
 
 
-def _times(
+def _arrival_times(
     scenario: Scenario, rng: random.Random, duration_s: float
 ) -> collections.abc.Iterator[tuple[float, float]]:
     """Yield times of arrival with the scale of lengths then."""
     rate_by_scale: dict[float, float] = {}
-    bursts = _bursts(scenario, rng, duration_s)
+    bursts = _rate_factors(scenario, rng, duration_s)
     now = 0.0
     factor, until = next(bursts)
     while now < duration_s:
-        scale = _scale(scenario, now / duration_s)
+        scale = _length_scale(scenario, now / duration_s)
         if scale not in rate_by_scale:
             rate_by_scale[scale] = scenario.load * capacity_per_s(scenario, scale)
         wait_s = rng.expovariate(rate_by_scale[scale] * factor)
@@ -181,7 +183,7 @@
             yield now, scale
 
 
-def _bursts(
+def _rate_factors(
     scenario: Scenario, rng: random.Random, duration_s: float
 ) -> collections.abc.Iterator[tuple[float, float]]:
     """Yield factors of the rate and until when they hold; 1 in the mean."""
@@ -195,7 +197,7 @@
         yield 1.0, 2 * duration_s + 1.0
 
 
-def _scale(scenario: Scenario, progress: float) -> float:
+def _length_scale(scenario: Scenario, progress: float) -> float:
     """Return the factor of lengths, in steps so that few capacities are computed."""
     if scenario.arrivals is not Arrivals.DRIFTING:
         return 1.0
--- a/hornbeamglade/bench/recovery.py
+++ b/hornbeamglade/bench/recovery.py
@@ -6,7 +6,7 @@
 In each trial callers send a steady stream of short generations and holds; after some
 calm seconds a fault begins at a random moment, and the trial ends when the fault is
 healed (where it heals), nothing that was sent before still hangs, and no request was
-affected for :data:`QUIET_S`. Everything is measured from the callers' side.
+affected for :data:`RECOVERED_S`. Everything is measured from the callers' side.
 """
 
 import collections.abc
@@ -28,13 +28,13 @@
 from hornbeamglade.localsite import localsite, tcpproxy
 from hornbeamglade.teams import identity
 
-WARM_S = 1.5
-CALM_S = 2.0
-SPREAD_S = 1.0
-QUIET_S = 6.0
+WARM_UP_S = 1.5
+BASELINE_S = 2.0
+BASELINE_JITTER_S = 1.0
+RECOVERED_S = 6.0
 """Longer than a dead node takes to be suspected, so that what follows is seen as well."""
 
-LONGEST_S = 40.0
+RECOVERY_TIMEOUT_S = 40.0
 POLL_S = 0.05
 
 
@@ -87,7 +87,7 @@
     shape: RecoveryShape,
     name: str,
     folder: pathlib.Path,
-    done: collections.abc.Callable[[int], None] = lambda _number: None,
+    on_trial_end: collections.abc.Callable[[int], None] = lambda _number: None,
 ) -> Result:
     """Carry out all trials of one fault.
 
@@ -97,14 +97,16 @@
     """
     fault = recoveryfaults.FAULT_BY_NAME[name]
     seen: list[recoveryanalysis.Observation] = []
-    with contextlib.ExitStack() as kept:
+    with contextlib.ExitStack() as shared_stack:
         site = None
         for number in range(shape.trials):
-            with contextlib.ExitStack() as own:
+            with contextlib.ExitStack() as trial_stack:
                 if site is None or not fault.reuses_site:
-                    site = _Site(shape, fault, folder, kept if fault.reuses_site else own)
+                    site = _Site(
+                        shape, fault, folder, shared_stack if fault.reuses_site else trial_stack
+                    )
                 seen.append(_Trial(shape, fault, site, number, seen).run())
-            done(number)
+            on_trial_end(number)
     usual = recoveryanalysis.baseline(seen)
     trials = tuple(recoveryanalysis.analyze_trial(each, usual) for each in seen)
     return Result(name, fault.hold_s, usual, trials)
@@ -133,8 +135,8 @@
         wanted = dataclasses.replace(
             plain, base={"teams": {localsite.TEAM: team}}, route=self.links.route
         )
-        own_folder = pathlib.Path(tempfile.mkdtemp(dir=folder))
-        self.running = stack.enter_context(localsite.LocalSite(wanted, own_folder))
+        site_folder = pathlib.Path(tempfile.mkdtemp(dir=folder))
+        self.running = stack.enter_context(localsite.LocalSite(wanted, site_folder))
 
     def addresses(self) -> tuple[str, ...]:
         """Return the addresses of all nodes."""
@@ -150,14 +152,14 @@
         fault: recoveryfaults.Fault,
         site: _Site,
         number: int,
-        before: collections.abc.Sequence[recoveryanalysis.Observation],
+        earlier: collections.abc.Sequence[recoveryanalysis.Observation],
     ) -> None:
         self._fault = fault
         self._site = site
-        self._before = before
+        self._earlier = earlier
         self._rng = random.Random(f"{shape.seed}/{fault.name}/{number}")
         self._traffic = recoverytraffic.Traffic(
-            [_caller(site) for _ in range(shape.callers)],
+            [_new_caller(site) for _ in range(shape.callers)],
             f"{fault.name}-{number}",
             shape.tokens,
             shape.texts_per_s,
@@ -176,47 +178,49 @@
         running = self._site.running
         _read_ledgers(running, ledgers, tuple(running.address_by_name))
         records = self._traffic.records()
-        broken = recoverychecks.broken(records, ledgers)
+        broken = recoverychecks.count_violations(records, ledgers)
         return dataclasses.replace(seen, records=records, broken=broken)
 
     def _observe(self, ledgers: recoverychecks.Ledgers) -> recoveryanalysis.Observation:
         """Hurt the site and wait until it is as before."""
         running, links = self._site.running, self._site.links
-        victim = self._fault.choose(running, self._rng)
-        calm_s = CALM_S + SPREAD_S * self._rng.random()
-        time.sleep(WARM_S)
-        calm_from = time.monotonic()
+        victim = self._fault.choose_victim(running, self._rng)
+        calm_s = BASELINE_S + BASELINE_JITTER_S * self._rng.random()
+        time.sleep(WARM_UP_S)
+        baseline_from = time.monotonic()
         time.sleep(calm_s)
         # An engine that dies takes its ledger along.
         _read_ledgers(running, ledgers, (victim,))
         fault_at = time.monotonic()
-        self._fault.begin(running, links, victim)
+        self._fault.inject(running, links, victim)
         time.sleep(self._fault.hold_s)
-        self._fault.heal(running, links, victim)
-        seen = recoveryanalysis.Observation(victim, calm_from, fault_at, (), {}, False)
-        return dataclasses.replace(seen, is_quiet=self._await_quiet(seen))
+        self._fault.repair(running, links, victim)
+        seen = recoveryanalysis.Observation(victim, baseline_from, fault_at, (), {}, False)
+        return dataclasses.replace(seen, has_recovered=self._wait_until_recovered(seen))
 
-    def _await_quiet(self, begun: recoveryanalysis.Observation) -> bool:
+    def _wait_until_recovered(self, initial: recoveryanalysis.Observation) -> bool:
         """Wait until no request has been affected for some seconds."""
-        fault_at = begun.fault_at
-        until = time.monotonic() + LONGEST_S
-        quiet_from = time.monotonic()
+        fault_at = initial.fault_at
+        until = time.monotonic() + RECOVERY_TIMEOUT_S
+        waiting_since = time.monotonic()
         while time.monotonic() < until:
             time.sleep(POLL_S)
-            so_far = dataclasses.replace(begun, records=self._traffic.records(), is_quiet=True)
-            usual = recoveryanalysis.baseline((*self._before, so_far))
-            seen = recoveryanalysis.analyze_trial(so_far, usual)
+            partial = dataclasses.replace(
+                initial, records=self._traffic.records(), has_recovered=True
+            )
+            usual = recoveryanalysis.baseline((*self._earlier, partial))
+            seen = recoveryanalysis.analyze_trial(partial, usual)
             now = time.monotonic()
-            hung_from = self._traffic.oldest_open() or now
-            calm_since = max(quiet_from, fault_at + seen.recovery_s)
-            if now - calm_since >= QUIET_S and now - hung_from < QUIET_S:
+            oldest_open_at = self._traffic.oldest_open_due_at() or now
+            unaffected_since = max(waiting_since, fault_at + seen.recovery_s)
+            if now - unaffected_since >= RECOVERED_S and now - oldest_open_at < RECOVERED_S:
                 return True
         return False
 
 
-def _caller(site: _Site) -> recoverycallers.Caller:
-    catalog = recoverycallers.AddressBook(site.addresses(), localsite.TEAM_KEY)
-    return recoverycallers.Caller(catalog, localsite.TEAM_KEY)
+def _new_caller(site: _Site) -> recoverycallers.Caller:
+    address_book = recoverycallers.AddressBook(site.addresses(), localsite.TEAM_KEY)
+    return recoverycallers.Caller(address_book, localsite.TEAM_KEY)
 
 
 def _read_ledgers(
@@ -226,6 +230,6 @@
 ) -> None:
     for name in names:
         if name.startswith("engine-"):
-            ledgers.take_engine(site.ledger(name))
+            ledgers.add_engine(site.ledger(name))
         elif name.startswith("counter-"):
-            ledgers.take_service(site.ledger(name))
+            ledgers.add_service(site.ledger(name))
--- a/hornbeamglade/bench/recoveryanalysis.py
+++ b/hornbeamglade/bench/recoveryanalysis.py
@@ -50,11 +50,11 @@
     """
 
     victim: str
-    calm_from: float
+    baseline_from: float
     fault_at: float
     records: Records
     broken: collections.abc.Mapping[str, int]
-    is_quiet: bool
+    has_recovered: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -89,7 +89,12 @@
 
 def baseline(observations: collections.abc.Iterable[Observation]) -> Baseline:
     """Return what was usual in the calm seconds."""
-    calm = [record for each in observations for record in _calm(each) if _is_whole(record)]
+    calm = [
+        record
+        for each in observations
+        for record in _baseline_records(each)
+        if _is_complete(record)
+    ]
     texts = [record for record in calm if not record.call.is_hold]
     holds = [record.first_s for record in calm if record.call.is_hold]
     return Baseline(
@@ -99,48 +104,48 @@
     )
 
 
-def analyze_trial(seen: Observation, measure: Baseline) -> Trial:
+def analyze_trial(observation: Observation, reference: Baseline) -> Trial:
     """Return the figures of one trial."""
-    moment_by_record = [
-        (affected_at(record, measure), record)
-        for record in seen.records
-        if record.ended_at > seen.fault_at
+    ended_after_fault = [
+        (affected_at(record, reference), record)
+        for record in observation.records
+        if record.ended_at > observation.fault_at
     ]
     affected = [
         (moment, record)
-        for moment, record in moment_by_record
-        if moment is not None and moment > seen.fault_at
+        for moment, record in ended_after_fault
+        if moment is not None and moment > observation.fault_at
     ]
-    last = max((moment for moment, _ in affected), default=seen.fault_at)
-    last_sent = max((record.call.due_at for _, record in affected), default=seen.fault_at)
+    last = max((moment for moment, _ in affected), default=observation.fault_at)
+    last_sent = max((record.call.due_at for _, record in affected), default=observation.fault_at)
     ended = collections.Counter(record.ending for _, record in affected)
-    failed = [record for _, record in affected if not _is_whole(record)]
-    calm = _calm(seen)
+    failed = [record for _, record in affected if not _is_complete(record)]
+    calm = _baseline_records(observation)
     return Trial(
-        victim=seen.victim,
-        recovery_s=last - seen.fault_at if seen.is_quiet else math.inf,
-        sent_s=max(0.0, last_sent - seen.fault_at),
-        requests=len(moment_by_record),
+        victim=observation.victim,
+        recovery_s=last - observation.fault_at if observation.has_recovered else math.inf,
+        sent_s=max(0.0, last_sent - observation.fault_at),
+        requests=len(ended_after_fault),
         refused=ended[recoverycallers.Ending.REFUSED],
         cut=ended[recoverycallers.Ending.CUT],
         unknown=ended[recoverycallers.Ending.UNKNOWN],
         slow=ended[recoverycallers.Ending.WHOLE],
         calm_requests=len(calm),
-        calm_affected=sum(affected_at(record, measure) is not None for record in calm),
-        count_by_code=dict(collections.Counter(map(_told, failed))),
-        broken=seen.broken,
+        calm_affected=sum(affected_at(record, reference) is not None for record in calm),
+        count_by_code=dict(collections.Counter(map(_failure_label, failed))),
+        broken=observation.broken,
     )
 
 
-def affected_at(record: recoverycallers.Record, measure: Baseline) -> float | None:
+def affected_at(record: recoverycallers.Record, reference: Baseline) -> float | None:
     """Return when an affected request was over with its trouble, or None for a usual one."""
-    if not _is_whole(record):
+    if not _is_complete(record):
         return record.ended_at
-    first_bound_s = measure.hold_s if record.call.is_hold else measure.first_s
+    first_bound_s = reference.hold_s if record.call.is_hold else reference.first_s
     moments = []
     if record.first_s > SLOW_FACTOR * first_bound_s:
         moments.append(record.first_at or record.ended_at)
-    if record.gap_s > SLOW_FACTOR * measure.gap_s:
+    if record.gap_s > SLOW_FACTOR * reference.gap_s:
         moments.append(record.gap_at)
     return max(moments, default=None)
 
@@ -160,18 +165,19 @@
     return ordered[max(0, math.ceil(percent / 100 * len(ordered)) - 1)]
 
 
-def _calm(seen: Observation) -> list[recoverycallers.Record]:
+def _baseline_records(observation: Observation) -> list[recoverycallers.Record]:
     return [
         record
-        for record in seen.records
-        if record.call.due_at >= seen.calm_from and record.ended_at <= seen.fault_at
+        for record in observation.records
+        if record.call.due_at >= observation.baseline_from
+        and record.ended_at <= observation.fault_at
     ]
 
 
-def _is_whole(record: recoverycallers.Record) -> bool:
+def _is_complete(record: recoverycallers.Record) -> bool:
     return record.ending is recoverycallers.Ending.WHOLE
 
 
-def _told(record: recoverycallers.Record) -> str:
+def _failure_label(record: recoverycallers.Record) -> str:
     kind = "hold" if record.call.is_hold else "text"
     return f"{kind} {record.ending.value} {record.code}"
--- a/hornbeamglade/bench/recoverycallers.py
+++ b/hornbeamglade/bench/recoverycallers.py
@@ -10,8 +10,8 @@
 from hornbeamglade.bench import loadresponses, recoveryexchange
 from hornbeamglade.core import codederrors
 
-ADDRESSES_S = 1.0
-SILENCE_S = 25.0
+ADDRESSES_TIMEOUT_S = 1.0
+READ_TIMEOUT_S = 25.0
 """Callers wait longer than any fault holds: a late answer counts as slow, not as lost."""
 
 _REFUSED_FROM = 400
@@ -94,38 +94,38 @@
     :param key: the team's key.
     """
 
-    def __init__(self, first: collections.abc.Sequence[str], key: str) -> None:
-        self._first = tuple(first)
-        self._told = self._first
+    def __init__(self, initial: collections.abc.Sequence[str], key: str) -> None:
+        self._initial = tuple(initial)
+        self._listed = self._initial
         self._key = key
         self._lock = threading.Lock()
 
     def order(self) -> tuple[str, ...]:
         """Return the addresses in the order in which they are tried."""
         with self._lock:
-            return tuple(dict.fromkeys(self._told + self._first))
+            return tuple(dict.fromkeys(self._listed + self._initial))
 
-    def failed(self, address: str) -> None:
+    def mark_failed(self, address: str) -> None:
         """Note that no connection could be had, or that it was lost."""
         with self._lock:
-            rest = tuple(each for each in self._told if each != address)
-            self._told = (*rest, address) if address in self._told else rest
+            rest = tuple(each for each in self._listed if each != address)
+            self._listed = (*rest, address) if address in self._listed else rest
 
     def refresh(self) -> float:
         """Ask for addresses; return the seconds for which the answer holds."""
-        raw = recoveryexchange.request("GET", "/v1/addresses", self._key)
+        request_bytes = recoveryexchange.build_request("GET", "/v1/addresses", self._key)
         for address in self.order():
             try:
-                reader = recoveryexchange.exchange(address, raw, ADDRESSES_S)
+                parser = recoveryexchange.send_request(address, request_bytes, ADDRESSES_TIMEOUT_S)
             except (OSError, ValueError, codederrors.CodedError):
-                self.failed(address)
+                self.mark_failed(address)
                 continue
-            if reader.status == 200 and reader.complete:
-                answer = json.loads(reader.body)
+            if parser.status == 200 and parser.complete:
+                answer = json.loads(parser.body)
                 with self._lock:
-                    self._told = tuple(answer["addresses"])
+                    self._listed = tuple(answer["addresses"])
                 return float(answer["ttl_s"])
-        return ADDRESSES_S
+        return ADDRESSES_TIMEOUT_S
 
 
 class Caller:
@@ -135,31 +135,39 @@
     :param key: the team's key.
     """
 
-    def __init__(self, catalog: AddressBook, key: str) -> None:
-        self.catalog = catalog
+    def __init__(self, address_book: AddressBook, key: str) -> None:
+        self.address_book = address_book
         self._key = key
 
-    def carry_out(self, call: Call) -> Record:
+    def send(self, call: Call) -> Record:
         """Send a request, to the next address too when a connection fails.
 
         A generation whose tokens have begun isn't sent again; a hold is, with the
         same key, which runs it at most once.
         """
         record = Record(call)
-        raw = _hold(call, self._key) if call.is_hold else _generation(call, self._key)
-        for address in self.catalog.order():
+        request_bytes = (
+            _hold_request(call, self._key)
+            if call.is_hold
+            else _generation_request(call, self._key)
+        )
+        for address in self.address_book.order():
             record.attempts += 1
-            if self._attempt(address, raw, record):
+            if self._attempt(address, request_bytes, record):
                 break
-            self.catalog.failed(address)
+            self.address_book.mark_failed(address)
         record.ended_at = time.monotonic()
         return record
 
-    def _attempt(self, address: str, raw: bytes, record: Record) -> bool:
+    def _attempt(self, address: str, request_bytes: bytes, record: Record) -> bool:
         """Try one address; return whether that ends the request."""
-        answer = _Answer(record)
+        answer = _ResponseRecorder(record)
         try:
-            return answer.finish(recoveryexchange.exchange(address, raw, SILENCE_S, answer.take))
+            return answer.conclude(
+                recoveryexchange.send_request(
+                    address, request_bytes, READ_TIMEOUT_S, answer.record_event
+                )
+            )
         except TimeoutError as error:
             record.code = type(error).__name__
             return not isinstance(error, recoveryexchange.NotConnectedError)
@@ -170,7 +178,7 @@
             return record.tokens > 0
 
 
-class _Answer:
+class _ResponseRecorder:
     """Takes one answer's events into a record."""
 
     def __init__(self, record: Record) -> None:
@@ -179,23 +187,23 @@
         self._is_done = False
         self._error = b""
 
-    def take(self, event: loadresponses.Event) -> None:
+    def record_event(self, event: loadresponses.Event) -> None:
         if isinstance(event, loadresponses.Token):
-            self._token(event)
+            self._record_token(event)
         elif isinstance(event, loadresponses.Done):
             self._is_done = True
         elif isinstance(event, loadresponses.StreamError):
             self._error = event.data
 
-    def finish(self, reader: loadresponses.ResponseParser) -> bool:
+    def conclude(self, parser: loadresponses.ResponseParser) -> bool:
         """Judge the answer; return False when the connection ended without one."""
         record = self._record
-        if reader.status is None or (record.call.is_hold and not reader.complete):
+        if parser.status is None or (record.call.is_hold and not parser.complete):
             record.code = "closed"
             return False
-        record.request_id = reader.header_by_name.get("x-request-id", "")
-        if reader.status >= _REFUSED_FROM or self._error:
-            self._refused(self._error or reader.body)
+        record.request_id = parser.header_by_name.get("x-request-id", "")
+        if parser.status >= _REFUSED_FROM or self._error:
+            self._record_refusal(self._error or parser.body)
         elif record.call.is_hold:
             record.first_at = time.monotonic()
             record.ending = Ending.WHOLE
@@ -208,7 +216,7 @@
             record.code = "closed"
         return True
 
-    def _token(self, token: loadresponses.Token) -> None:
+    def _record_token(self, token: loadresponses.Token) -> None:
         record = self._record
         now = time.monotonic()
         mark = token.mark.decode()
@@ -225,7 +233,7 @@
         record.tokens += 1
         self._last_at = now
 
-    def _refused(self, problem: bytes) -> None:
+    def _record_refusal(self, problem: bytes) -> None:
         record = self._record
         document = json.loads(problem)
         document = document.get("error", {}) | document
@@ -238,16 +246,18 @@
             record.ending = Ending.REFUSED
 
 
-def _generation(call: Call, key: str) -> bytes:
+def _generation_request(call: Call, key: str) -> bytes:
     body = {
         "model": "draft",
         "messages": [{"role": "user", "content": f"letter {call.name}"}],
         "x_answer_tokens": call.tokens,
         "stream": True,
     }
-    return recoveryexchange.request("POST", "/v1/chat/completions", key, json.dumps(body).encode())
+    return recoveryexchange.build_request(
+        "POST", "/v1/chat/completions", key, json.dumps(body).encode()
+    )
 
 
-def _hold(call: Call, key: str) -> bytes:
+def _hold_request(call: Call, key: str) -> bytes:
     headers = {"Idempotency-Key": call.name}
-    return recoveryexchange.request("POST", "/services/holds/units", key, b"{}", headers)
+    return recoveryexchange.build_request("POST", "/services/holds/units", key, b"{}", headers)
--- a/hornbeamglade/bench/recoverychecks.py
+++ b/hornbeamglade/bench/recoverychecks.py
@@ -7,7 +7,7 @@
 
 from hornbeamglade.bench import recoverycallers
 
-BROKEN = ("spliced", "doubled", "lost", "crossed", "falsely_refused")
+VIOLATIONS = ("spliced", "doubled", "lost", "crossed", "falsely_refused")
 
 
 @dataclasses.dataclass(slots=True)
@@ -25,19 +25,19 @@
     request_ids: set[str] = dataclasses.field(default_factory=set)
     count_by_key: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
 
-    def take_engine(self, ledger: collections.abc.Mapping[str, typing.Any]) -> None:
+    def add_engine(self, ledger: collections.abc.Mapping[str, typing.Any]) -> None:
         """Add an engine's runs; the attempt's number is taken off their ids."""
         for run in ledger.get("runs", ()):
             request_id = run["request_id"].rpartition(".")[0]
             self.request_ids.add(request_id)
             self.run_ids_by_mark[run["mark"]].add(request_id)
 
-    def take_service(self, ledger: collections.abc.Mapping[str, typing.Any]) -> None:
+    def add_service(self, ledger: collections.abc.Mapping[str, typing.Any]) -> None:
         """Add a plain service's runs."""
         self.count_by_key.update(ledger.get("count_by_key", {}))
 
 
-def broken(
+def count_violations(
     records: collections.abc.Iterable[recoverycallers.Record], ledgers: Ledgers
 ) -> dict[str, int]:
     """Count the requests for which a promise was broken, by what was broken.
@@ -48,25 +48,29 @@
     An engine that was killed takes its last runs with it: of these, a splice or a
     repetition still shows in the tokens, a false "not run" does not.
     """
-    count_by_kind = dict.fromkeys(BROKEN, 0)
+    count_by_kind = dict.fromkeys(VIOLATIONS, 0)
     for record in records:
-        kind = _of_hold(record, ledgers) if record.call.is_hold else _of_text(record, ledgers)
+        kind = (
+            _hold_violation(record, ledgers)
+            if record.call.is_hold
+            else _generation_violation(record, ledgers)
+        )
         if kind:
             count_by_kind[kind] += 1
     return count_by_kind
 
 
-def _of_text(record: recoverycallers.Record, ledgers: Ledgers) -> str:
+def _generation_violation(record: recoverycallers.Record, ledgers: Ledgers) -> str:
     if record.violated:
         return record.violated
-    ran_for = ledgers.run_ids_by_mark.get(record.mark, set())
-    if record.request_id and ran_for and record.request_id not in ran_for:
+    run_request_ids = ledgers.run_ids_by_mark.get(record.mark, set())
+    if record.request_id and run_request_ids and record.request_id not in run_request_ids:
         return "crossed"
     is_refused = record.ending is recoverycallers.Ending.REFUSED
     return "falsely_refused" if is_refused and record.request_id in ledgers.request_ids else ""
 
 
-def _of_hold(record: recoverycallers.Record, ledgers: Ledgers) -> str:
+def _hold_violation(record: recoverycallers.Record, ledgers: Ledgers) -> str:
     ran = ledgers.count_by_key[record.call.name]
     if ran > 1:
         return "doubled"
--- a/hornbeamglade/bench/recoveryexchange.py
+++ b/hornbeamglade/bench/recoveryexchange.py
@@ -5,7 +5,7 @@
 
 from hornbeamglade.bench import loadresponses
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 
 _READ_BYTES = 65_536
 
@@ -14,11 +14,11 @@
     """No connection came to stand in time; nothing was sent."""
 
 
-def exchange(
+def send_request(
     address: str,
-    raw: bytes,
-    silence_s: float,
-    take: collections.abc.Callable[[loadresponses.Event], None] = lambda event: None,
+    request_bytes: bytes,
+    read_timeout_s: float,
+    on_event: collections.abc.Callable[[loadresponses.Event], None] = lambda event: None,
 ) -> loadresponses.ResponseParser:
     """Send one request and read the answer as far as it comes.
 
@@ -29,26 +29,26 @@
     """
     host, _, port = address.rpartition(":")
     try:
-        connection = socket.create_connection((host, int(port)), CONNECT_S)
+        connection = socket.create_connection((host, int(port)), CONNECT_TIMEOUT_S)
     except TimeoutError as error:
         raise NotConnectedError from error
     with connection:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection.settimeout(silence_s)
-        connection.sendall(raw)
-        reader = loadresponses.ResponseParser()
-        while not reader.complete and (piece := connection.recv(_READ_BYTES)):
-            for event in reader.feed(piece):
-                take(event)
-    return reader
+        connection.settimeout(read_timeout_s)
+        connection.sendall(request_bytes)
+        parser = loadresponses.ResponseParser()
+        while not parser.complete and (data := connection.recv(_READ_BYTES)):
+            for event in parser.feed(data):
+                on_event(event)
+    return parser
 
 
-def request(
+def build_request(
     method: str,
     path: str,
     key: str,
     body: bytes = b"",
-    more: collections.abc.Mapping[str, str] | None = None,
+    extra_headers: collections.abc.Mapping[str, str] | None = None,
 ) -> bytes:
     """Return the bytes of one request.
 
@@ -61,7 +61,7 @@
         "Content-Type": "application/json",
         "Content-Length": str(len(body)),
         "Connection": "close",
-        **(more or {}),
+        **(extra_headers or {}),
     }
     lines = [f"{method} {path} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in header_by_name.items()]
--- a/hornbeamglade/bench/recoveryfaults.py
+++ b/hornbeamglade/bench/recoveryfaults.py
@@ -32,61 +32,61 @@
         return ()
 
     @abc.abstractmethod
-    def choose(self, site: localsite.LocalSite, rng: random.Random) -> str:
+    def choose_victim(self, site: localsite.LocalSite, rng: random.Random) -> str:
         """Return the name of the process or link that is hurt."""
 
     @abc.abstractmethod
-    def begin(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
+    def inject(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
         """Hurt the victim."""
 
     @abc.abstractmethod
-    def heal(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
+    def repair(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
         """End the fault; nothing for one that stays, or that is over at once."""
 
 
-class _Lasting(Fault):
-    def heal(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
+class _NoRepair(Fault):
+    def repair(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
         pass
 
 
 class _OfNode(Fault):
-    def choose(self, site: localsite.LocalSite, rng: random.Random) -> str:
+    def choose_victim(self, site: localsite.LocalSite, rng: random.Random) -> str:
         return rng.choice(site.node_names)
 
 
 class _OfEngine(Fault):
-    def choose(self, site: localsite.LocalSite, rng: random.Random) -> str:
-        return rng.choice(_engines(site.shape))
+    def choose_victim(self, site: localsite.LocalSite, rng: random.Random) -> str:
+        return rng.choice(_engine_names(site.shape))
 
 
 class _OfPlatform(Fault):
     reuses_site = True
     hold_s = OUTAGE_S
 
-    def choose(self, site: localsite.LocalSite, rng: random.Random) -> str:
+    def choose_victim(self, site: localsite.LocalSite, rng: random.Random) -> str:
         return localsite.PLATFORM
 
 
-class _Kill(_Lasting):
-    def begin(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
+class _Kill(_NoRepair):
+    def inject(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
         site.signal(victim, signal.SIGKILL)
 
 
 class _Freeze(Fault):
     hold_s = FREEZE_S
 
-    def begin(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
+    def inject(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
         site.signal(victim, signal.SIGSTOP)
 
-    def heal(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
+    def repair(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
         site.signal(victim, signal.SIGCONT)
 
 
-class _Hold(Fault):
-    def begin(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
+class _HoldResponses(Fault):
+    def inject(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
         links[victim].hold_responses()
 
-    def heal(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
+    def repair(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
         links[victim].release()
 
 
@@ -115,7 +115,7 @@
     name = "freeze_engine"
 
 
-class StallLink(_Hold, _OfEngine):
+class StallLink(_HoldResponses, _OfEngine):
     """Nothing comes back from an engine, on old and new connections."""
 
     name = "stall_link"
@@ -123,19 +123,19 @@
 
     def links(self, shape: localsite.Shape) -> tuple[str, ...]:
         """Every engine's link: any of them may be the victim."""
-        return _engines(shape)
+        return _engine_names(shape)
 
 
-class CutLink(_Lasting, _OfEngine):
+class CutLink(_NoRepair, _OfEngine):
     """The connections to an engine are reset once; new ones pass."""
 
     name = "cut_link"
 
     def links(self, shape: localsite.Shape) -> tuple[str, ...]:
         """Every engine's link: any of them may be the victim."""
-        return _engines(shape)
+        return _engine_names(shape)
 
-    def begin(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
+    def inject(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
         """Reset the connections that stand."""
         links[victim].reset_connections()
 
@@ -145,16 +145,16 @@
 
     name = "platform_outage"
 
-    def begin(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
+    def inject(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
         """Have the stand-in refuse."""
         site.faults(victim, down=True)
 
-    def heal(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
+    def repair(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
         """Have the stand-in answer again."""
         site.faults(victim)
 
 
-class PlatformStall(_Hold, _OfPlatform):
+class PlatformStall(_HoldResponses, _OfPlatform):
     """Nothing comes back from the platform, though what it was sent takes effect."""
 
     name = "platform_stall"
@@ -177,5 +177,5 @@
 FAULT_BY_NAME: collections.abc.Mapping[str, Fault] = {fault.name: fault for fault in _FAULTS}
 
 
-def _engines(shape: localsite.Shape) -> tuple[str, ...]:
+def _engine_names(shape: localsite.Shape) -> tuple[str, ...]:
     return tuple(f"engine-{number}" for number in range(shape.engines))
--- a/hornbeamglade/bench/recoveryreport.py
+++ b/hornbeamglade/bench/recoveryreport.py
@@ -58,7 +58,7 @@
         f"hold {usual.hold_s:.3f} s"
     ]
     lines += [f"  {count} x {code}" for code, count in told.most_common()]
-    for kind in recoverychecks.BROKEN:
+    for kind in recoverychecks.VIOLATIONS:
         count = sum(trial.broken[kind] for trial in result.trials)
         if count:
             lines.append(f"  BROKEN: {count} x {kind}")
--- a/hornbeamglade/bench/recoverytraffic.py
+++ b/hornbeamglade/bench/recoverytraffic.py
@@ -9,7 +9,7 @@
 from hornbeamglade.bench import recoverycallers
 
 _WORKERS = 400
-_END_S = 2 * recoverycallers.SILENCE_S
+_STOP_TIMEOUT_S = 2 * recoverycallers.READ_TIMEOUT_S
 
 
 class Traffic:
@@ -43,9 +43,9 @@
         self._open: dict[str, recoverycallers.Call] = {}
         self._records: list[recoverycallers.Record] = []
         self._workers = concurrent.futures.ThreadPoolExecutor(_WORKERS, "callers")
-        self._threads = [threading.Thread(target=self._send, daemon=True)]
+        self._threads = [threading.Thread(target=self._send_loop, daemon=True)]
         self._threads += [
-            threading.Thread(target=self._refresh, args=(caller,), daemon=True)
+            threading.Thread(target=self._refresh_loop, args=(caller,), daemon=True)
             for caller in callers
         ]
 
@@ -58,7 +58,7 @@
         """Send no more, and wait until what was sent has ended."""
         self._stopping.set()
         for thread in self._threads:
-            thread.join(_END_S)
+            thread.join(_STOP_TIMEOUT_S)
         self._workers.shutdown()
 
     def records(self) -> tuple[recoverycallers.Record, ...]:
@@ -66,12 +66,12 @@
         with self._lock:
             return tuple(self._records)
 
-    def oldest_open(self) -> float | None:
+    def oldest_open_due_at(self) -> float | None:
         """Return when the oldest request that is under way was due, or None."""
         with self._lock:
             return min((call.due_at for call in self._open.values()), default=None)
 
-    def _send(self) -> None:
+    def _send_loop(self) -> None:
         due_at = time.monotonic()
         number = 0
         while True:
@@ -83,14 +83,14 @@
             call = recoverycallers.Call(f"{self._name}-{number}", tokens, due_at)
             with self._lock:
                 self._open[call.name] = call
-            self._workers.submit(self._carry_out, self._rng.choice(self._callers), call)
+            self._workers.submit(self._send_call, self._rng.choice(self._callers), call)
 
-    def _carry_out(self, caller: recoverycallers.Caller, call: recoverycallers.Call) -> None:
-        record = caller.carry_out(call)
+    def _send_call(self, caller: recoverycallers.Caller, call: recoverycallers.Call) -> None:
+        record = caller.send(call)
         with self._lock:
             del self._open[call.name]
             self._records.append(record)
 
-    def _refresh(self, caller: recoverycallers.Caller) -> None:
-        while not self._stopping.wait(caller.catalog.refresh()):
+    def _refresh_loop(self, caller: recoverycallers.Caller) -> None:
+        while not self._stopping.wait(caller.address_book.refresh()):
             pass
--- a/hornbeamglade/bench/relay.py
+++ b/hornbeamglade/bench/relay.py
@@ -25,7 +25,7 @@
 _RAMP_S = 2.0
 _SETTLE_S = 1.0
 _SLACK_S = 5.0
-_AMPLE_TOKENS = 10_000_000
+_UNLIMITED_TOKENS = 10_000_000
 _MEGABYTE = 1_000_000
 _PROMPT = "Dear office, please draft a reply to this letter. " * 8
 
@@ -104,7 +104,7 @@
         engines=shape.engines,
         nodes=1 if NODE in shape.ways else 0,
         weight_by_team={_TEAM: 1.0},
-        engine=loadsite.EngineShape(capacity_tokens=_AMPLE_TOKENS, step_s=shape.step_s),
+        engine=loadsite.EngineShape(capacity_tokens=_UNLIMITED_TOKENS, step_s=shape.step_s),
     )
     results = []
     with loadsite.Site(site_shape, folder) as site:
@@ -148,7 +148,7 @@
     schedule = loadcoordinator.Schedule(window_from_s, window_until_s, window_until_s + _SETTLE_S)
     meter = _Meter(target.child)
     report = loadcoordinator.run_drivers(
-        planned(shape, way, streams, target.addresses, schedule),
+        planned_requests(shape, way, streams, target.addresses, schedule),
         schedule,
         shape.drivers,
         folder,
@@ -175,7 +175,7 @@
     return f"{result.ending}/{result.code}" if result.code else result.ending
 
 
-def planned(
+def planned_requests(
     shape: RelayShape,
     way: str,
     streams: int,
--- a/hornbeamglade/bench/trialfolders.py
+++ b/hornbeamglade/bench/trialfolders.py
@@ -20,8 +20,8 @@
 NOT_COMMITTED = "tree_not_committed"
 NO_RESULT = "day_without_result"
 JOURNAL = "journal"
-LONGEST_PLAY_S = 1800.0
-TOLD_CHARACTERS = 300
+TRIAL_TIMEOUT_S = 1800.0
+OUTPUT_TAIL_CHARACTERS = 300
 
 
 def prepare_clone(
@@ -41,9 +41,11 @@
     path.write_text(path.read_text(encoding="utf-8") + settings_text, encoding="utf-8")
 
 
-def _git(root: pathlib.Path, *words: str) -> str:
-    done = subprocess.run(["git", *words], cwd=root, capture_output=True, text=True, check=True)
-    return done.stdout
+def _git(root: pathlib.Path, *arguments: str) -> str:
+    completed = subprocess.run(
+        ["git", *arguments], cwd=root, capture_output=True, text=True, check=True
+    )
+    return completed.stdout
 
 
 class FolderTrialRunner(pairedtrials.TrialRunner):
@@ -70,36 +72,38 @@
         self._why = why
         self._options = tuple(options)
 
-    def run_trial(self, play: pairedtrials.Trial) -> dayreports.DayOutcome:
+    def run_trial(self, trial: pairedtrials.Trial) -> dayreports.DayOutcome:
         """Play a day; its output is kept beside its report."""
-        folder = self._folder_by_variant[play.variant]
-        day = pathlib.PurePath(play.day).stem
-        report = folder.parent / f"{play.variant}-{day}-{play.seed}.json"
-        words = dayreports.command(
+        folder = self._folder_by_variant[trial.variant]
+        day = pathlib.PurePath(trial.day).stem
+        report = folder.parent / f"{trial.variant}-{day}-{trial.seed}.json"
+        arguments = dayreports.command(
             self._program,
             self._site,
-            play.day,
-            play.seed,
+            trial.day,
+            trial.seed,
             str(report),
-            f"{self._why} ({play.variant})",
+            f"{self._why} ({trial.variant})",
             self._options,
         )
         try:
-            done = subprocess.run(
-                words,
+            completed = subprocess.run(
+                arguments,
                 cwd=folder,
                 stdin=subprocess.DEVNULL,
                 capture_output=True,
                 text=True,
-                timeout=LONGEST_PLAY_S,
+                timeout=TRIAL_TIMEOUT_S,
                 check=False,
             )
         except (OSError, subprocess.TimeoutExpired) as error:
             raise codederrors.CodedError(NO_RESULT, str(error)) from error
-        report.with_suffix(".log").write_text(done.stdout + done.stderr, encoding="utf-8")
+        report.with_suffix(".log").write_text(
+            completed.stdout + completed.stderr, encoding="utf-8"
+        )
         if not report.exists():
-            told = (done.stdout + done.stderr).strip()[-TOLD_CHARACTERS:]
-            raise codederrors.CodedError(NO_RESULT, f"exit code {done.returncode}: {told}")
+            output = (completed.stdout + completed.stderr).strip()[-OUTPUT_TAIL_CHARACTERS:]
+            raise codederrors.CodedError(NO_RESULT, f"exit code {completed.returncode}: {output}")
         return dayreports.decode(report.read_bytes())
 
 
@@ -111,9 +115,9 @@
     count = 0
     for folder in folders:
         for path in sorted((folder / JOURNAL).rglob("*")):
-            kept = journal / path.relative_to(folder / JOURNAL)
-            if path.is_file() and not kept.exists():
-                kept.parent.mkdir(parents=True, exist_ok=True)
-                shutil.copy2(path, kept)
+            target = journal / path.relative_to(folder / JOURNAL)
+            if path.is_file() and not target.exists():
+                target.parent.mkdir(parents=True, exist_ok=True)
+                shutil.copy2(path, target)
                 count += 1
     return count
--- a/tests/bench/test_load.py
+++ b/tests/bench/test_load.py
@@ -229,7 +229,7 @@
         result(3, 8.0, "violated", 50),
     )
     report = loadcoordinator.LoadReport(results, 0, loadcoordinator.Gaps(1, 1, 1, 1), 0.0)
-    summary = load.summary("p", load.LoadShape(seconds=15.0, warmup_s=5.0), report, 4)
+    summary = load.summarize("p", load.LoadShape(seconds=15.0, warmup_s=5.0), report, 4)
     assert (summary.offered, summary.goodput, summary.violated) == (3, 5.0, 1)
     assert summary.refusals_by_code == {"queue_full": 1}
     assert (summary.stalled, summary.stall_s_per_1000_tokens) == (0.5, 10.0)
--- a/tests/bench/test_pairedtrials.py
+++ b/tests/bench/test_pairedtrials.py
@@ -20,12 +20,12 @@
         self.most = 0
         self.lock = threading.Lock()
 
-    def run_trial(self, play):
+    def run_trial(self, trial):
         with self.lock:
             self.running += 1
             self.most = max(self.most, self.running)
         try:
-            return outcome(self.worth(play))
+            return outcome(self.worth(trial))
         finally:
             with self.lock:
                 self.running -= 1
@@ -37,11 +37,11 @@
     Compared by their means, the error would be forty times what is looked for.
     """
 
-    def worth(play):
-        return 0.1 * play.seed + (0.01 if play.variant == "new" else 0.0)
+    def worth(trial):
+        return 0.1 * trial.seed + (0.01 if trial.variant == "new" else 0.0)
 
-    plays = pairedtrials.plan_trials(["old", "new"], ["a"], [1, 2, 3, 4])
-    outcomes, failures = pairedtrials.run_trials(plays, TrialRunner(worth), at_once=2)
+    trials = pairedtrials.plan_trials(["old", "new"], ["a"], [1, 2, 3, 4])
+    outcomes, failures = pairedtrials.run_trials(trials, TrialRunner(worth), concurrency=2)
     assert not failures
     new = pairedtrials.compare(["old", "new"], outcomes)[1]
     assert new.pairs == 4
@@ -50,9 +50,11 @@
 
 
 def test_no_more_plays_beside_each_other_than_asked_for():
-    player = TrialRunner(lambda play: 0.5)
-    pairedtrials.run_trials(pairedtrials.plan_trials(["old"], ["a"], range(12)), player, at_once=2)
-    assert player.most <= 2
+    runner = TrialRunner(lambda trial: 0.5)
+    pairedtrials.run_trials(
+        pairedtrials.plan_trials(["old"], ["a"], range(12)), runner, concurrency=2
+    )
+    assert runner.most <= 2
 
 
 def test_a_play_without_result_leaves_its_pair_out_and_ends_no_other():
@@ -62,20 +64,20 @@
     """
 
     class Failing(TrialRunner):
-        def run_trial(self, play):
-            if play.variant == "new" and play.seed == 2:
+        def run_trial(self, trial):
+            if trial.variant == "new" and trial.seed == 2:
                 raise codederrors.CodedError("day_without_result", "exit code 137")
-            return super().run_trial(play)
+            return super().run_trial(trial)
 
-    plays = pairedtrials.plan_trials(["old", "new"], ["a"], [1, 2, 3])
-    outcomes, failures = pairedtrials.run_trials(plays, Failing(lambda play: 0.5), at_once=1)
+    trials = pairedtrials.plan_trials(["old", "new"], ["a"], [1, 2, 3])
+    outcomes, failures = pairedtrials.run_trials(trials, Failing(lambda trial: 0.5), concurrency=1)
     assert [each.seed for each in failures] == [2]
     assert pairedtrials.compare(["old", "new"], outcomes)[1].pairs == 2
 
 
 def test_the_table_names_broken_rules_with_day_and_seed():
-    play = pairedtrials.Trial("old", "crowd", 7)
-    comparisons = pairedtrials.compare(["old"], {play: outcome(0.0, 3, ("TWICE",))})
+    trial = pairedtrials.Trial("old", "crowd", 7)
+    comparisons = pairedtrials.compare(["old"], {trial: outcome(0.0, 3, ("TWICE",))})
     text = pairedtrials.table(comparisons)
     assert "old: crowd, seed 7: TWICE" in text
     assert "old: unserved a day: 503 3.0" in text
--- a/tests/bench/test_policyrun.py
+++ b/tests/bench/test_policyrun.py
@@ -8,8 +8,8 @@
 QUICK = policyscenarios.scenarios(("quick",))[0]
 
 
-def _figures(policy, **differing):
-    scenario = dataclasses.replace(QUICK, **differing)
+def _figures(policy, **overrides):
+    scenario = dataclasses.replace(QUICK, **overrides)
     return policyrun.run(scenario, policy, seed=1, duration_s=240.0).figures
 
 
--- a/tests/bench/test_policyworkload.py
+++ b/tests/bench/test_policyworkload.py
@@ -5,8 +5,8 @@
 from hornbeamglade.bench import policymetrics, policypool, policyscenarios, policyworkload
 
 
-def _scenario(**differing):
-    return policyworkload.Scenario("test", 1.0, replicas=2, **differing)
+def _scenario(**overrides):
+    return policyworkload.Scenario("test", 1.0, replicas=2, **overrides)
 
 
 @pytest.mark.parametrize("arrivals", list(policyworkload.Arrivals))
@@ -14,7 +14,7 @@
     scenario = _scenario(arrivals=arrivals)
     offered = []
     for seed in range(3):
-        requests = policyworkload.draw(scenario, seed, 900.0)
+        requests = policyworkload.draw_requests(scenario, seed, 900.0)
         held = sum(
             n.answer_tokens * (n.work.prompt_tokens + 8) + n.answer_tokens**2 / 2 for n in requests
         )
@@ -24,7 +24,9 @@
 
 
 def test_a_seed_gives_the_same_requests_and_another_seed_others():
-    first, again, other = (policyworkload.draw(_scenario(), seed, 20.0) for seed in (1, 1, 2))
+    first, again, other = (
+        policyworkload.draw_requests(_scenario(), seed, 20.0) for seed in (1, 1, 2)
+    )
     assert first == again
     assert first != other
 
@@ -32,21 +34,21 @@
 def test_a_lost_engine_comes_back_empty_and_its_streams_are_told():
     scenario = _scenario()
     replica = policypool.replicas(scenario)[0]
-    request = policyworkload.draw(scenario, 1, 20.0)[0]
+    request = policyworkload.draw_requests(scenario, 1, 20.0)[0]
     replica.submit(request)
     recorder = policymetrics.Recorder(scenario, 0.0)
     replica.step(0, 0.0, recorder)
-    assert [served.request for served in replica.lose()] == [request]
+    assert [active.request for active in replica.fail()] == [request]
     assert replica.step(1, 0.026, recorder) == []
     assert replica.engine.load().used_tokens == 0
 
 
 def test_a_gap_beyond_two_steps_counts_as_stall():
     recorder = policymetrics.Recorder(_scenario(), 0.0)
-    recorder.first_token(policyworkload.draw(_scenario(), 1, 20.0)[0], 1.0)
-    recorder.gaps(1, 98, 1.0)
-    recorder.gaps(2, 1, 1.0)
-    recorder.gaps(101, 1, 1.0)
+    recorder.record_first_token(policyworkload.draw_requests(_scenario(), 1, 20.0)[0], 1.0)
+    recorder.record_gaps(1, 98, 1.0)
+    recorder.record_gaps(2, 1, 1.0)
+    recorder.record_gaps(101, 1, 1.0)
     figures = recorder.figures(10.0)
     assert figures.stall_s_per_1000 == pytest.approx(1000 * 100 * policyworkload.STEP_S)
     assert figures.gap_p95_s == pytest.approx(policyworkload.STEP_S)
--- a/tests/bench/test_recovery.py
+++ b/tests/bench/test_recovery.py
@@ -31,15 +31,17 @@
     return recoverycallers.Record(call, recoverycallers.Ending(ending), **times)
 
 
-def _seen(*records, is_quiet=True):
-    return recoveryanalysis.Observation("engine-0", 5.0, 10.0, records, {}, is_quiet)
+def _seen(*records, has_recovered=True):
+    return recoveryanalysis.Observation("engine-0", 5.0, 10.0, records, {}, has_recovered)
 
 
 def _broken(record, *runs, count_by_key=None):
     ledgers = recoverychecks.Ledgers()
-    ledgers.take_engine({"runs": [{"request_id": run, "mark": mark} for run, mark in runs]})
-    ledgers.take_service({"count_by_key": count_by_key or {}})
-    return [kind for kind, count in recoverychecks.broken([record], ledgers).items() if count]
+    ledgers.add_engine({"runs": [{"request_id": run, "mark": mark} for run, mark in runs]})
+    ledgers.add_service({"count_by_key": count_by_key or {}})
+    return [
+        kind for kind, count in recoverychecks.count_violations([record], ledgers).items() if count
+    ]
 
 
 def _token(mark, offset):
@@ -48,7 +50,7 @@
 
 def _carry_out(*addresses, tokens=3):
     caller = recoverycallers.Caller(recoverycallers.AddressBook(addresses, "key"), "key")
-    return caller.carry_out(recoverycallers.Call("k", tokens, 0.0))
+    return caller.send(recoverycallers.Call("k", tokens, 0.0))
 
 
 @pytest.fixture
@@ -103,12 +105,14 @@
 
 
 def test_site_that_was_not_as_before_has_no_recovery_time():
-    assert math.isinf(recoveryanalysis.analyze_trial(_seen(is_quiet=False), _USUAL).recovery_s)
+    assert math.isinf(
+        recoveryanalysis.analyze_trial(_seen(has_recovered=False), _USUAL).recovery_s
+    )
 
 
 def test_report_holds_what_callers_were_told():
-    seen = _seen(_record(11.0, "refused", code="queue_full"), is_quiet=False)
-    seen = dataclasses.replace(seen, broken=dict.fromkeys(recoverychecks.BROKEN, 1))
+    seen = _seen(_record(11.0, "refused", code="queue_full"), has_recovered=False)
+    seen = dataclasses.replace(seen, broken=dict.fromkeys(recoverychecks.VIOLATIONS, 1))
     trial = recoveryanalysis.analyze_trial(seen, _USUAL)
     result = recovery.Result("kill_node", 0.0, _USUAL, (trial,))
     plain = json.loads(
@@ -117,7 +121,7 @@
     assert plain["results"][0]["trials"][0]["count_by_code"] == {"text refused queue_full": 1}
     assert plain["results"][0]["trials"][0]["recovery_s"] is None
     assert "1 x text refused queue_full" in "".join(recoveryreport.notes(result))
-    assert recoveryreport.as_row(result)[-1] == str(len(recoverychecks.BROKEN))
+    assert recoveryreport.as_row(result)[-1] == str(len(recoverychecks.VIOLATIONS))
 
 
 def test_usual_is_taken_from_calm_whole_requests():
@@ -216,9 +220,9 @@
 
 
 def test_failed_address_comes_last_until_the_next_answer():
-    catalog = recoverycallers.AddressBook(("a:1", "b:1", "c:1"), "key")
-    catalog.failed("a:1")
-    assert catalog.order() == ("b:1", "c:1", "a:1")
+    address_book = recoverycallers.AddressBook(("a:1", "b:1", "c:1"), "key")
+    address_book.mark_failed("a:1")
+    assert address_book.order() == ("b:1", "c:1", "a:1")
 
 
 def test_held_link_keeps_back_answers_until_its_release(serve):
@@ -237,7 +241,12 @@
 
 
 def test_bench_measures_a_fault_on_a_running_site(monkeypatch):
-    for name, seconds in (("WARM_S", 0.3), ("CALM_S", 1.0), ("SPREAD_S", 0.1), ("QUIET_S", 0.5)):
+    for name, seconds in (
+        ("WARM_UP_S", 0.3),
+        ("BASELINE_S", 1.0),
+        ("BASELINE_JITTER_S", 0.1),
+        ("RECOVERED_S", 0.5),
+    ):
         monkeypatch.setattr(recovery, name, seconds)
     fault = recoveryfaults.FAULT_BY_NAME["cut_link"]
     assert not fault.reuses_site
--- a/tests/bench/test_trialfolders.py
+++ b/tests/bench/test_trialfolders.py
@@ -105,7 +105,7 @@
 
 
 def test_a_program_that_cannot_be_started_is_told(repository):
-    player = trialfolders.FolderTrialRunner("./missing", "site", {"base": repository}, "why")
+    runner = trialfolders.FolderTrialRunner("./missing", "site", {"base": repository}, "why")
     with pytest.raises(codederrors.CodedError) as told:
-        player.run_trial(trialfolders.pairedtrials.Trial("base", "quiet", 1))
+        runner.run_trial(trialfolders.pairedtrials.Trial("base", "quiet", 1))
     assert told.value.code == trialfolders.NO_RESULT
