--- a/hornbeamglade/bench/__init__.py
+++ b/hornbeamglade/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benches that measure the decisions."""
+"""Benchmarks of scheduling policies, relay cost, load and fault recovery."""
--- a/hornbeamglade/bench/barerelay.py
+++ b/hornbeamglade/bench/barerelay.py
@@ -1,14 +1,14 @@
-"""The least relay that the libraries allow: the floor for an entry node's cost.
+"""A minimal HTTP relay: the lower bound for an entry node's cost.
 
 Explanation
 ===========
 
-cheroot in, urllib3 out, a thread a stream; chunks are passed on as they come
-and nothing is checked, counted or admitted. What an entry node costs beyond
-this is the price of its promises.
+The relay accepts requests with cheroot and forwards them with urllib3, on one thread
+per stream. Chunks are forwarded as they arrive; nothing is checked, counted or
+admitted. What an entry node costs beyond this is the cost of its guarantees.
 
-Run as ``python -m hornbeamglade.bench.barerelay ENGINE...``; prints the address
-that it listens on.
+Run as ``python -m hornbeamglade.bench.barerelay ENGINE...``; prints its listening
+address.
 """
 
 import collections.abc
@@ -33,7 +33,7 @@
 class BareRelay:
     """The WSGI application.
 
-    :param engines: ``ip:port`` of each engine, used in turn.
+    :param engines: ``ip:port`` of each engine, used in round-robin order.
     """
 
     def __init__(self, engines: collections.abc.Sequence[str]) -> None:
@@ -46,7 +46,7 @@
     def __call__(
         self, environ: dict[str, typing.Any], start_response: typing.Any
     ) -> collections.abc.Iterable[bytes]:
-        """Pass a request to the next engine and its answer back."""
+        """Forward a request to the next engine and return its response."""
         with self._lock:
             engine = next(self._engine_cycle)
         header_by_name = {
@@ -71,7 +71,7 @@
         else:
             yield response.read()
     finally:
-        # Closed, not reused: the caller may have left in the middle of the answer.
+        # Not reused: the caller may have disconnected in the middle of the response.
         response.close()
 
 
@@ -94,7 +94,7 @@
         self._thread = threading.Thread(target=self._server.serve, daemon=True)
 
     def start(self) -> None:
-        """Accept requests, on threads of its own."""
+        """Start serving requests on background threads."""
         self._thread.start()
 
     def stop(self) -> None:
--- a/hornbeamglade/bench/load.py
+++ b/hornbeamglade/bench/load.py
@@ -1,12 +1,12 @@
-"""What callers see of a crowded site: stalls, first tokens, preemptions, refusals.
+"""Benchmark of an overloaded site: stalls, first tokens, preemptions and refusals.
 
 Explanation
 ===========
 
-Callers send in an open loop, so an overloaded site is offered more than it can
-serve and has to refuse. A local site of nodes and engines with little memory is
-started for each policy and gets the same requests; or nodes that already run
-are driven, whose engines' preemptions are then not known.
+Callers send in an open loop, so an overloaded site receives more than it can serve
+and has to refuse requests. The benchmark starts a local site of nodes and engines with
+little memory for each policy and sends the same requests to each. It can also drive
+nodes that are already running; the preemptions of their engines are then unknown.
 """
 
 import collections
@@ -29,11 +29,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadShape:
-    """What the bench does.
+    """Parameters of the load benchmark.
 
-    :param load: the rate over the one that fills the engines' memory in the mean.
+    :param load: request rate as a multiple of the rate that fills the engines' memory on
+        average.
     :param seconds: how long requests are sent.
-    :param warmup_s: requests due before are sent and not reported.
+    :param warmup_s: requests due before this time are sent but not reported.
     """
 
     load: float = 1.2
@@ -48,15 +49,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What callers of one policy saw; of requests due after the warm-up.
+    """What callers saw under one policy, for requests due after the warm-up.
 
-    :param goodput: tokens a second of answers that came whole.
-    :param stalled: the share of begun answers with any stall.
-    :param stall_s_per_1000_tokens: stall time over delivered tokens.
-    :param stall_p99_s: stall time of begun answers.
+    :param goodput: tokens per second of complete responses.
+    :param stalled: share of started responses with at least one stall.
+    :param stall_s_per_1000_tokens: stall time per 1,000 delivered tokens.
+    :param stall_p99_s: 99th percentile of stall time of started responses.
     :param preemptions: counted by the engines, warm-up included; None when unknown.
-    :param violated: answers that broke a promise; any is a defect.
-    :param latest_start_s: how late the drivers sent, at worst.
+    :param violated: responses that broke a delivery guarantee; any is a defect.
+    :param latest_start_s: largest delay with which a driver sent a request.
     """
 
     policy: str
@@ -76,12 +77,12 @@
 
     @property
     def violated(self) -> int:
-        """Answers that were spliced, out of order, repeated or short."""
+        """Number of responses that were spliced, out of order, repeated or short."""
         return self.count_by_ending.get("violated", 0)
 
 
 def run_local(shape: LoadShape, policy: str, folder: pathlib.Path) -> LoadResult:
-    """Start a site with ``policy``, drive it and stop it."""
+    """Start a site with ``policy``, run the load against it and stop it."""
     site_shape = loadsite.SiteShape(
         engines=shape.engines,
         nodes=shape.nodes,
@@ -104,9 +105,9 @@
     model: str,
     folder: pathlib.Path,
 ) -> LoadResult:
-    """Drive nodes that already run.
+    """Run the load against nodes that are already running.
 
-    :param addresses: ``ip:port`` of the nodes; teams begin with one in turn.
+    :param addresses: ``ip:port`` of the nodes; each team prefers another first address.
     """
     addresses_by_team = {}
     for number, team in enumerate(sorted(key_by_team)):
@@ -143,7 +144,7 @@
 def summarize(
     policy: str, shape: LoadShape, report: loadcoordinator.LoadReport, preemptions: int | None
 ) -> LoadResult:
-    """Return the figures of the requests that were due after the warm-up."""
+    """Compute the result from the requests that were due after the warm-up."""
     results = [result for result in report.results if result.at_s >= shape.warmup_s]
     started = [result for result in results if result.tokens]
     whole = [result for result in started if result.ending == "complete"]
@@ -170,7 +171,7 @@
 
 
 def quantile(ascending: collections.abc.Sequence[float], fraction: float) -> float:
-    """Return the smallest value that ``fraction`` of the values do not exceed.
+    """Return the smallest value such that ``fraction`` of the values do not exceed it.
 
     Examples
     ========
@@ -207,7 +208,7 @@
 
 
 def as_row(result: LoadResult) -> tuple[str, ...]:
-    """Return one result's cells, in the order of ``COLUMN_HEADINGS``."""
+    """Return the table cells of one result, in the order of ``COLUMN_HEADINGS``."""
     gaps = result.gaps
     return (
         result.policy,
--- a/hornbeamglade/bench/loadcoordinator.py
+++ b/hornbeamglade/bench/loadcoordinator.py
@@ -1,4 +1,4 @@
-"""Several driver processes that carry out one bench together."""
+"""Runs several driver processes for one benchmark and merges their reports."""
 
 import collections.abc
 import concurrent.futures
@@ -8,17 +8,17 @@
 
 from hornbeamglade.bench import loaddriver, loadplan, loadprocesses
 
-STARTUP_S = 2.0  # until the drivers have started and read their plans
+STARTUP_S = 2.0  # time for the drivers to start and read their plans
 _EXIT_GRACE_S = 30.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Schedule:
-    """When a bench measures and when it ends, in seconds after its epoch.
+    """When a benchmark measures and when it ends, in seconds after its epoch.
 
-    :param window_from_s: gaps and tokens are measured from here.
-    :param window_until_s: and until here.
-    :param stop_at_s: streams that still run are closed.
+    :param window_from_s: start of the window in which gaps and tokens are measured.
+    :param window_until_s: end of that window.
+    :param stop_at_s: when streams that are still open are closed.
     """
 
     window_from_s: float
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gaps:
-    """Gaps between tokens as callers saw them, in milliseconds."""
+    """Percentiles of the gaps between tokens that callers saw, in milliseconds."""
 
     p50_ms: float
     p95_ms: float
@@ -38,11 +38,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What the drivers measured, taken together.
+    """Merged measurements of all drivers.
 
-    :param results: of every request, in order of number.
+    :param results: result of every request, ordered by number.
     :param window_tokens: tokens that callers received in the window.
-    :param driver_cpu_s: processor time of the drivers.
+    :param driver_cpu_s: CPU time of all drivers.
     """
 
     results: tuple[loadplan.StreamResult, ...]
@@ -59,7 +59,7 @@
     at_window_start: collections.abc.Callable[[], None] = lambda: None,
     at_window_end: collections.abc.Callable[[], None] = lambda: None,
 ) -> LoadReport:
-    """Send ``requests`` from ``drivers`` processes and gather their reports.
+    """Send ``requests`` from ``drivers`` processes and merge their reports.
 
     :param at_window_start: called in this process when the window begins.
     :param at_window_end: called when it ends.
--- a/hornbeamglade/bench/loaddriver.py
+++ b/hornbeamglade/bench/loaddriver.py
@@ -1,15 +1,15 @@
-"""A driver of callers' load: an open loop of many streams on one thread.
+"""A load driver: an open loop of many streams on one thread.
 
 Explanation
 ===========
 
-Requests are sent when they are due, however many are still open: a closed loop
-would send less just when the system is slow, and so hide its stalls. One thread
-waits for all sockets at once, so a token costs the driver one read and one
-clock reading, and no change of thread adds to the gaps that it measures.
+Requests are sent when they are due, however many are still open: a closed loop would
+send fewer requests exactly when the system is slow and would thereby hide its stalls.
+One thread polls all sockets, so each token costs the driver one read and one clock
+reading, and no thread switch adds to the measured gaps.
 
-Run as a process: ``python -m hornbeamglade.bench.loaddriver``, the plan as JSON
-on standard input, the report as JSON on standard output.
+Run as ``python -m hornbeamglade.bench.loaddriver``, with the plan as JSON on standard
+input; the report is written as JSON to standard output.
 """
 
 import selectors
@@ -28,7 +28,7 @@
 
 
 class Driver:
-    """Carries out one plan.
+    """Executes one plan.
 
     :param plan: what to send and when.
     """
@@ -45,7 +45,7 @@
         self._window_until = plan.epoch_s + plan.window_until_s
 
     def run(self) -> loadplan.DriverReport:
-        """Send, follow and measure until every stream has ended or time is up."""
+        """Send requests and measure their streams until all have ended or time is up."""
         stop_at = self._plan.epoch_s + self._plan.stop_at_s
         while (self._pending or self._open) and time.monotonic() < stop_at:
             self._send_due(time.monotonic())
@@ -101,7 +101,7 @@
         self._window_tokens += tokens
         if previous_token_at is not None and previous_token_at >= self._window_from:
             self._gaps_s.append(now - previous_token_at)
-        # Tokens of one read reached the caller together.
+        # Tokens of one read reached the caller at the same time.
         self._gaps_s.extend([0.0] * (tokens - 1))
 
     def _close(self, stream: loadstream.CallerStream, now: float) -> None:
@@ -126,12 +126,12 @@
 
 
 def new_gap_histogram() -> hdrhistogram.HdrHistogram:
-    """Return an empty histogram of gaps in microseconds, to 0.1 %."""
+    """Return an empty histogram of gaps in microseconds, precise to 0.1 %."""
     return hdrhistogram.HdrHistogram(1, _MAX_GAP_US, _SIGNIFICANT_DIGITS)
 
 
 def merged_gaps(reports: list[loadplan.DriverReport]) -> hdrhistogram.HdrHistogram:
-    """Return the gaps of several drivers in one histogram."""
+    """Merge the gap histograms of several drivers."""
     merged = new_gap_histogram()
     for report in reports:
         merged.decode_and_add(report.gaps.encode())
--- a/hornbeamglade/bench/loadengine.py
+++ b/hornbeamglade/bench/loadengine.py
@@ -1,7 +1,7 @@
-"""A stand-in engine as a process of a bench.
+"""A stand-in engine that runs as a separate process of a benchmark.
 
-Run as ``python -m hornbeamglade.bench.loadengine SETTINGS``, the settings as JSON;
-prints the address that it listens on.
+Run as ``python -m hornbeamglade.bench.loadengine SETTINGS``, with the settings as JSON;
+prints its listening address.
 """
 
 import json
@@ -28,7 +28,7 @@
 
 
 def end_after(seconds: float) -> None:
-    """End this process by SIGTERM later, should the bench be gone by then."""
+    """Schedule SIGTERM for this process, in case the benchmark dies without stopping it."""
     timer = threading.Timer(seconds, os.kill, (os.getpid(), signal.SIGTERM))
     timer.daemon = True
     timer.start()
--- a/hornbeamglade/bench/loadplan.py
+++ b/hornbeamglade/bench/loadplan.py
@@ -1,4 +1,4 @@
-"""What a driver is told to do and what it reports: models at a process border."""
+"""Messages between a benchmark and its driver processes: plans and reports."""
 
 import typing
 
@@ -12,10 +12,10 @@
 class PlannedRequest(_Model):
     """One request of an open loop.
 
-    :param number: unique within the bench.
-    :param at_s: when it is sent, in seconds after the epoch, whatever happens.
+    :param number: unique within the benchmark.
+    :param at_s: when it is sent, in seconds after the epoch, regardless of earlier requests.
     :param addresses: ``ip:port`` to try, in order.
-    :param answer_tokens: the answer's true length, which the body asks for.
+    :param answer_tokens: true length of the response, which the body asks for.
     """
 
     number: int
@@ -31,11 +31,11 @@
 class DriverPlan(_Model):
     """The work of one driver process.
 
-    :param epoch_s: the monotonic clock's value that all times count from.
-    :param window_from_s: gaps and tokens are measured from here.
-    :param window_until_s: and until here.
-    :param stop_at_s: streams that still run are closed; the driver ends.
-    :param stall_threshold_s: the longest gap that still reads as steady.
+    :param epoch_s: value of the monotonic clock from which all times count.
+    :param window_from_s: start of the window in which gaps and tokens are measured.
+    :param window_until_s: end of that window.
+    :param stop_at_s: when open streams are closed and the driver exits.
+    :param stall_threshold_s: the longest gap that does not count as a stall.
     """
 
     epoch_s: float
@@ -47,24 +47,24 @@
 
 
 Ending = typing.Literal[
-    "complete",  # the whole answer, in order, from one generation
+    "complete",  # the whole response, in order, from one generation
     "refused",  # an error status instead of a stream
     "failed",  # an error event, or the connection was lost
-    "cut",  # the bench ended first
-    "violated",  # spliced, out of order, repeated, or "complete" but short
+    "cut",  # the benchmark ended first
+    "violated",  # spliced, out of order, repeated, or marked complete but too short
 ]
 
 
 class StreamResult(_Model):
-    """What one caller saw.
+    """Outcome of one request as its caller saw it.
 
-    :param at_s: when its request was due.
+    :param at_s: when the request was due.
     :param late_s: how much later it was sent.
-    :param status: of the answer; None when there was none.
-    :param code: of a refusal or failure, empty else.
-    :param run: what a refusal or failure says of the request having run.
+    :param status: HTTP status; None without a response.
+    :param code: error code of a refusal or failure, otherwise empty.
+    :param run: whether the request ran, as stated by a refusal or failure.
     :param keep_alives: comments received after the first token.
-    :param duration_s: from sending to the end.
+    :param duration_s: time from sending to the end.
     """
 
     number: int
@@ -84,11 +84,11 @@
 
 
 class DriverReport(_Model):
-    """What one driver measured.
+    """Measurements of one driver.
 
     :param window_tokens: tokens received within the window.
-    :param gaps: an encoded HDR histogram of gaps in the window, in microseconds.
-    :param cpu_s: processor time of the driver itself.
+    :param gaps: encoded HDR histogram of the gaps in the window, in microseconds.
+    :param cpu_s: CPU time of the driver itself.
     """
 
     results: tuple[StreamResult, ...]
--- a/hornbeamglade/bench/loadprocesses.py
+++ b/hornbeamglade/bench/loadprocesses.py
@@ -1,6 +1,6 @@
-"""Child processes of a bench: started, measured and stopped by their id.
+"""Child processes of a benchmark: started, measured and stopped by their id.
 
-Only benches start processes; the daemons never do.
+Only benchmarks and local sites start processes; the daemons never do.
 """
 
 import collections.abc
@@ -21,7 +21,7 @@
 
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-_UTIME_FIELD = 11  # counted after the command's name, which may hold spaces
+_UTIME_FIELD = 11  # counted after the command name, which may contain spaces
 _STIME_FIELD = 12
 _RESIDENT_FIELD = 1
 _POLL_S = 0.05
@@ -31,10 +31,10 @@
 class Child:
     """One child process.
 
-    :param name: for messages and its log's file name.
-    :param module_arguments: what follows ``python -m``.
-    :param folder: where its standard error goes.
-    :param output: where its standard output goes; None to read it here.
+    :param name: used in messages and as the name of the log file.
+    :param module_arguments: arguments after ``python -m``.
+    :param folder: directory of the log file, which receives standard error.
+    :param output: destination of standard output; None to read it through a pipe.
     """
 
     def __init__(
@@ -55,42 +55,44 @@
             )
 
     def first_line(self) -> str:
-        """Return the line that the child prints once it listens.
+        """Return the line that the child prints once it is listening.
 
-        :raises CodedError: when it ends before.
+        :raises CodedError: when the child exits before.
         """
         line = self._process.stdout.readline().decode().strip()
         if not line:
-            raise codederrors.CodedError("child_failed", f"{self.name} ended: {self.log_tail()}")
+            raise codederrors.CodedError("child_failed", f"{self.name} exited: {self.log_tail()}")
         return line
 
     def communicate(self, document: str, timeout_s: float) -> str:
-        """Send ``document``, wait for the child to end, and return what it wrote.
+        """Send ``document``, wait until the child exits, and return its output.
 
-        :raises CodedError: when it fails or takes longer than ``timeout_s``.
+        :raises CodedError: when the child fails or takes longer than ``timeout_s``.
         """
         try:
             output, _ = self._process.communicate(document.encode(), timeout=timeout_s)
         except subprocess.TimeoutExpired:
             self.stop()
-            raise codederrors.CodedError("child_late", f"{self.name} did not end") from None
+            raise codederrors.CodedError(
+                "child_late", f"{self.name} did not exit in time"
+            ) from None
         if self._process.returncode != 0:
             raise codederrors.CodedError("child_failed", f"{self.name}: {self.log_tail()}")
         return output.decode()
 
     def cpu_s(self) -> float:
-        """Return the processor time used so far, user and system."""
+        """Return the CPU time used so far, user and system."""
         stat = pathlib.Path(f"/proc/{self._process.pid}/stat").read_text(encoding="latin-1")
         fields = stat.rpartition(")")[2].split()
         return (int(fields[_UTIME_FIELD]) + int(fields[_STIME_FIELD])) / _TICKS_PER_S
 
     def resident_bytes(self) -> int:
-        """Return the memory resident now."""
+        """Return the resident memory."""
         statm = pathlib.Path(f"/proc/{self._process.pid}/statm").read_text(encoding="ascii")
         return int(statm.split()[_RESIDENT_FIELD]) * _PAGE_BYTES
 
     def ended(self) -> bool:
-        """Return whether the process has ended."""
+        """Return whether the process has exited."""
         return self._process.poll() is not None
 
     @property
@@ -99,16 +101,16 @@
         return self._process.poll()
 
     def log_tail(self) -> str:
-        """Return the end of the child's standard error."""
+        """Return the last part of the child's standard error."""
         return self._log.read_text(encoding="utf-8", errors="replace")[-_LOG_TAIL_CHARACTERS:]
 
     def send(self, signal_number: signal.Signals) -> None:
-        """Send a signal; nothing when the process has ended."""
+        """Send a signal, unless the process has exited."""
         if self._process.poll() is None:
             self._process.send_signal(signal_number)
 
     def stop(self) -> None:
-        """Ask the process to end, and end it when it does not; idempotent."""
+        """Terminate the process, and kill it after a timeout; idempotent."""
         if self._process.poll() is None:
             self._process.terminate()
             try:
@@ -123,7 +125,7 @@
 
 
 def free_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> str:
-    """Return a loopback address whose port was free just now."""
+    """Return a loopback address whose port was free at the time of the call."""
     with socket.socket(socket.AF_INET, kind) as probe:
         probe.bind(("127.0.0.1", 0))
         host, port = probe.getsockname()
@@ -138,16 +140,17 @@
 ) -> None:
     """Wait until ``condition`` holds.
 
-    :param children: when one of them ends, waiting on is of no use.
-    :raises CodedError: when it takes longer than ``timeout_s`` or a child ends.
+    :param what: description of the condition, for error messages.
+    :param children: processes whose exit makes the condition unreachable.
+    :raises CodedError: when it takes longer than ``timeout_s`` or a child exits.
     """
     until = time.monotonic() + timeout_s
     while not condition():
         for child in children:
             if child.ended():
-                detail = f"{child.name} ended while waiting for {what}: {child.log_tail()}"
+                detail = f"{child.name} exited while waiting for {what}: {child.log_tail()}"
                 raise codederrors.CodedError("child_failed", detail)
         if time.monotonic() > until:
             tails = "\n".join(f"{child.name}: {child.log_tail()}" for child in children)
-            raise codederrors.CodedError("child_late", f"waited for {what} in vain\n{tails}")
+            raise codederrors.CodedError("child_late", f"timed out waiting for {what}\n{tails}")
         time.sleep(_POLL_S)
--- a/hornbeamglade/bench/loadresponses.py
+++ b/hornbeamglade/bench/loadresponses.py
@@ -1,12 +1,12 @@
-"""Reading of one HTTP answer with server-sent events, at little cost per token.
+"""Incremental parser of an HTTP response with server-sent events.
 
 Explanation
 ===========
 
-The driver of a bench must not slow what it measures, so it reads answers by
-this incremental parser from one thread instead of one thread a stream. The
-stand-in engine's tokens name their generation and offset; that is how the
-driver sees a splice, a gap or a repetition.
+The driver of a benchmark must not slow down what it measures, so it parses all
+responses on one thread instead of using one thread per stream, at little cost per
+token. The tokens of the stand-in engine contain the mark of their generation and their
+offset, which is how the driver detects a splice, a gap or a repetition.
 """
 
 import dataclasses
@@ -26,8 +26,8 @@
 class Token:
     """One token as the caller received it.
 
-    :param mark: names the generation.
-    :param offset: its place in the answer, from 0.
+    :param mark: identifies the generation.
+    :param offset: position in the response, from 0.
     """
 
     mark: bytes
@@ -35,22 +35,22 @@
 
 
 class KeepAlive:
-    """The engine computes nothing for the stream at present."""
+    """A comment event: the engine has no token for the stream at present."""
 
     __slots__ = ()
 
 
 class Done:
-    """The answer is complete."""
+    """End of a complete response."""
 
     __slots__ = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamError:
-    """The stream failed after it had begun.
+    """The stream failed after the response had started.
 
-    :param data: the event's JSON.
+    :param data: JSON of the error event.
     """
 
     data: bytes
@@ -63,7 +63,7 @@
 
 
 class ResponseParser:
-    r"""Turns the bytes of one HTTP answer into events.
+    r"""Parses the bytes of one HTTP response into events.
 
     Examples
     ========
@@ -87,13 +87,13 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the whole body of a known length has arrived."""
+        """Whether the length of the body is known and all of it has arrived."""
         return self._body_length is not None and self._received >= self._body_length
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take received bytes and return the events that they complete.
+        """Parse received bytes and return the events that they complete.
 
-        :raises CodedError: when the bytes are no HTTP answer.
+        :raises CodedError: when the bytes are not an HTTP response.
         """
         self._raw += data
         if self.status is None and not self._read_head():
--- a/hornbeamglade/bench/loadsite.py
+++ b/hornbeamglade/bench/loadsite.py
@@ -1,7 +1,7 @@
-"""A small site on this machine: platform, engines and entry nodes.
+"""A small site on the local machine: platform, engines and entry nodes.
 
-The platform's stand-in runs in the bench's own process, which does little else;
-engines and nodes are processes of their own.
+The stand-in platform runs in the process of the benchmark, which is mostly idle;
+engines and nodes run as separate processes.
 """
 
 import collections.abc
@@ -34,9 +34,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineShape:
-    """How each stand-in engine of a site behaves.
+    """Parameters of each stand-in engine of a site.
 
-    :param capacity_tokens: its memory.
+    :param capacity_tokens: memory in tokens.
     :param step_s: seconds between the tokens of a stream.
     :param load_lag_s: age of its load reports.
     """
@@ -48,12 +48,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SiteShape:
-    """What a site is made of.
+    """Size and configuration of a site.
 
-    :param engines: how many engines there are.
-    :param nodes: how many entry nodes there are.
-    :param weight_by_team: the teams and their shares.
-    :param admission: the pool's admission settings in the configuration.
+    :param engines: number of engines.
+    :param nodes: number of entry nodes.
+    :param weight_by_team: the teams and their weights.
+    :param admission: admission settings of the pool in the configuration.
     """
 
     engines: int
@@ -64,15 +64,15 @@
 
 
 def team_key(team: str) -> str:
-    """Return the key that a bench's callers of a team show."""
+    """Return the API key of a team's callers."""
     return hashlib.sha256(f"bench/{team}".encode()).hexdigest()
 
 
 class Site:
     """A running site; to be used as a context manager.
 
-    :param shape: what it is made of.
-    :param folder: for settings files and logs.
+    :param shape: size and configuration.
+    :param folder: directory of settings files and logs.
     """
 
     def __init__(self, shape: SiteShape, folder: pathlib.Path) -> None:
@@ -85,7 +85,7 @@
         self.node_by_address: dict[str, loadprocesses.Child] = {}
 
     def __enter__(self) -> typing.Self:
-        """Start everything and wait until the nodes are ready."""
+        """Start the platform, the engines and the nodes, and wait until the nodes are ready."""
         try:
             self._platform.start()
             self._stack.callback(self._platform.stop)
@@ -100,15 +100,15 @@
         return self
 
     def __exit__(self, *exception: object) -> None:
-        """Stop everything that was started, nodes first."""
+        """Stop all that was started, nodes first."""
         self._stack.close()
 
     def preemptions(self) -> int:
-        """Return the preemptions that the engines have counted so far."""
+        """Return the number of preemptions that the engines have counted so far."""
         return sum(self._load_report(engine)["preemptions"] for engine in self.engines)
 
     def addresses(self, team: str) -> tuple[str, ...]:
-        """Return the addresses that a node names to a team's callers."""
+        """Return the addresses that a node lists for a team's callers."""
         response = self._http.request(
             "GET",
             f"http://{next(iter(self.node_by_address))}/v1/addresses",
@@ -188,7 +188,7 @@
             raise codederrors.CodedError("bench_configuration", f"not accepted: {outcome}")
 
     def base(self) -> dict[str, typing.Any]:
-        """Return the site's base file as plain values."""
+        """Return the base configuration of the site as plain values."""
         replicas = {
             f"engine-{number}": {
                 "address": address,
--- a/hornbeamglade/bench/loadstream.py
+++ b/hornbeamglade/bench/loadstream.py
@@ -1,4 +1,4 @@
-"""One caller's stream in a driver: its socket, its order check and its times."""
+"""One stream of a load driver: its socket, the check of its tokens and its timing."""
 
 import json
 import socket
@@ -10,11 +10,11 @@
 
 
 class CallerStream:
-    """Sends one request and follows its answer.
+    """Sends one request and reads its response.
 
     :param planned: the request.
-    :param now: the monotonic clock's value at which it is sent.
-    :param due: the value at which it should have been sent.
+    :param now: monotonic time at which it is sent.
+    :param due_at: monotonic time at which it should have been sent.
     """
 
     def __init__(
@@ -41,13 +41,13 @@
         self.connection = self._connect()
 
     def write(self) -> bool:
-        """Send what is left of the request; return whether all is sent."""
+        """Send the rest of the request; return whether all of it is sent."""
         sent = self.connection.send(self._outgoing)
         self._outgoing = self._outgoing[sent:]
         return not self._outgoing
 
     def read(self, now: float) -> int:
-        """Take what has arrived by ``now``; return how many tokens it held."""
+        """Read what has arrived by ``now``; return the number of tokens in it."""
         data = self.connection.recv(_READ_BYTES)
         if not data:
             self._closed_by_peer()
@@ -72,7 +72,7 @@
         return tokens
 
     def connection_failed(self, error: Exception) -> bool:
-        """Note that the connection failed; return whether another address is tried."""
+        """Handle a failed connection; return whether another address is tried."""
         self.connection.close()
         answered = self._parser.status is not None
         self._attempt += 1
@@ -83,11 +83,11 @@
         return True
 
     def cut_off(self) -> None:
-        """Note that the bench ended before the stream."""
+        """Record that the benchmark ended before the stream."""
         self._end("cut", "")
 
     def result(self, now: float) -> loadplan.StreamResult:
-        """Return what the caller saw."""
+        """Return the outcome as the caller saw it."""
         self._times.finish(now)
         problem = _problem(self._error or self._parser.body)
         refused_or_failed = self.ending in ("refused", "failed")
@@ -125,7 +125,7 @@
             self._end("failed", "closed")
 
     def _end(self, ending: loadplan.Ending, code: str) -> None:
-        # The first violation stands, whatever follows it on the stream.
+        # The first ending counts: a violation is not overwritten by later events.
         if self.ending is None:
             self.ending = ending
             self._code = code
@@ -155,7 +155,7 @@
 
 
 def _problem(text: bytes) -> dict[str, str]:
-    """Return the code and run status that an error states, as far as it does."""
+    """Return the error code and run status that an error body contains, if any."""
     try:
         document = json.loads(text)
     except ValueError:
--- a/hornbeamglade/bench/loadtraffic.py
+++ b/hornbeamglade/bench/loadtraffic.py
@@ -1,4 +1,4 @@
-"""The requests of a load bench, drawn from a seed."""
+"""Seeded generation of the requests of a load benchmark."""
 
 import collections.abc
 import dataclasses
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lengths:
-    """The distribution of true answer lengths: log-normal, cut.
+    """Truncated log-normal distribution of response lengths.
 
-    :param median: in tokens.
-    :param sigma: of the logarithm.
-    :param longest: the cut, in tokens.
+    :param median: median in tokens.
+    :param sigma: standard deviation of the logarithm.
+    :param longest: upper limit in tokens.
     """
 
     median: float = 100.0
@@ -27,18 +27,19 @@
     longest: int = 1_500
 
     def draw(self, rng: random.Random) -> int:
-        """Return one answer's length in tokens."""
+        """Draw one response length in tokens."""
         length = int(self.median * rng.lognormvariate(0.0, self.sigma))
         return min(max(1, length), self.longest)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Traffic:
-    """What callers send.
+    """Parameters of the traffic.
 
-    :param load: the rate over the one that fills the engines' memory in the mean.
+    :param load: request rate as a multiple of the rate that fills the engines' memory on
+        average.
     :param seconds: how long requests are sent.
-    :param weight_by_team: how much of the requests each team sends.
+    :param weight_by_team: relative share of the requests that each team sends.
     """
 
     load: float
@@ -49,10 +50,10 @@
 
 
 def saturating_rate(lengths: Lengths, memory_tokens: int, step_s: float, seed: int) -> float:
-    """Return the requests a second that fill ``memory_tokens`` in the mean.
+    """Return the requests per second that fill ``memory_tokens`` on average.
 
-    An answer of ``n`` tokens holds its prompt for ``n`` steps and its own
-    tokens for half of them in the mean.
+    A response of ``n`` tokens occupies the memory of its prompt for ``n`` steps and that of
+    each of its own tokens for ``n / 2`` steps on average.
 
     Examples
     ========
@@ -74,7 +75,7 @@
     key_by_team: collections.abc.Mapping[str, str],
     model: str = loadsite.MODEL,
 ) -> tuple[loadplan.PlannedRequest, ...]:
-    """Return Poisson arrivals at ``rate`` a second, in order of time."""
+    """Return Poisson arrivals at ``rate`` requests per second, in order of time."""
     rng = random.Random(f"arrivals/{traffic.seed}")
     teams = sorted(traffic.weight_by_team)
     weights = [traffic.weight_by_team[team] for team in teams]
--- a/hornbeamglade/bench/pairedtrials.py
+++ b/hornbeamglade/bench/pairedtrials.py
@@ -1,11 +1,12 @@
-"""Variants of the policy, played on the same days and seeds, and compared in pairs.
+"""Paired comparison of policy variants that run on the same days and seeds.
 
 Explanation
 ===========
 
-A day's luck moves its figures by far more than most changes of policy do. Two variants that
-meet the same day with the same seed share that luck, so the mean of their differences says
-more than the difference of their means; its standard error says how much.
+The random variation between seeds changes the figures of a day far more than most policy
+changes do. Two variants that run on the same day with the same seed share that variation,
+so the mean of their paired differences is more precise than the difference of their means.
+Its standard error states how precise it is.
 """
 
 import abc
@@ -21,11 +22,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trial:
-    """One day, played once.
+    """One run of one day.
 
     :param variant: the variant's name.
     :param day: the day's name or file.
-    :param seed: its luck.
+    :param seed: seed of the random variation.
     """
 
     variant: str
@@ -34,29 +35,30 @@
 
 
 class TrialRunner(abc.ABC):
-    """Plays days."""
+    """Runs trials."""
 
     @abc.abstractmethod
     def run_trial(self, trial: Trial) -> dayreports.DayOutcome:
-        """Play a day to its end.
+        """Run a trial to its end.
 
-        :raises CodedError: when it has no result.
+        :raises CodedError: when it produces no result.
         """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Comparison:
-    """One variant against the first one, over the plays that both ended.
-
-    :param variant: its name.
-    :param pairs: how many days and seeds both have.
-    :param worth: its mean worth.
-    :param difference: the mean of the paired differences of worth.
-    :param error: the standard error of that mean; infinite with fewer than two pairs.
-    :param lost: requests a day that nobody served.
-    :param late: requests a day that were answered too late.
-    :param unserved_by_end: requests a day that nobody served, by how their last try ended.
-    :param broken: plays that broke a rule or ended with a fault, with what.
+    """One variant compared with the first one, over the trials that both completed.
+
+    :param variant: name of the variant.
+    :param pairs: number of days and seeds that both completed.
+    :param worth: mean worth of the variant.
+    :param difference: mean of the paired differences of worth.
+    :param error: standard error of that mean; infinite with fewer than two pairs.
+    :param lost: requests per day that were never served.
+    :param late: requests per day that were answered too late.
+    :param unserved_by_end: requests per day that were never served, by the end of their last
+        attempt.
+    :param broken: trials that violated a rule or ended with a fault, with the rules.
     """
 
     variant: str
@@ -79,9 +81,9 @@
     days: collections.abc.Sequence[str],
     seeds: collections.abc.Sequence[int],
 ) -> tuple[Trial, ...]:
-    """Return all plays, those of one pair next to each other.
+    """Return all trials, with those of one pair next to each other.
 
-    Beside each other they share also what else the machine does.
+    Trials of one pair then run at about the same time and under the same machine load.
 
     Examples
     ========
@@ -100,10 +102,10 @@
     concurrency: int,
     on_trial_end: collections.abc.Callable[[Trial], None] = lambda trial: None,
 ) -> tuple[Outcomes, Failures]:
-    """Play all, a few at a time; a play without a result ends no other.
+    """Run all trials, a few at a time; a trial without a result does not stop the others.
 
-    :param at_once: how many are played beside each other.
-    :param ended: told of each play that has ended, on some thread.
+    :param concurrency: how many trials run at the same time.
+    :param on_trial_end: called with each trial that has ended, on any thread.
     """
     outcomes: Outcomes = {}
     failures: Failures = {}
@@ -185,7 +187,7 @@
 
 
 def table(comparisons: collections.abc.Iterable[Comparison]) -> str:
-    """Return comparisons as a table, with the ends of unserved requests below."""
+    """Format comparisons as a table, followed by the ends of unserved requests."""
     rows = [" | ".join(COLUMN_HEADINGS), " | ".join("---" for _ in COLUMN_HEADINGS)]
     notes = []
     for each in comparisons:
--- a/hornbeamglade/bench/policyclairvoyant.py
+++ b/hornbeamglade/bench/policyclairvoyant.py
@@ -1,4 +1,4 @@
-"""Admission that knows every length: the upper end of the comparison."""
+"""Admission that knows all response lengths: the upper bound of the comparison."""
 
 import collections.abc
 import dataclasses
@@ -10,24 +10,24 @@
 
 @dataclasses.dataclass(slots=True)
 class _StreamProjection:
-    """The course of one stream: when it ends, and what it holds by then."""
+    """Projected end of one stream and the tokens it occupies by then."""
 
     ends_at: float
     last_tokens: int
 
 
 class Clairvoyant(policies.AdmissionPolicy):
-    """Admits what fits until every running stream has ended.
+    """Admits a request if it fits until every running stream has ended.
 
     Explanation
     ===========
 
-    Every stream grows by a token a step until its known end, so the use is
-    highest just before one of the ends; only these moments are checked.
+    Every stream grows by one token per step until its known end, so memory use peaks just
+    before one of the ends; only these moments are checked.
 
-    :param capacity_tokens: the replica's memory.
-    :param max_running: bound on requests at once.
-    :param answer_tokens_by_id: the true lengths.
+    :param capacity_tokens: memory of the replica.
+    :param max_running: limit on concurrent requests.
+    :param answer_tokens_by_id: true response lengths.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self._projection_by_id: dict[str, _StreamProjection] = {}
 
     def fits(self, work: outcomes.Work, now: float) -> bool:
-        """Tell whether no later moment overflows with ``work`` taken on too."""
+        """Return whether memory never overflows if ``work`` is admitted as well."""
         if self.is_at_limit():
             return False
         return (
@@ -50,16 +50,16 @@
         )
 
     def headroom(self, now: float) -> float:
-        """Return the tokens left at the fullest later moment."""
+        """Return the free tokens at the moment of the highest projected use."""
         return self._min_headroom(list(self._projection_by_id.values()), now)
 
     def admit(self, work: outcomes.Work, now: float) -> None:
-        """Count ``work`` in."""
+        """Add ``work`` to the running requests."""
         super().admit(work, now)
         self._projection_by_id[work.request_id] = self._project(work, now)
 
     def progress(self, request_id: str, produced: int, now: float) -> None:
-        """Correct the end of a stream that was delayed."""
+        """Correct the projected end of a delayed stream."""
         super().progress(request_id, produced, now)
         projection = self._projection_by_id.get(request_id)
         if projection is not None:
@@ -67,7 +67,7 @@
             projection.ends_at = now + remaining * policyworkload.STEP_S
 
     def finish(self, request_id: str, now: float) -> None:
-        """Count a request out."""
+        """Remove a request from the running ones."""
         super().finish(request_id, now)
         self._projection_by_id.pop(request_id, None)
 
@@ -77,9 +77,9 @@
         return _StreamProjection(now + (tokens + 1) * policyworkload.STEP_S, last_tokens)
 
     def _min_headroom(self, projections: list[_StreamProjection], now: float) -> float:
-        """Return the least room over the ends, from the last backwards.
+        """Return the minimum headroom over all ends, scanning from the last one backwards.
 
-        At time t each stream that still runs holds its last tokens less one for
+        At time t, each running stream occupies its final number of tokens minus one for
         each step from t to its end.
         """
         projections.sort(key=lambda projection: -projection.ends_at)
--- a/hornbeamglade/bench/policydispatch.py
+++ b/hornbeamglade/bench/policydispatch.py
@@ -1,4 +1,4 @@
-"""How the compared policies get requests to engines."""
+"""Dispatchers of the compared policies: how requests reach engines."""
 
 import abc
 import collections
@@ -8,11 +8,11 @@
 
 
 class Dispatcher(abc.ABC):
-    """Places requests and answers for each of them.
+    """Dispatches requests to replicas and records the outcome of each.
 
-    :param scenario: bounds.
-    :param pool: the engines.
-    :param recorder: hears of refusals.
+    :param scenario: limits, such as the longest wait.
+    :param pool: the replicas.
+    :param recorder: receives refusals and losses.
     """
 
     def __init__(
@@ -27,22 +27,22 @@
 
     @abc.abstractmethod
     def dispatch(self, request: policyworkload.Request, now: float) -> None:
-        """Take a request that has just arrived, or comes back from a lost replica."""
+        """Dispatch a request that has just arrived or was returned by a lost replica."""
 
     @abc.abstractmethod
     def tick(self, step: int, now: float) -> None:
-        """Do what is due by the passage of time; once a step."""
+        """Perform time-based work; called once per step."""
 
     def on_finished(
         self, replica: policypool.Replica, active: policypool.ActiveRequest, now: float
     ) -> None:
-        """Hear that an answer has come to its end."""
+        """Handle the end of a response."""
         return
 
     def on_replica_lost(
         self, replica: policypool.Replica, active: list[policypool.ActiveRequest], now: float
     ) -> None:
-        """Hear that a replica is lost: what has not begun is placed again."""
+        """Handle the loss of a replica: requests that have not started are dispatched again."""
         for each in active:
             if each.last_step >= 0:
                 self.recorder.record_loss(now)
@@ -50,20 +50,20 @@
                 self.dispatch(each.request, now)
 
     def on_replica_restored(self, replica: policypool.Replica, now: float) -> None:
-        """Hear that a lost replica is there again, empty."""
+        """Handle the return of a lost replica, which is empty."""
         return
 
     def deadline(self, request: policyworkload.Request) -> float:
-        """Return when a request must have started."""
+        """Return the time by which a request must have started."""
         return request.at_s + self.scenario.max_wait_s
 
     def live_replicas(self) -> list[policypool.Replica]:
-        """Return the replicas that take work."""
+        """Return the replicas that accept work."""
         return [replica for replica in self.replica_by_name.values() if replica.is_up]
 
 
 class _WithoutAdmission(Dispatcher):
-    """Sends each request to an engine at once, where it may wait up to the bound."""
+    """Sends each request to an engine immediately, where it may wait up to the limit."""
 
     def __init__(
         self,
@@ -76,13 +76,13 @@
         self._pending = collections.deque()
 
     def dispatch(self, request: policyworkload.Request, now: float) -> None:
-        """Submit to the replica that the policy picks."""
+        """Submit the request to the replica that the policy picks."""
         replica = self.pick()
         replica.submit(request)
         self._pending.append((replica, request))
 
     def tick(self, step: int, now: float) -> None:
-        """Refuse what has not begun by its deadline."""
+        """Refuse requests that have not started by their deadline."""
         while self._pending and self.deadline(self._pending[0][1]) <= now:
             replica, request = self._pending.popleft()
             active = replica.active_by_id.get(request.work.request_id)
@@ -96,7 +96,7 @@
 
 
 class RoundRobin(_WithoutAdmission):
-    """Takes the replicas in turn."""
+    """Cycles through the replicas."""
 
     def __init__(
         self,
@@ -108,13 +108,13 @@
         self._positions = itertools.count()
 
     def pick(self) -> policypool.Replica:
-        """Return the next replica in turn."""
+        """Return the next replica of the cycle."""
         live = self.live_replicas()
         return live[next(self._positions) % len(live)]
 
 
 class LeastOutstanding(_WithoutAdmission):
-    """Takes the replica with the fewest requests, waiting ones included."""
+    """Picks the replica with the fewest requests, waiting ones included."""
 
     def pick(self) -> policypool.Replica:
         """Return the replica with the fewest requests."""
--- a/hornbeamglade/bench/policymetrics.py
+++ b/hornbeamglade/bench/policymetrics.py
@@ -1,4 +1,4 @@
-"""What the policy bench measures of one run."""
+"""Metrics of one run of the policy benchmark."""
 
 import collections
 import collections.abc
@@ -12,16 +12,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Figures:
-    """The figures of one run; counts are of the measured window.
+    """Metrics of one run; counts cover the measured window.
 
     :param goodput: delivered tokens per second.
-    :param goodput_share: goodput over the pool's capacity in tokens.
-    :param stall_s_per_1000: gaps beyond two steps, less one step each, for 1,000 requests.
-    :param preemptions_per_1000: for 1,000 started requests.
-    :param refused_share: refused over arrived.
+    :param goodput_share: goodput divided by the pool's capacity in tokens per second.
+    :param stall_s_per_1000: gaps longer than two steps, minus one step each, per 1,000
+        requests.
+    :param preemptions_per_1000: preemptions per 1,000 started requests.
+    :param refused_share: refused requests divided by arrived requests.
     :param lost: streams cut off after their first token.
-    :param share_least: least of the teams' served over entitled tokens.
-    :param share_most: greatest of them.
+    :param share_least: lowest ratio of served to entitled tokens among the teams.
+    :param share_most: highest such ratio.
     """
 
     started: int
@@ -44,10 +45,10 @@
 
 
 class Recorder:
-    """Collects what callers see from ``warm_up_s`` on.
+    """Collects what callers see after the first ``warm_up_s`` seconds.
 
-    :param scenario: for the capacity and the teams' entitlement.
-    :param warm_up_s: seconds left out at the start.
+    :param scenario: determines the capacity.
+    :param warm_up_s: initial seconds that are not measured.
     """
 
     def __init__(self, scenario: policyworkload.Scenario, warm_up_s: float) -> None:
@@ -61,40 +62,40 @@
         self.recomputed_tokens = 0
 
     def record_arrival(self, request: policyworkload.Request) -> None:
-        """Note an arrival."""
+        """Count an arrival."""
         if request.at_s >= self._warm_up_s:
             self._arrived += 1
             self._offered_by_team[request.work.team] += request.answer_tokens
 
     def record_refusal(self, now: float) -> None:
-        """Note a refusal."""
+        """Count a refusal."""
         self._refused += now >= self._warm_up_s
 
     def record_loss(self, now: float) -> None:
-        """Note a stream that was cut off after its first token."""
+        """Count a stream that was cut off after its first token."""
         self._lost += now >= self._warm_up_s
 
     def record_preemptions(self, count: int, now: float) -> None:
-        """Note preemptions."""
+        """Count preemptions."""
         self._preemptions += count if now >= self._warm_up_s else 0
 
     def record_first_token(self, request: policyworkload.Request, now: float) -> None:
-        """Note the start of an answer."""
+        """Record the wait for the first token of a response."""
         if now >= self._warm_up_s:
             self._waits_s.append(now - request.at_s)
 
     def record_tokens(self, teams: collections.abc.Iterable[str], now: float) -> None:
-        """Note one delivered token for each named team."""
+        """Count one delivered token for each item of ``teams``."""
         if now >= self._warm_up_s:
             self._tokens_by_team.update(teams)
 
     def record_gaps(self, steps: int, count: int, now: float) -> None:
-        """Note ``count`` gaps of so many steps between tokens."""
+        """Count ``count`` gaps of ``steps`` steps between tokens."""
         if now >= self._warm_up_s:
             self._gap_count_by_steps[steps] += count
 
     def figures(self, end_s: float) -> Figures:
-        """Return the figures of the window."""
+        """Compute the metrics of the measured window."""
         window_s = end_s - self._warm_up_s
         delivered = sum(self._tokens_by_team.values())
         started = max(1, len(self._waits_s))
@@ -154,7 +155,7 @@
     weight_by_team: collections.abc.Mapping[str, float],
     served: float,
 ) -> dict[str, float]:
-    """Return the weighted max-min fair shares of what was served.
+    """Return the weighted max-min fair shares of the served tokens.
 
     Examples
     ========
--- a/hornbeamglade/bench/policypool.py
+++ b/hornbeamglade/bench/policypool.py
@@ -1,4 +1,4 @@
-"""The pool of modelled engines that a policy of the bench dispatches to."""
+"""The pool of simulated engines that a benchmarked policy dispatches to."""
 
 import collections
 import dataclasses
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """A request on an engine, and what its caller has got so far."""
+    """A request on an engine and what its caller has received so far."""
 
     request: policyworkload.Request
     produced: int = 0
@@ -21,11 +21,11 @@
 
 
 class Replica:
-    """One engine with its streams and its late load reports.
+    """One engine with its streams and its delayed load reports.
 
-    :param name: the replica's name.
+    :param name: name of the replica.
     :param domain: its failure domain.
-    :param scenario: sizes and lag.
+    :param scenario: sizes and the delay of reports.
     """
 
     def __init__(self, name: str, domain: str, scenario: policyworkload.Scenario) -> None:
@@ -42,11 +42,11 @@
 
     @property
     def recomputed_tokens(self) -> int:
-        """Tokens computed again after preemptions, engines that were lost included."""
+        """Tokens recomputed after preemptions, including those of engines that were lost."""
         return self._recomputed_before + self.engine.recomputed_tokens
 
     def submit(self, request: policyworkload.Request) -> None:
-        """Give a request to the engine."""
+        """Submit a request to the engine."""
         work = request.work
         sequence = enginemodel.Sequence(
             work.request_id, work.prompt_tokens, request.answer_tokens, work.priority
@@ -55,12 +55,12 @@
         self.active_by_id[work.request_id] = ActiveRequest(request)
 
     def cancel(self, request_id: str) -> None:
-        """Take a request off the engine."""
+        """Cancel a request on the engine."""
         self.engine.cancel(request_id)
         del self.active_by_id[request_id]
 
     def fail(self) -> list[ActiveRequest]:
-        """Stop the engine, and return what it served."""
+        """Stop the engine and return the requests it was running."""
         self.is_up = False
         active = list(self.active_by_id.values())
         self.active_by_id = {}
@@ -70,7 +70,7 @@
         return active
 
     def step(self, step: int, now: float, recorder: policymetrics.Recorder) -> list[ActiveRequest]:
-        """Advance by one step of the bench and return what finished in it."""
+        """Advance by one benchmark step and return the requests that finished in it."""
         if not self.is_up or step % self.step_interval:
             return []
         result = self.engine.step()
@@ -79,7 +79,7 @@
         return [self.active_by_id.pop(request_id) for request_id in result.finished]
 
     def reports(self, step: int, now: float) -> list[tokenledger.LoadView]:
-        """Publish a report now and then, and return those that arrive now."""
+        """Publish a load report periodically and return the reports that arrive now."""
         if self.is_up and step % _REPORT_EVERY_STEPS == 0:
             load = self.engine.load()
             self._sequence += 1
@@ -126,7 +126,7 @@
 
 
 def replicas(scenario: policyworkload.Scenario) -> list[Replica]:
-    """Return the pool of a scenario."""
+    """Create the replicas of a scenario."""
     return [
         Replica(f"replica{i}", f"domain{i % scenario.domains}", scenario)
         for i in range(scenario.replicas)
--- a/hornbeamglade/bench/policyreport.py
+++ b/hornbeamglade/bench/policyreport.py
@@ -1,4 +1,4 @@
-"""Reports of the policy bench: JSON, text and a plot."""
+"""Reports of the policy benchmark: JSON, text and a plot."""
 
 import collections
 import collections.abc
@@ -14,7 +14,7 @@
 
 
 class RunRecord(pydantic.BaseModel):
-    """One run as it stands in a report file."""
+    """One run as stored in a report file."""
 
     scenario: str
     load: float
@@ -32,9 +32,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Column:
-    """A column of the text report: its heading, figures and their format.
+    """A column of the text report: its heading, metrics and their format.
 
-    A single figure is shown with its deviation over the seeds.
+    A column with a single metric also shows the standard deviation over the seeds.
     """
 
     heading: str
@@ -60,7 +60,7 @@
 
 
 def read(paths: collections.abc.Iterable[pathlib.Path]) -> Report:
-    """Read report files and join them.
+    """Read report files and merge them.
 
     :raises CodedError: ``report_unreadable``.
     """
@@ -71,11 +71,11 @@
         except (OSError, ValueError) as error:
             raise codederrors.CodedError("report_unreadable", f"{path}: {error}") from error
         if any(run.figures.keys() != _FIGURE_NAMES for run in report.runs):
-            detail = f"{path}: not the figures of this version"
+            detail = f"{path}: the figures differ from those of this version"
             raise codederrors.CodedError("report_unreadable", detail)
         reports.append(report)
     if len({report.duration_s for report in reports}) != 1:
-        detail = "runs of different duration do not compare"
+        detail = "runs of different duration cannot be compared"
         raise codederrors.CodedError("report_unreadable", detail)
     runs = [run for report in reports for run in report.runs]
     return Report(duration_s=reports[0].duration_s, runs=runs)
@@ -87,10 +87,10 @@
 
 
 def as_text(report: Report) -> str:
-    """Return a Markdown table for each scenario: mean and deviation over seeds.
+    """Return a Markdown table per scenario: mean and standard deviation over the seeds.
 
-    Goodput stands as the share of capacity, and beside the clairvoyant policy's
-    where that was run on the same seeds.
+    Goodput is given as a share of capacity, and relative to the clairvoyant policy if
+    that was run on the same seeds.
     """
     parts = []
     for scenario, runs_by_policy in _grouped(report).items():
@@ -109,7 +109,7 @@
 
 
 def plot(report: Report, path: pathlib.Path) -> None:
-    """Plot preemptions and stall against goodput, a point for each policy and scenario.
+    """Plot preemptions and stall time against goodput, one point per policy and scenario.
 
     :raises CodedError: ``plot_unavailable`` when matplotlib is not installed.
     """
--- a/hornbeamglade/bench/policyrun.py
+++ b/hornbeamglade/bench/policyrun.py
@@ -1,4 +1,4 @@
-"""One run of the policy bench: a policy, a scenario and a seed, in virtual time."""
+"""One run of the policy benchmark: a policy, a scenario and a seed, in virtual time."""
 
 import collections.abc
 import dataclasses
@@ -22,8 +22,9 @@
 _FAULT_AT = 0.5
 _FAULT_SPAN_S = 60.0
 _SLOW_STEPS = 3
-# Knowing the lengths, it would else let short answers pass the long ones for ever:
-# more tokens, by refusing every long answer.
+# No overtaking in the queue: since the clairvoyant policy knows the lengths, short requests
+# would otherwise pass long ones indefinitely. That raises goodput, but every long request
+# would be refused.
 _FIRST_COME_FIRST = queuesettings.QueueSettings(max_passes=0)
 
 POLICIES = (
@@ -39,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """The figures of one run."""
+    """The result of one run."""
 
     scenario: policyworkload.Scenario
     policy: str
@@ -48,10 +49,10 @@
 
 
 def run(scenario: policyworkload.Scenario, policy: str, seed: int, duration_s: float) -> Run:
-    """Run one policy through one scenario.
+    """Run one policy in one scenario.
 
     :param policy: one of :data:`POLICIES`, or a fixed reserve of another size.
-    :param seed: of the requests; the same ones for every policy.
+    :param seed: seed of the requests, which are the same for every policy.
     :param duration_s: virtual seconds, of which the first two fifths are not measured.
     """
     requests = policyworkload.draw_requests(scenario, seed, duration_s)
@@ -136,5 +137,5 @@
     if fixed is not None:
         return lambda _: policies.FixedReserve(capacity, int(fixed[1]), max_running)
     if policy not in factory_by_policy:
-        raise codederrors.CodedError("policy_unknown", f"there is no policy {policy!r}")
+        raise codederrors.CodedError("policy_unknown", f"unknown policy {policy!r}")
     return factory_by_policy[policy]
--- a/hornbeamglade/bench/policyscenarios.py
+++ b/hornbeamglade/bench/policyscenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the policy bench, by set."""
+"""The scenarios of the policy benchmark, grouped into sets."""
 
 from hornbeamglade.bench import policyworkload
 from hornbeamglade.core import codederrors
@@ -56,6 +56,6 @@
     unknown = set(names) - set(SCENARIOS_BY_SET)
     if unknown:
         known = ", ".join(SCENARIOS_BY_SET)
-        detail = f"{', '.join(sorted(unknown))} is none of {known}"
+        detail = f"{', '.join(sorted(unknown))} not among {known}"
         raise codederrors.CodedError("scenario_set_unknown", detail)
     return [scenario for name in names for scenario in SCENARIOS_BY_SET[name]]
--- a/hornbeamglade/bench/policyschedulers.py
+++ b/hornbeamglade/bench/policyschedulers.py
@@ -1,4 +1,4 @@
-"""The system's own path in the bench: routing choice, owner's scheduler, admission."""
+"""The production path in the benchmark: routing, the owner's scheduler and admission."""
 
 import collections
 import collections.abc
@@ -24,21 +24,21 @@
 
 
 class SchedulerDispatcher(policydispatch.Dispatcher):
-    """Chooses a replica by late digests; its owner admits or lets wait.
+    """Chooses a replica by delayed digests; its owner admits or queues the request.
 
     Explanation
     ===========
 
-    Six entry nodes choose, each by its own placements; a team's callers come
-    to two of them. Node i owns replica i and knows its scheduler as it is.
-    Progress reaches the owner each second, as in the system. Digests of the
-    schedulers and load reports of the engines arrive with the scenario's lag. With
-    several owners a replica has a scheduler for each, blind to the others but for
-    the engine's reports.
+    Six entry nodes choose replicas, each by its own recent placements; the callers of a
+    team use two of them. Node i owns replica i and knows the current state of its scheduler.
+    Progress reaches the owner once per second, as in production. Digests of the schedulers
+    and load reports of the engines arrive with the delay of the scenario. With several
+    owners, a replica has one scheduler per owner, which learns of the others only through
+    the load reports of the engine.
 
-    :param admission: makes the admission of one scheduler.
-    :param queue: bounds of the schedulers' queues.
-    :param seed: of the routing choice's samples.
+    :param admission: creates the admission policy of one scheduler.
+    :param queue: limits of the schedulers' queues.
+    :param seed: seed of the random samples of routing.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._digests = collections.deque()
 
     def dispatch(self, request: policyworkload.Request, now: float) -> None:
-        """Ask the chosen replica's owner, and the next best one when that refuses."""
+        """Send a grant request to the best replica's owner, then to the next if it refuses."""
         work = request.work
         self._request_by_id[work.request_id] = request
         node = self._node_of(work.team)
@@ -89,7 +89,7 @@
     def on_finished(
         self, replica: policypool.Replica, active: policypool.ActiveRequest, now: float
     ) -> None:
-        """Learn the length, give back the grant and serve who is next."""
+        """Learn the response length, release the grant and process the queue."""
         work = active.request.work
         self._lengths.observe(work.service, work.team, active.produced)
         if active.produced > 1:
@@ -103,7 +103,7 @@
     def on_replica_lost(
         self, replica: policypool.Replica, active: list[policypool.ActiveRequest], now: float
     ) -> None:
-        """Place again what waited for the replica too."""
+        """Also dispatch again the requests that were queued for the replica."""
         queued_ids = [
             settled.request_id
             for scheduler in self._schedulers_by_replica[replica.name]
@@ -114,11 +114,11 @@
             self.dispatch(self._request_by_id[request_id], now)
 
     def on_replica_restored(self, replica: policypool.Replica, now: float) -> None:
-        """Open new schedulers."""
+        """Create new schedulers for the replica."""
         self._schedulers_by_replica[replica.name] = self._new_schedulers(replica.name, now)
 
     def tick(self, step: int, now: float) -> None:
-        """Pass on reports, progress and digests when they are due."""
+        """Deliver reports, progress and digests that are due."""
         for i, replica in enumerate(self.live_replicas()):
             schedulers = self._schedulers_by_replica[replica.name]
             for view in replica.reports(step, now):
@@ -142,7 +142,7 @@
         scheduler = replicascheduler.ReplicaScheduler(
             replica, self._admission(self._lengths), queue
         )
-        # An owner grants nothing before it has heard of the replica.
+        # An owner grants nothing before it has received a load report of the replica.
         scheduler.apply_report(
             tokenledger.LoadView(0, 0.0, self.scenario.capacity_tokens, 0), False, now
         )
@@ -161,7 +161,7 @@
         return [each.candidate.replica for each in ordered[:_MAX_TRIES]]
 
     def _candidates_at(self, node: int, now: float) -> list[candidates.Candidate]:
-        """Return what a node knows: its own replicas as they are, the others by digests."""
+        """Return the candidates a node knows: its own with current state, others by digest."""
         if not self.scenario.report_lag_s:
             return self._digest(now)
         taken_at, digest = self._digests[0]
--- a/hornbeamglade/bench/policyworkload.py
+++ b/hornbeamglade/bench/policyworkload.py
@@ -1,14 +1,14 @@
-"""Scenarios of the policy bench, and the requests that they draw from a seed.
+"""Scenario parameters of the policy benchmark and seeded generation of requests.
 
 Explanation
 ===========
 
-Capacity is the rate of requests that saturates the memory in the mean: a
-request holds its prompt and its growing answer, L (p + b/2) + L**2 / 2 token
-steps in all for prompt p, answer L and block b, so the pool's memory a step
-divided by the mean of that is the rate, unless the bound on running requests
-binds before. The load of a scenario is its rate over this one. The rate is
-adjusted as lengths drift, so that the load stays what it says.
+Capacity is the request rate that saturates the memory on average. A request occupies
+its prompt and its growing response, L (p + b/2) + L**2 / 2 token steps in total for
+prompt length p, response length L and block size b. The pool's memory per step divided
+by the mean of that is the capacity, unless the limit on running requests is reached
+first. The load of a scenario is its request rate divided by the capacity. The rate is
+adjusted as lengths drift, so that the load stays constant.
 """
 
 import collections.abc
@@ -35,14 +35,14 @@
 
 
 class Shape(enum.Enum):
-    """The distribution of answer lengths."""
+    """Distribution of response lengths."""
 
     LOGNORMAL = "lognormal"
     PARETO = "pareto"
 
 
 class Arrivals(enum.Enum):
-    """How rate and lengths change in time."""
+    """How the request rate and response lengths change over time."""
 
     STEADY = "steady"
     BURSTY = "bursty"
@@ -50,7 +50,7 @@
 
 
 class Fault(enum.Enum):
-    """What happens to one replica in the middle of the run."""
+    """Fault of one replica in the middle of the run."""
 
     NONE = "none"
     LOST = "lost"
@@ -59,19 +59,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scenario:
-    """One situation in which policies are compared.
-
-    :param name: stands in reports.
-    :param requests_of: the scenario whose requests are drawn, for a comparison on
-        the same ones; its own where empty.
-    :param load: rate over the capacity.
-    :param replicas: engines in the pool.
-    :param domains: failure domains that they are spread over.
-    :param report_lag_s: seconds by which load reports and digests are late.
-    :param owners: nodes that admit to each replica at once; 1 but for changes of membership.
-    :param samples: replicas with late digests that the routing choice compares.
+    """Parameters of one scenario in which policies are compared.
+
+    :param name: name in reports.
+    :param load: request rate as a multiple of the capacity.
+    :param replicas: number of engines in the pool.
+    :param domains: number of failure domains that the replicas are spread over.
+    :param report_lag_s: delay of load reports and digests in seconds.
+    :param owners: nodes that admit to each replica at the same time; more than 1 occurs only
+        during membership changes.
+    :param samples: replicas with delayed digests that routing compares.
     :param capacity_tokens: memory of one engine.
-    :param wait_bound_s: a request that has not started by then is refused.
+    :param max_wait_s: a request that has not started after this time is refused.
+    :param request_source: name of the scenario whose requests are used, so that both compare
+        on the same requests; empty for its own.
     """
 
     name: str
@@ -92,20 +93,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A request with its true answer length, hidden from all but the clairvoyant policy."""
+    """A request with its true response length, which only the clairvoyant policy sees."""
 
     work: outcomes.Work
     answer_tokens: int
     at_s: float
 
 
-#: Weight and share of the demand of each team: three large ones and seven small.
+#: Weight and share of demand of each team: three large teams and seven small ones.
 WEIGHT_BY_TEAM = {f"team{i}": 3.0 if i < 3 else 1.0 for i in range(10)}
 DEMAND_BY_TEAM = {f"team{i}": 0.2 if i < 3 else 0.4 / 7 for i in range(10)}
 
 
 def answer_tokens(shape: Shape, quantile: float, scale: float = 1.0) -> int:
-    """Return the answer length at a quantile.
+    """Return the response length at a quantile.
 
     Examples
     ========
@@ -124,7 +125,7 @@
 
 
 def capacity_per_s(scenario: Scenario, scale: float = 1.0) -> float:
-    """Return the requests per second that saturate the pool in the mean."""
+    """Return the requests per second that saturate the pool on average."""
     lengths = [
         answer_tokens(scenario.shape, (i + 0.5) / _QUANTILES, scale) for i in range(_QUANTILES)
     ]
@@ -136,14 +137,14 @@
 
 
 def mean_answer_tokens(scenario: Scenario) -> float:
-    """Return the mean answer length before any drift."""
+    """Return the mean response length before any drift."""
     return statistics.fmean(
         answer_tokens(scenario.shape, (i + 0.5) / _QUANTILES) for i in range(_QUANTILES)
     )
 
 
 def draw_requests(scenario: Scenario, seed: int, duration_s: float) -> list[Request]:
-    """Return the requests of a run, in order of arrival; the same for every policy."""
+    """Draw the requests of a run in order of arrival; they are the same for every policy."""
     rng = random.Random(f"{scenario.request_source or scenario.name}/{seed}")
     teams = list(DEMAND_BY_TEAM)
     shares = list(DEMAND_BY_TEAM.values())
@@ -164,7 +165,7 @@
 def _arrival_times(
     scenario: Scenario, rng: random.Random, duration_s: float
 ) -> collections.abc.Iterator[tuple[float, float]]:
-    """Yield times of arrival with the scale of lengths then."""
+    """Yield arrival times, each with the scale factor of response lengths at that time."""
     rate_by_scale: dict[float, float] = {}
     bursts = _rate_factors(scenario, rng, duration_s)
     now = 0.0
@@ -186,7 +187,7 @@
 def _rate_factors(
     scenario: Scenario, rng: random.Random, duration_s: float
 ) -> collections.abc.Iterator[tuple[float, float]]:
-    """Yield factors of the rate and until when they hold; 1 in the mean."""
+    """Yield rate factors and the time until which each applies; their mean is 1."""
     until = 0.0
     while scenario.arrivals is Arrivals.BURSTY:
         until += rng.expovariate(1 / _CALM_MEAN_S)
@@ -198,7 +199,7 @@
 
 
 def _length_scale(scenario: Scenario, progress: float) -> float:
-    """Return the factor of lengths, in steps so that few capacities are computed."""
+    """Return the scale factor of lengths, in steps so that few capacities are computed."""
     if scenario.arrivals is not Arrivals.DRIFTING:
         return 1.0
     start, end = _DRIFT_SPAN
--- a/hornbeamglade/bench/recovery.py
+++ b/hornbeamglade/bench/recovery.py
@@ -1,12 +1,12 @@
-"""How long a fault is felt by callers: seeded trials on a site of separate processes.
+"""Benchmark of fault recovery: seeded trials on a site of separate processes.
 
 Explanation
 ===========
 
-In each trial callers send a steady stream of short generations and holds; after some
-calm seconds a fault begins at a random moment, and the trial ends when the fault is
-healed (where it heals), nothing that was sent before still hangs, and no request was
-affected for :data:`RECOVERED_S`. Everything is measured from the callers' side.
+In each trial, callers send a steady stream of short generations and holds. After a
+baseline period a fault is injected at a random moment. The trial ends when the fault is
+repaired (if it is temporary), no earlier request hangs any more, and no request was
+affected for :data:`RECOVERED_S`. Everything is measured at the callers.
 """
 
 import collections.abc
@@ -32,7 +32,7 @@
 BASELINE_S = 2.0
 BASELINE_JITTER_S = 1.0
 RECOVERED_S = 6.0
-"""Longer than a dead node takes to be suspected, so that what follows is seen as well."""
+"""Longer than it takes to suspect a dead node, so that the effects of that are observed too."""
 
 RECOVERY_TIMEOUT_S = 40.0
 POLL_S = 0.05
@@ -40,12 +40,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecoveryShape:
-    """What is measured on.
+    """Parameters of the recovery benchmark.
 
-    :param trials: of each fault.
-    :param seed: draws arrivals, victims and moments.
-    :param callers: each keeps addresses of its own.
-    :param tokens: of each generation.
+    :param trials: number of trials per fault.
+    :param seed: seed of arrivals, victims and fault times.
+    :param callers: number of callers, each with its own address list.
+    :param tokens: tokens of each generation.
     """
 
     trials: int = 20
@@ -62,9 +62,9 @@
 class Result:
     """The trials of one fault.
 
-    :param fault: its name.
-    :param hold_s: seconds until it was healed; 0 for one that wasn't.
-    :param usual: of the calm seconds of all trials.
+    :param fault: name of the fault.
+    :param hold_s: seconds until it was repaired; 0 if it was not.
+    :param usual: latencies of the baseline periods of all trials.
     """
 
     fault: str
@@ -74,12 +74,12 @@
 
     @property
     def violated(self) -> int:
-        """Broken promises of all trials."""
+        """Number of violated guarantees in all trials."""
         return sum(sum(trial.broken.values()) for trial in self.trials)
 
     @property
     def recovered(self) -> bool:
-        """Whether every trial ended with the site as before."""
+        """Whether the site recovered in every trial."""
         return all(math.isfinite(trial.recovery_s) for trial in self.trials)
 
 
@@ -89,14 +89,14 @@
     folder: pathlib.Path,
     on_trial_end: collections.abc.Callable[[int], None] = lambda _number: None,
 ) -> Result:
-    """Carry out all trials of one fault.
+    """Run all trials of one fault.
 
-    :param name: of the fault.
-    :param folder: for settings and logs.
-    :param done: told the number of each trial that has ended.
+    :param name: name of the fault.
+    :param folder: directory of settings and logs.
+    :param on_trial_end: called with the number of each trial that has ended.
     """
     fault = recoveryfaults.FAULT_BY_NAME[name]
-    seen: list[recoveryanalysis.Observation] = []
+    observations: list[recoveryanalysis.Observation] = []
     with contextlib.ExitStack() as shared_stack:
         site = None
         for number in range(shape.trials):
@@ -105,15 +105,15 @@
                     site = _Site(
                         shape, fault, folder, shared_stack if fault.reuses_site else trial_stack
                     )
-                seen.append(_Trial(shape, fault, site, number, seen).run())
+                observations.append(_Trial(shape, fault, site, number, observations).run())
             on_trial_end(number)
-    usual = recoveryanalysis.baseline(seen)
-    trials = tuple(recoveryanalysis.analyze_trial(each, usual) for each in seen)
-    return Result(name, fault.hold_s, usual, trials)
+    baseline = recoveryanalysis.baseline(observations)
+    trials = tuple(recoveryanalysis.analyze_trial(each, baseline) for each in observations)
+    return Result(name, fault.hold_s, baseline, trials)
 
 
 class _Site:
-    """A running site with the links that the fault needs."""
+    """A running site with the proxies that the fault needs."""
 
     def __init__(
         self,
@@ -122,21 +122,21 @@
         folder: pathlib.Path,
         stack: contextlib.ExitStack,
     ) -> None:
-        plain = localsite.Shape(shape.nodes, shape.engines)
-        self.links = tcpproxy.TcpProxies(*fault.links(plain))
+        plain_shape = localsite.Shape(shape.nodes, shape.engines)
+        self.links = tcpproxy.TcpProxies(*fault.links(plain_shape))
         stack.callback(self.links.close)
-        # The team's own limits are not what is measured: requests hang while a node is
-        # frozen, and a team at its limit would be refused for that.
+        # Team limits are raised because requests hang while a node is frozen; a team that
+        # reaches its limit for that reason would be refused, which is not measured here.
         team = {
             "key_hashes": [identity.hash_key(localsite.TEAM_KEY)],
             "requests_in_flight": 10_000,
             "tokens_in_flight": 100_000_000,
         }
-        wanted = dataclasses.replace(
-            plain, base={"teams": {localsite.TEAM: team}}, route=self.links.route
+        site_shape = dataclasses.replace(
+            plain_shape, base={"teams": {localsite.TEAM: team}}, route=self.links.route
         )
         site_folder = pathlib.Path(tempfile.mkdtemp(dir=folder))
-        self.running = stack.enter_context(localsite.LocalSite(wanted, site_folder))
+        self.running = stack.enter_context(localsite.LocalSite(site_shape, site_folder))
 
     def addresses(self) -> tuple[str, ...]:
         """Return the addresses of all nodes."""
@@ -168,38 +168,40 @@
         )
 
     def run(self) -> recoveryanalysis.Observation:
-        """Carry it out."""
+        """Run the trial and return what callers observed."""
         ledgers = recoverychecks.Ledgers()
         self._traffic.start()
         try:
-            seen = self._observe(ledgers)
+            observation = self._observe(ledgers)
         finally:
             self._traffic.stop()
         running = self._site.running
         _read_ledgers(running, ledgers, tuple(running.address_by_name))
         records = self._traffic.records()
         broken = recoverychecks.count_violations(records, ledgers)
-        return dataclasses.replace(seen, records=records, broken=broken)
+        return dataclasses.replace(observation, records=records, broken=broken)
 
     def _observe(self, ledgers: recoverychecks.Ledgers) -> recoveryanalysis.Observation:
-        """Hurt the site and wait until it is as before."""
+        """Inject the fault and wait until the site has recovered."""
         running, links = self._site.running, self._site.links
         victim = self._fault.choose_victim(running, self._rng)
-        calm_s = BASELINE_S + BASELINE_JITTER_S * self._rng.random()
+        baseline_s = BASELINE_S + BASELINE_JITTER_S * self._rng.random()
         time.sleep(WARM_UP_S)
         baseline_from = time.monotonic()
-        time.sleep(calm_s)
-        # An engine that dies takes its ledger along.
+        time.sleep(baseline_s)
+        # The ledger of an engine is lost when the engine is killed.
         _read_ledgers(running, ledgers, (victim,))
         fault_at = time.monotonic()
         self._fault.inject(running, links, victim)
         time.sleep(self._fault.hold_s)
         self._fault.repair(running, links, victim)
-        seen = recoveryanalysis.Observation(victim, baseline_from, fault_at, (), {}, False)
-        return dataclasses.replace(seen, has_recovered=self._wait_until_recovered(seen))
+        observation = recoveryanalysis.Observation(victim, baseline_from, fault_at, (), {}, False)
+        return dataclasses.replace(
+            observation, has_recovered=self._wait_until_recovered(observation)
+        )
 
     def _wait_until_recovered(self, initial: recoveryanalysis.Observation) -> bool:
-        """Wait until no request has been affected for some seconds."""
+        """Wait until no request has been affected for :data:`RECOVERED_S`."""
         fault_at = initial.fault_at
         until = time.monotonic() + RECOVERY_TIMEOUT_S
         waiting_since = time.monotonic()
@@ -208,11 +210,11 @@
             partial = dataclasses.replace(
                 initial, records=self._traffic.records(), has_recovered=True
             )
-            usual = recoveryanalysis.baseline((*self._earlier, partial))
-            seen = recoveryanalysis.analyze_trial(partial, usual)
+            baseline = recoveryanalysis.baseline((*self._earlier, partial))
+            trial = recoveryanalysis.analyze_trial(partial, baseline)
             now = time.monotonic()
             oldest_open_at = self._traffic.oldest_open_due_at() or now
-            unaffected_since = max(waiting_since, fault_at + seen.recovery_s)
+            unaffected_since = max(waiting_since, fault_at + trial.recovery_s)
             if now - unaffected_since >= RECOVERED_S and now - oldest_open_at < RECOVERED_S:
                 return True
         return False
--- a/hornbeamglade/bench/recoveryanalysis.py
+++ b/hornbeamglade/bench/recoveryanalysis.py
@@ -1,13 +1,13 @@
-"""When service was as before, decided from what callers saw.
+"""Computes the recovery time of a trial from what callers observed.
 
 Explanation
 ===========
 
-What is usual is taken from the calm seconds before the faults, of all trials of a
-run together. A request is affected when it was refused, cut, left unknown, or slow:
-its first token (a hold's answer) or a gap between tokens took longer than
-:data:`SLOW_FACTOR` times the usual 95th percentile. The calm requests that are beyond
-that as well are counted; they tell how much of the slowness is the machine's own.
+The baseline is taken from the periods before the faults, over all trials of a run. A
+request is affected if it was refused, cut, had an unknown outcome, or was slow: its first
+token (or the response of a hold) or a gap between tokens took longer than
+:data:`SLOW_FACTOR` times the 95th percentile of the baseline. Affected requests of the
+baseline period are counted too; they show how much slowness is due to the machine itself.
 """
 
 import collections
@@ -25,11 +25,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Baseline:
-    """The calm 95th percentiles, in seconds.
+    """95th percentiles of the baseline period, in seconds.
 
-    :param first_s: until the first token.
-    :param gap_s: the longest gap of an answer.
-    :param hold_s: until a hold's answer.
+    :param first_s: time until the first token.
+    :param gap_s: longest gap of a response.
+    :param hold_s: time until the response of a hold.
     """
 
     first_s: float
@@ -39,14 +39,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """What one trial saw.
-
-    :param victim: what was hurt.
-    :param calm_from: monotonic seconds from which the site was warm.
-    :param fault_at: when the fault began.
-    :param records: all requests, also those of the calm seconds.
-    :param broken: broken promises, by kind.
-    :param is_quiet: whether the site was as before again when the trial ended.
+    """What was observed in one trial.
+
+    :param victim: process or link that the fault affected.
+    :param baseline_from: monotonic seconds at which the warm-up ended.
+    :param fault_at: when the fault was injected.
+    :param records: all requests, including those of the baseline period.
+    :param broken: number of violated guarantees, by kind.
+    :param has_recovered: whether the site had recovered when the trial ended.
     """
 
     victim: str
@@ -59,13 +59,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trial:
-    """The figures of one trial; seconds count from the fault.
+    """Results of one trial; times are in seconds after the fault.
 
-    :param recovery_s: until the last affected request was over; infinite when the site
-        wasn't as before when the trial ended.
+    :param recovery_s: until the last affected request ended; infinite if the site had not
+        recovered when the trial ended.
     :param sent_s: until the last affected request was sent.
-    :param requests: those that ended after the fault.
-    :param count_by_code: of those refused, cut or unknown.
+    :param requests: requests that ended after the fault.
+    :param count_by_code: refused, cut and unknown requests, by code.
     """
 
     victim: str
@@ -83,20 +83,20 @@
 
     @property
     def affected(self) -> int:
-        """Requests that weren't as before."""
+        """Number of requests that the fault affected."""
         return self.refused + self.cut + self.unknown + self.slow
 
 
 def baseline(observations: collections.abc.Iterable[Observation]) -> Baseline:
-    """Return what was usual in the calm seconds."""
-    calm = [
+    """Return the latencies of the baseline periods."""
+    requests = [
         record
         for each in observations
         for record in _baseline_records(each)
         if _is_complete(record)
     ]
-    texts = [record for record in calm if not record.call.is_hold]
-    holds = [record.first_s for record in calm if record.call.is_hold]
+    texts = [record for record in requests if not record.call.is_hold]
+    holds = [record.first_s for record in requests if record.call.is_hold]
     return Baseline(
         percentile([record.first_s for record in texts], _USUAL_PERCENT),
         percentile([record.gap_s for record in texts], _USUAL_PERCENT),
@@ -105,7 +105,7 @@
 
 
 def analyze_trial(observation: Observation, reference: Baseline) -> Trial:
-    """Return the figures of one trial."""
+    """Compute the results of one trial."""
     ended_after_fault = [
         (affected_at(record, reference), record)
         for record in observation.records
@@ -138,7 +138,7 @@
 
 
 def affected_at(record: recoverycallers.Record, reference: Baseline) -> float | None:
-    """Return when an affected request was over with its trouble, or None for a usual one."""
+    """Return when the effect on a request ended, or None for an unaffected request."""
     if not _is_complete(record):
         return record.ended_at
     first_bound_s = reference.hold_s if record.call.is_hold else reference.first_s
@@ -151,7 +151,7 @@
 
 
 def percentile(values: collections.abc.Iterable[float], percent: float) -> float:
-    """Return the smallest value that ``percent`` of the values don't exceed.
+    """Return the smallest value such that ``percent`` of the values do not exceed it.
 
     Examples
     ========
--- a/hornbeamglade/bench/recoverycallers.py
+++ b/hornbeamglade/bench/recoverycallers.py
@@ -1,4 +1,4 @@
-"""The callers of the recovery bench: they follow the address answer and time what they get."""
+"""Callers of the recovery benchmark, which use listed addresses and record latencies."""
 
 import collections.abc
 import dataclasses
@@ -12,7 +12,7 @@
 
 ADDRESSES_TIMEOUT_S = 1.0
 READ_TIMEOUT_S = 25.0
-"""Callers wait longer than any fault holds: a late answer counts as slow, not as lost."""
+"""Longer than any fault lasts, so that a late response counts as slow and not as lost."""
 
 _REFUSED_FROM = 400
 
@@ -28,10 +28,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One request as planned.
+    """One planned request.
 
-    :param name: unique in the bench; a hold's ``Idempotency-Key``.
-    :param tokens: of the answer; 0 for a hold.
+    :param name: unique in the benchmark; the ``Idempotency-Key`` of a hold.
+    :param tokens: length of the response; 0 for a hold.
     :param due_at: monotonic seconds at which it is sent.
     """
 
@@ -47,17 +47,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Record:
-    """What a caller got, by monotonic seconds.
+    """Outcome of one request at its caller, with times in monotonic seconds.
 
-    :param first_at: when the first token came, or a hold's answer.
+    :param first_at: when the first token or the response of a hold arrived.
     :param gap_s: the longest time between two tokens.
-    :param gap_at: when that ended.
-    :param request_id: what the node that answered named the request.
-    :param mark: the generation that the tokens name.
-    :param run: what a refusal says of the run, over all attempts with a hold's key.
-    :param attempt_run: what it says of its own attempt; the same without a key.
-    :param attempts: addresses that were tried.
-    :param violated: what was wrong with the tokens; empty when nothing was.
+    :param gap_at: when that gap ended.
+    :param request_id: id that the answering node gave the request.
+    :param mark: mark of the generation, as contained in the tokens.
+    :param run: whether the request ran according to a refusal, over all attempts with the
+        key of a hold.
+    :param attempt_run: whether the refused attempt itself ran; the same without a key.
+    :param attempts: number of addresses that were tried.
+    :param violated: kind of error in the tokens; empty without one.
     """
 
     call: Call
@@ -82,16 +83,16 @@
 
 
 class AddressBook:
-    """The addresses that one caller uses.
+    """The addresses that one caller uses, in order of preference.
 
     Explanation
     ===========
 
-    The order is the site's own answer; an address that failed goes to the end until
-    the next answer. The addresses the caller began with are a last resort.
+    The order is the one that the site listed. An address that failed moves to the end until
+    the next refresh. The initial addresses are a last resort.
 
-    :param first: the addresses the caller begins with.
-    :param key: the team's key.
+    :param initial: the addresses the caller starts with.
+    :param key: API key of the team.
     """
 
     def __init__(self, initial: collections.abc.Sequence[str], key: str) -> None:
@@ -101,18 +102,18 @@
         self._lock = threading.Lock()
 
     def order(self) -> tuple[str, ...]:
-        """Return the addresses in the order in which they are tried."""
+        """Return the addresses in the order in which to try them."""
         with self._lock:
             return tuple(dict.fromkeys(self._listed + self._initial))
 
     def mark_failed(self, address: str) -> None:
-        """Note that no connection could be had, or that it was lost."""
+        """Move an address to the end after a connection failed or was lost."""
         with self._lock:
             rest = tuple(each for each in self._listed if each != address)
             self._listed = (*rest, address) if address in self._listed else rest
 
     def refresh(self) -> float:
-        """Ask for addresses; return the seconds for which the answer holds."""
+        """Fetch the address list; return the seconds for which it is valid."""
         request_bytes = recoveryexchange.build_request("GET", "/v1/addresses", self._key)
         for address in self.order():
             try:
@@ -129,10 +130,10 @@
 
 
 class Caller:
-    """Sends requests and tells how they ended; safe to use from several threads.
+    """Sends requests and records how they ended; safe to use from several threads.
 
-    :param catalog: the addresses to use.
-    :param key: the team's key.
+    :param address_book: the addresses to use.
+    :param key: API key of the team.
     """
 
     def __init__(self, address_book: AddressBook, key: str) -> None:
@@ -140,10 +141,10 @@
         self._key = key
 
     def send(self, call: Call) -> Record:
-        """Send a request, to the next address too when a connection fails.
+        """Send a request, and retry at the next address when a connection fails.
 
-        A generation whose tokens have begun isn't sent again; a hold is, with the
-        same key, which runs it at most once.
+        A generation is not retried after its first token. A hold is retried with the same
+        idempotency key, so it runs at most once.
         """
         record = Record(call)
         request_bytes = (
@@ -160,7 +161,7 @@
         return record
 
     def _attempt(self, address: str, request_bytes: bytes, record: Record) -> bool:
-        """Try one address; return whether that ends the request."""
+        """Try one address; return whether the request has ended."""
         answer = _ResponseRecorder(record)
         try:
             return answer.conclude(
@@ -171,7 +172,7 @@
         except TimeoutError as error:
             record.code = type(error).__name__
             return not isinstance(error, recoveryexchange.NotConnectedError)
-        # An answer that isn't HTTP or JSON, as a cut one may be, is a lost connection.
+        # A truncated response may not parse as HTTP or JSON; that is a lost connection.
         except (OSError, ValueError, codederrors.CodedError) as error:
             record.code = type(error).__name__
             record.ending = Ending.CUT if record.tokens else Ending.UNKNOWN
@@ -179,7 +180,7 @@
 
 
 class _ResponseRecorder:
-    """Takes one answer's events into a record."""
+    """Records the events of one response."""
 
     def __init__(self, record: Record) -> None:
         self._record = record
@@ -196,7 +197,7 @@
             self._error = event.data
 
     def conclude(self, parser: loadresponses.ResponseParser) -> bool:
-        """Judge the answer; return False when the connection ended without one."""
+        """Record how the response ended; return False if the connection closed without one."""
         record = self._record
         if parser.status is None or (record.call.is_hold and not parser.complete):
             record.code = "closed"
--- a/hornbeamglade/bench/recoverychecks.py
+++ b/hornbeamglade/bench/recoverychecks.py
@@ -1,4 +1,4 @@
-"""What callers were told, held against what the backend servers ran."""
+"""Compares what callers were told with what the backend servers ran."""
 
 import collections
 import collections.abc
@@ -12,11 +12,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Ledgers:
-    """What the stand-ins ran, gathered also from one that is about to be killed.
+    """Runs of the stand-in servers, including those of a server read before it is killed.
 
-    :param run_ids_by_mark: the requests' ids by the mark of their tokens.
-    :param request_ids: of all generations that were run.
-    :param count_by_key: how often each hold was run.
+    :param run_ids_by_mark: request ids by the mark of their tokens.
+    :param request_ids: ids of all generations that ran.
+    :param count_by_key: number of runs of each hold.
     """
 
     run_ids_by_mark: dict[str, set[str]] = dataclasses.field(
@@ -26,27 +26,27 @@
     count_by_key: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
 
     def add_engine(self, ledger: collections.abc.Mapping[str, typing.Any]) -> None:
-        """Add an engine's runs; the attempt's number is taken off their ids."""
+        """Add the runs of an engine; the attempt number is removed from their ids."""
         for run in ledger.get("runs", ()):
             request_id = run["request_id"].rpartition(".")[0]
             self.request_ids.add(request_id)
             self.run_ids_by_mark[run["mark"]].add(request_id)
 
     def add_service(self, ledger: collections.abc.Mapping[str, typing.Any]) -> None:
-        """Add a plain service's runs."""
+        """Add the runs of a plain service."""
         self.count_by_key.update(ledger.get("count_by_key", {}))
 
 
 def count_violations(
     records: collections.abc.Iterable[recoverycallers.Record], ledgers: Ledgers
 ) -> dict[str, int]:
-    """Count the requests for which a promise was broken, by what was broken.
+    """Count the requests whose delivery guarantees were violated, by kind of violation.
 
     Explanation
     ===========
 
-    An engine that was killed takes its last runs with it: of these, a splice or a
-    repetition still shows in the tokens, a false "not run" does not.
+    The ledger of a killed engine lacks its last runs. For these, a splice or a repetition is
+    still visible in the tokens, but a false "not run" is not.
     """
     count_by_kind = dict.fromkeys(VIOLATIONS, 0)
     for record in records:
@@ -76,7 +76,7 @@
         return "doubled"
     if record.ending is recoverycallers.Ending.WHOLE and not ran:
         return "lost"
-    # What is said of the attempt alone leaves open whether an earlier one ran.
+    # A statement about the last attempt alone does not cover earlier attempts.
     says_not_run = record.run == "not_run" or record.attempts == 1
     is_refused = record.ending is recoverycallers.Ending.REFUSED and says_not_run
     return "falsely_refused" if is_refused and ran else ""
--- a/hornbeamglade/bench/recoveryexchange.py
+++ b/hornbeamglade/bench/recoveryexchange.py
@@ -1,4 +1,4 @@
-"""One request over one connection of its own, as a caller of the recovery bench sends it."""
+"""Sends one request of the recovery benchmark over a new connection."""
 
 import collections.abc
 import socket
@@ -11,7 +11,7 @@
 
 
 class NotConnectedError(TimeoutError):
-    """No connection came to stand in time; nothing was sent."""
+    """The connection was not established in time; nothing was sent."""
 
 
 def send_request(
@@ -20,12 +20,12 @@
     read_timeout_s: float,
     on_event: collections.abc.Callable[[loadresponses.Event], None] = lambda event: None,
 ) -> loadresponses.ResponseParser:
-    """Send one request and read the answer as far as it comes.
+    """Send one request and read its response until it is complete or the connection closes.
 
-    :param silence_s: seconds without a byte after which it is given up.
-    :param take: told each event as it comes.
+    :param read_timeout_s: seconds without a byte after which reading fails.
+    :param on_event: called with each event as it arrives.
     :raises OSError: when the connection fails.
-    :raises CodedError: when what comes is no HTTP answer.
+    :raises CodedError: when the received data is not an HTTP response.
     """
     host, _, port = address.rpartition(":")
     try:
@@ -52,8 +52,8 @@
 ) -> bytes:
     """Return the bytes of one request.
 
-    :param key: the team's key.
-    :param more: further headers.
+    :param key: API key of the team.
+    :param extra_headers: additional headers.
     """
     header_by_name = {
         "Host": "site",
--- a/hornbeamglade/bench/recoveryfaults.py
+++ b/hornbeamglade/bench/recoveryfaults.py
@@ -1,4 +1,4 @@
-"""The faults of the recovery bench: what is hurt, for how long, and how it heals."""
+"""The faults of the recovery benchmark: their victims, durations and repair."""
 
 import abc
 import collections.abc
@@ -13,14 +13,13 @@
 
 
 class Fault(abc.ABC):
-    """One fault on one victim.
-
-    :cvar name: as on the command line.
-    :cvar hold_s: seconds until it is healed; 0 for one that isn't, or that is over
-        at once.
-    :cvar reuses_site: whether the next trial may use the same site. It may not when a
-        process has died, or when nodes keep a memory of the fault, as they do of an
-        engine that failed: the later trials would not meet what the first one met.
+    """One fault of one victim.
+
+    :cvar name: name on the command line.
+    :cvar hold_s: seconds until it is repaired; 0 for a permanent or momentary fault.
+    :cvar reuses_site: whether the next trial may use the same site. It may not if a process
+        was killed, or if nodes keep state about the fault, as they do about a failed engine:
+        later trials would then start under different conditions than the first one.
     """
 
     name: str
@@ -28,20 +27,20 @@
     reuses_site = False
 
     def links(self, shape: localsite.Shape) -> tuple[str, ...]:
-        """Return the names of the processes before which a pass-through is needed."""
+        """Return the names of the processes that need a proxy in front of them."""
         return ()
 
     @abc.abstractmethod
     def choose_victim(self, site: localsite.LocalSite, rng: random.Random) -> str:
-        """Return the name of the process or link that is hurt."""
+        """Return the name of the process or link that the fault affects."""
 
     @abc.abstractmethod
     def inject(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
-        """Hurt the victim."""
+        """Inject the fault."""
 
     @abc.abstractmethod
     def repair(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
-        """End the fault; nothing for one that stays, or that is over at once."""
+        """End the fault; does nothing for a permanent or momentary fault."""
 
 
 class _NoRepair(Fault):
@@ -91,52 +90,52 @@
 
 
 class KillNode(_Kill, _OfNode):
-    """An entry node dies and stays dead."""
+    """An entry node is killed and not restarted."""
 
     name = "kill_node"
 
 
 class FreezeNode(_Freeze, _OfNode):
-    """An entry node is paused and goes on."""
+    """An entry node is paused and resumed."""
 
     name = "freeze_node"
     reuses_site = True
 
 
 class KillEngine(_Kill, _OfEngine):
-    """An engine dies and stays dead."""
+    """An engine is killed and not restarted."""
 
     name = "kill_engine"
 
 
 class FreezeEngine(_Freeze, _OfEngine):
-    """An engine is paused and goes on."""
+    """An engine is paused and resumed."""
 
     name = "freeze_engine"
 
 
 class StallLink(_HoldResponses, _OfEngine):
-    """Nothing comes back from an engine, on old and new connections."""
+    """No data comes back from an engine, on existing and new connections."""
 
     name = "stall_link"
     hold_s = STALL_S
 
     def links(self, shape: localsite.Shape) -> tuple[str, ...]:
-        """Every engine's link: any of them may be the victim."""
+        """Return the links of all engines, since any engine may be the victim."""
         return _engine_names(shape)
 
 
 class CutLink(_NoRepair, _OfEngine):
-    """The connections to an engine are reset once; new ones pass."""
+    """The connections to an engine are reset once; new ones work."""
 
     name = "cut_link"
 
     def links(self, shape: localsite.Shape) -> tuple[str, ...]:
-        """Every engine's link: any of them may be the victim."""
+        """Return the links of all engines, since any engine may be the victim."""
         return _engine_names(shape)
 
     def inject(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
-        """Reset the connections that stand."""
+        """Reset the open connections."""
         links[victim].reset_connections()
 
 
@@ -146,21 +145,21 @@
     name = "platform_outage"
 
     def inject(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
-        """Have the stand-in refuse."""
+        """Make the stand-in refuse all requests."""
         site.faults(victim, down=True)
 
     def repair(self, site: localsite.LocalSite, links: tcpproxy.TcpProxies, victim: str) -> None:
-        """Have the stand-in answer again."""
+        """Make the stand-in respond again."""
         site.faults(victim)
 
 
 class PlatformStall(_HoldResponses, _OfPlatform):
-    """Nothing comes back from the platform, though what it was sent takes effect."""
+    """No data comes back from the platform, although requests to it take effect."""
 
     name = "platform_stall"
 
     def links(self, shape: localsite.Shape) -> tuple[str, ...]:
-        """The platform's link."""
+        """Return the link of the platform."""
         return (localsite.PLATFORM,)
 
 
--- a/hornbeamglade/bench/recoveryreport.py
+++ b/hornbeamglade/bench/recoveryreport.py
@@ -1,4 +1,4 @@
-"""The figures of the recovery bench as text and as plain values."""
+"""Formats the results of the recovery benchmark as text and as plain values."""
 
 import collections
 import dataclasses
@@ -26,7 +26,7 @@
 
 
 def as_row(result: recovery.Result) -> tuple[str, ...]:
-    """Return one fault's line; counts are of all trials together."""
+    """Return the table cells of one fault; counts are sums over all trials."""
     trials = result.trials
     calm = sum(trial.calm_requests for trial in trials)
     calm_affected = sum(trial.calm_affected for trial in trials)
@@ -48,16 +48,16 @@
 
 
 def notes(result: recovery.Result) -> tuple[str, ...]:
-    """Return what was usual, what callers were told, and what was broken."""
-    told = collections.Counter()
+    """Return lines with the baseline, the failures of callers and the violations."""
+    failures = collections.Counter()
     for trial in result.trials:
-        told.update(trial.count_by_code)
-    usual = result.usual
+        failures.update(trial.count_by_code)
+    baseline = result.usual
     lines = [
-        f"  usual p95: first token {usual.first_s:.3f} s, longest gap {usual.gap_s:.3f} s, "
-        f"hold {usual.hold_s:.3f} s"
+        f"  usual p95: first token {baseline.first_s:.3f} s, longest gap {baseline.gap_s:.3f} s, "
+        f"hold {baseline.hold_s:.3f} s"
     ]
-    lines += [f"  {count} x {code}" for code, count in told.most_common()]
+    lines += [f"  {count} x {code}" for code, count in failures.most_common()]
     for kind in recoverychecks.VIOLATIONS:
         count = sum(trial.broken[kind] for trial in result.trials)
         if count:
@@ -68,7 +68,7 @@
 def as_json_values(
     shape: recovery.RecoveryShape, results: list[recovery.Result]
 ) -> dict[str, typing.Any]:
-    """Return everything as JSON takes it; what did not recover has null for its time."""
+    """Return all results as JSON values; a trial without recovery has a null time."""
     return {
         "shape": dataclasses.asdict(shape),
         "slow_factor": recoveryanalysis.SLOW_FACTOR,
--- a/hornbeamglade/bench/recoverytraffic.py
+++ b/hornbeamglade/bench/recoverytraffic.py
@@ -1,4 +1,4 @@
-"""A steady open-loop stream of requests, from callers that keep their own addresses."""
+"""A steady open-loop stream of requests from callers with their own address lists."""
 
 import collections.abc
 import concurrent.futures
@@ -13,14 +13,14 @@
 
 
 class Traffic:
-    """Requests at random times, whether or not the ones before have ended.
+    """Sends requests at random times, whether or not earlier ones have ended.
 
-    :param callers: each request comes from one of them.
-    :param name: begins the requests' names.
-    :param tokens: of each generation.
-    :param texts_per_s: generations a second.
-    :param holds_per_s: holds a second.
-    :param rng: draws times and callers.
+    :param callers: each request is sent by one of them.
+    :param name: prefix of the names of requests.
+    :param tokens: tokens of each generation.
+    :param texts_per_s: generations per second.
+    :param holds_per_s: holds per second.
+    :param rng: source of send times and callers.
     """
 
     def __init__(
@@ -50,24 +50,24 @@
         ]
 
     def start(self) -> None:
-        """Ask for addresses and begin to send."""
+        """Start refreshing addresses and sending requests."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Send no more, and wait until what was sent has ended."""
+        """Stop sending, and wait until all sent requests have ended."""
         self._stopping.set()
         for thread in self._threads:
             thread.join(_STOP_TIMEOUT_S)
         self._workers.shutdown()
 
     def records(self) -> tuple[recoverycallers.Record, ...]:
-        """Return what has ended so far."""
+        """Return the requests that have ended so far."""
         with self._lock:
             return tuple(self._records)
 
     def oldest_open_due_at(self) -> float | None:
-        """Return when the oldest request that is under way was due, or None."""
+        """Return the due time of the oldest open request, or None."""
         with self._lock:
             return min((call.due_at for call in self._open.values()), default=None)
 
--- a/hornbeamglade/bench/relay.py
+++ b/hornbeamglade/bench/relay.py
@@ -1,11 +1,11 @@
-"""What an entry node costs per token, beside the bare relay and no relay at all.
+"""Benchmark of an entry node's cost per token, compared with a bare relay and no relay.
 
 Explanation
 ===========
 
-All three ways are measured in one run, on the same engines and with the same
-drivers, since figures of two runs on a shared machine do not compare. A relay's
-processor time is read from the system at both ends of the window.
+All three ways are measured in one run, on the same engines and with the same drivers,
+since results of separate runs on a shared machine are not comparable. The CPU time of a
+relay is read from the system at the start and the end of the window.
 """
 
 import collections
@@ -32,10 +32,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RelayShape:
-    """What the bench measures.
+    """Parameters of the relay benchmark.
 
-    :param streams: how many streams at once, one measurement each.
-    :param seconds: length of each measurement's window.
+    :param streams: numbers of concurrent streams, with one measurement each.
+    :param seconds: length of the window of each measurement.
     :param step_s: seconds between the tokens of a stream.
     """
 
@@ -52,12 +52,13 @@
     """One measurement.
 
     :param way: how callers reached the engines.
-    :param tokens_per_s: received by all callers together.
-    :param cpu_us_per_token: the relay's processor time; None without a relay.
-    :param cores: the relay's processor time per second.
-    :param resident_mb: the relay's memory at the end of the window.
-    :param driver_cores: the drivers' own use, which must stay well below one each.
-    :param count_by_ending: callers' streams; "cut" is a stream that ran to the end.
+    :param tokens_per_s: tokens per second that all callers received.
+    :param cpu_us_per_token: CPU time of the relay; None without a relay.
+    :param cores: CPU time of the relay per second.
+    :param resident_mb: resident memory of the relay at the end of the window.
+    :param driver_cores: CPU use of the drivers, which must stay well below one core each.
+    :param count_by_ending: streams by their ending; "cut" is a stream that was still open at
+        the end.
     """
 
     way: str
@@ -72,7 +73,7 @@
 
 
 class _Meter:
-    """Reads a relay's use at both ends of the window."""
+    """Reads the CPU time and memory of a relay at the start and the end of the window."""
 
     def __init__(self, child: loadprocesses.Child | None) -> None:
         self._child = child
@@ -97,8 +98,8 @@
 ) -> tuple[RelayResult, ...]:
     """Measure every way at every number of streams.
 
-    :param folder: for settings and logs of the processes.
-    :param on_result: hears of each measurement as it ends.
+    :param folder: directory of settings and logs of the processes.
+    :param on_result: called with each measurement as it ends.
     """
     site_shape = loadsite.SiteShape(
         engines=shape.engines,
@@ -124,7 +125,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Target:
-    """Where callers connect, and the process whose cost is measured."""
+    """The addresses that callers connect to and the process whose cost is measured."""
 
     addresses: tuple[str, ...]
     child: loadprocesses.Child | None
@@ -182,7 +183,7 @@
     addresses: tuple[str, ...],
     schedule: loadcoordinator.Schedule,
 ) -> tuple[loadplan.PlannedRequest, ...]:
-    """Return requests that begin evenly over the ramp and outlast the window."""
+    """Return requests that start evenly over the ramp and outlast the window."""
     answer_tokens = int((schedule.stop_at_s + _SLACK_S) / shape.step_s)
     document = {"model": loadsite.MODEL, "stream": True, "x_answer_tokens": answer_tokens}
     return tuple(
@@ -195,7 +196,7 @@
                 "Authorization": f"Bearer {loadsite.team_key(_TEAM)}",
                 "X-Request-Id": f"{way.replace(' ', '-')}-{streams}-{number}",
             },
-            # No common prefix: placement by prefix would crowd one engine.
+            # Without a common prefix, as prefix routing would overload one engine.
             body=json.dumps(document | {"prompt": f"{way} {number:04d}: {_PROMPT}"}),
             answer_tokens=answer_tokens,
         )
@@ -204,7 +205,7 @@
 
 
 def no_stream_ended_early(results: collections.abc.Iterable[RelayResult]) -> bool:
-    """Return whether every stream ran to the end of its measurement."""
+    """Return whether every stream was still open at the end of its measurement."""
     return all(set(result.count_by_ending) <= {"cut"} for result in results)
 
 
@@ -215,7 +216,7 @@
 
 
 def as_row(result: RelayResult) -> tuple[str, ...]:
-    """Return one measurement's cells, in the order of ``COLUMN_HEADINGS``."""
+    """Return the table cells of one measurement, in the order of ``COLUMN_HEADINGS``."""
     return (
         result.way,
         str(result.streams),
--- a/hornbeamglade/bench/trialfolders.py
+++ b/hornbeamglade/bench/trialfolders.py
@@ -1,11 +1,11 @@
-"""Folders in which a bench program plays variants of this repository's committed code.
+"""Repository clones in which a bench program runs variants of the committed code.
 
 Explanation
 ===========
 
-The program builds and plays whatever folder it is run in, and leaves an entry of each play in
-the folder's ``journal/``. Each variant gets a clone of its own, so that variants are played
-beside each other; the entries of all, also those of plays that failed, are brought back.
+The program builds and runs the code of its working directory, and writes an entry for each
+trial to the ``journal/`` there. Each variant gets its own clone, so that variants can run in
+parallel. The entries of all trials, including failed ones, are copied back.
 """
 
 import collections.abc
@@ -27,11 +27,12 @@
 def prepare_clone(
     root: pathlib.Path, folder: pathlib.Path, settings_text: str, template: str
 ) -> None:
-    """Clone the repository into a folder, and add to the template of its settings.
+    """Clone the repository into a folder, and append to its settings template.
 
-    :param settings_text: what the variant adds, as it stands in the template.
-    :param template: the template's path in the repository.
-    :raises CodedError: ``tree_not_committed`` when there are changes beside the journal's.
+    :param settings_text: text that the variant appends to the template.
+    :param template: path of the template in the repository.
+    :raises CodedError: ``tree_not_committed`` when there are uncommitted changes outside the
+        journal.
     """
     changed = _git(root, "status", "--porcelain", "--", ".", f":!{JOURNAL}")
     if changed:
@@ -49,12 +50,12 @@
 
 
 class FolderTrialRunner(pairedtrials.TrialRunner):
-    """Plays days by a bench program, each variant in its folder.
+    """Runs trials by a bench program, each variant in its own folder.
 
-    :param program: the program's path.
-    :param site: the path of the site's file.
-    :param folder_by_variant: where each variant lies.
-    :param why: what the plays are for; kept in each entry of the journal.
+    :param program: path of the program.
+    :param site: path of the site file.
+    :param folder_by_variant: folder of each variant.
+    :param why: purpose of the trials; stored in each journal entry.
     :param options: further options of the program.
     """
 
@@ -73,7 +74,7 @@
         self._options = tuple(options)
 
     def run_trial(self, trial: pairedtrials.Trial) -> dayreports.DayOutcome:
-        """Play a day; its output is kept beside its report."""
+        """Run a trial; its output is kept beside its report."""
         folder = self._folder_by_variant[trial.variant]
         day = pathlib.PurePath(trial.day).stem
         report = folder.parent / f"{trial.variant}-{day}-{trial.seed}.json"
@@ -110,7 +111,7 @@
 def collect_journal_entries(
     root: pathlib.Path, folders: collections.abc.Iterable[pathlib.Path]
 ) -> int:
-    """Copy new entries of the folders' journals to the repository's; return how many files."""
+    """Copy new journal entries of the folders to the repository; return their number."""
     journal = root / JOURNAL
     count = 0
     for folder in folders:
--- a/tests/bench/test_load.py
+++ b/tests/bench/test_load.py
@@ -19,7 +19,7 @@
 )
 from hornbeamglade.standins import engine
 
-_BOUND_S = 20.0
+_TIMEOUT_S = 20.0
 
 
 def _event(mark, offset):
@@ -47,7 +47,7 @@
     return start
 
 
-def _drive(*addresses, answer_tokens=3, stop_at_s=_BOUND_S, requests=1):
+def _drive(*addresses, answer_tokens=3, stop_at_s=_TIMEOUT_S, requests=1):
     planned = [
         loadplan.PlannedRequest(
             number=number,
@@ -77,7 +77,7 @@
     return loaddriver.Driver(plan).run()
 
 
-def test_a_whole_answer_is_complete(serve):
+def test_a_whole_response_is_complete(serve):
     report = _drive(serve([b": keep-alive\n\n", *(_event(_A, n) for n in range(3)), _DONE]))
     (result,) = report.results
     assert (result.ending, result.tokens, report.window_tokens) == ("complete", 3, 3)
@@ -92,10 +92,10 @@
         ([(_A, 0), (_A, 1)], "short"),
     ],
 )
-def test_a_broken_promise_is_seen(serve, tokens, code):
-    # A citizen's reply says the same sentence twice, or goes on as another
-    # letter: a stream was resumed at the wrong offset, or from another
-    # generation, and the bench reported a fast and complete answer.
+def test_a_violated_delivery_guarantee_is_detected(serve, tokens, code):
+    # Guards against a stream that was resumed at the wrong offset or from another
+    # generation, so that the caller received repeated or foreign text, while the
+    # benchmark reported a fast and complete response.
     (result,) = _drive(serve([_event(*token) for token in tokens] + [_DONE])).results
     assert (result.ending, result.code) == ("violated", code)
 
@@ -114,7 +114,7 @@
     assert (result.ending, result.code, result.run) == ("failed", "engine_lost", "ran")
 
 
-def test_an_answer_without_an_end_is_a_failure(serve):
+def test_a_response_without_an_end_is_a_failure(serve):
     (result,) = _drive(serve([_event(_A, 0)])).results
     assert (result.ending, result.code) == ("failed", "closed")
 
@@ -132,7 +132,7 @@
     assert loaddriver.merged_gaps([report]).get_max_value() >= 500_000
 
 
-def test_the_driver_ends_by_itself(serve):
+def test_the_driver_stops_at_its_stop_time(serve):
     def pieces():
         yield _event(_A, 0)
         time.sleep(1.2)
@@ -142,13 +142,13 @@
     assert result.ending == "cut"
 
 
-def test_the_next_address_is_tried_when_one_is_gone(serve):
+def test_the_next_address_is_tried_when_one_is_unreachable(serve):
     alive = serve([*(_event(_A, n) for n in range(3)), _DONE])
     (result,) = _drive("127.0.0.1:9", alive).results
     assert result.ending == "complete"
 
 
-def test_answers_pass_the_bare_relay_whole():
+def test_the_bare_relay_forwards_complete_responses():
     backend = engine.serve(engine.EngineSettings(step_s=0.002))
     backend.start()
     relay = barerelay.RelayServer([backend.address])
@@ -195,14 +195,14 @@
     assert _traffic(1) == _traffic(1) != _traffic(2)
 
 
-def test_teams_send_by_weight_at_the_rate_asked_for():
+def test_teams_send_by_weight_at_the_requested_rate():
     planned = _traffic(3)
     share = sum(request.team == "a" for request in planned) / len(planned)
     assert 850 < len(planned) < 1150
     assert 0.7 < share < 0.8
 
 
-def test_lengths_are_cut():
+def test_lengths_are_truncated():
     lengths = loadtraffic.Lengths(median=100, sigma=2.0, longest=300)
     drawn = [lengths.draw(random.Random(seed)) for seed in range(300)]
     assert (min(drawn) >= 1, max(drawn)) == (True, 300)
--- a/tests/bench/test_pairedtrials.py
+++ b/tests/bench/test_pairedtrials.py
@@ -1,4 +1,4 @@
-"""Paired trials of variants."""
+"""Paired trials of policy variants."""
 
 import math
 import threading
@@ -13,17 +13,17 @@
     return dayreports.DayOutcome(worth, kinds, broken, {"503": lost})
 
 
-class TrialRunner(pairedtrials.TrialRunner):
+class FakeTrialRunner(pairedtrials.TrialRunner):
     def __init__(self, worth):
         self.worth = worth
         self.running = 0
-        self.most = 0
+        self.max_running = 0
         self.lock = threading.Lock()
 
     def run_trial(self, trial):
         with self.lock:
             self.running += 1
-            self.most = max(self.most, self.running)
+            self.max_running = max(self.max_running, self.running)
         try:
             return outcome(self.worth(trial))
         finally:
@@ -31,17 +31,17 @@
                 self.running -= 1
 
 
-def test_luck_that_both_variants_share_does_not_count():
-    """Days differ by half of their worth, the variants by a hundredth.
+def test_variation_shared_by_both_variants_is_removed():
+    """Seeds change the worth by up to 0.3, the variants differ by 0.01.
 
-    Compared by their means, the error would be forty times what is looked for.
+    Compared by their means, the error would be forty times the difference between the variants.
     """
 
     def worth(trial):
         return 0.1 * trial.seed + (0.01 if trial.variant == "new" else 0.0)
 
     trials = pairedtrials.plan_trials(["old", "new"], ["a"], [1, 2, 3, 4])
-    outcomes, failures = pairedtrials.run_trials(trials, TrialRunner(worth), concurrency=2)
+    outcomes, failures = pairedtrials.run_trials(trials, FakeTrialRunner(worth), concurrency=2)
     assert not failures
     new = pairedtrials.compare(["old", "new"], outcomes)[1]
     assert new.pairs == 4
@@ -49,33 +49,35 @@
     assert new.error < 1e-9
 
 
-def test_no_more_plays_beside_each_other_than_asked_for():
-    runner = TrialRunner(lambda trial: 0.5)
+def test_concurrency_is_limited():
+    runner = FakeTrialRunner(lambda trial: 0.5)
     pairedtrials.run_trials(
         pairedtrials.plan_trials(["old"], ["a"], range(12)), runner, concurrency=2
     )
-    assert runner.most <= 2
+    assert runner.max_running <= 2
 
 
-def test_a_play_without_result_leaves_its_pair_out_and_ends_no_other():
-    """The machine runs out of memory in one play of twenty.
+def test_a_trial_without_result_excludes_only_its_pair():
+    """A trial fails, for example because the machine runs out of memory.
 
-    The other nineteen must still count, and the table must not pair what has no partner.
+    The other trials must still count, and a trial without its partner must not be compared.
     """
 
-    class Failing(TrialRunner):
+    class FailingTrialRunner(FakeTrialRunner):
         def run_trial(self, trial):
             if trial.variant == "new" and trial.seed == 2:
                 raise codederrors.CodedError("day_without_result", "exit code 137")
             return super().run_trial(trial)
 
     trials = pairedtrials.plan_trials(["old", "new"], ["a"], [1, 2, 3])
-    outcomes, failures = pairedtrials.run_trials(trials, Failing(lambda trial: 0.5), concurrency=1)
+    outcomes, failures = pairedtrials.run_trials(
+        trials, FailingTrialRunner(lambda trial: 0.5), concurrency=1
+    )
     assert [each.seed for each in failures] == [2]
     assert pairedtrials.compare(["old", "new"], outcomes)[1].pairs == 2
 
 
-def test_the_table_names_broken_rules_with_day_and_seed():
+def test_the_table_lists_violated_rules_with_day_and_seed():
     trial = pairedtrials.Trial("old", "crowd", 7)
     comparisons = pairedtrials.compare(["old"], {trial: outcome(0.0, 3, ("TWICE",))})
     text = pairedtrials.table(comparisons)
--- a/tests/bench/test_policyreport.py
+++ b/tests/bench/test_policyreport.py
@@ -14,16 +14,16 @@
     return click.testing.CliRunner().invoke(bench.bench, command)
 
 
-def test_a_report_is_written_read_and_joined(tmp_path):
+def test_reports_are_written_read_and_merged(tmp_path):
     out = tmp_path / "report.json"
-    shown = _quick(tmp_path, "--out", str(out))
-    assert shown.exit_code == 0, shown.output
-    assert "| least-outstanding |" in shown.output
-    joined = policyreport.read([out, out])
-    assert len(joined.runs) == 2
+    result = _quick(tmp_path, "--out", str(out))
+    assert result.exit_code == 0, result.output
+    assert "| least-outstanding |" in result.output
+    merged = policyreport.read([out, out])
+    assert len(merged.runs) == 2
 
 
-def test_runs_of_different_duration_are_not_joined(tmp_path):
+def test_runs_of_different_duration_are_not_merged(tmp_path):
     paths = []
     for seconds in (1.0, 2.0):
         paths.append(tmp_path / f"{seconds}.json")
@@ -47,5 +47,5 @@
 
 
 def test_malformed_seeds_are_a_coded_error(tmp_path):
-    shown = click.testing.CliRunner().invoke(bench.bench, ["policy", "--seeds", "a-b"])
-    assert isinstance(shown.exception, codederrors.CodedError)
+    result = click.testing.CliRunner().invoke(bench.bench, ["policy", "--seeds", "a-b"])
+    assert isinstance(result.exception, codederrors.CodedError)
--- a/tests/bench/test_policyrun.py
+++ b/tests/bench/test_policyrun.py
@@ -17,26 +17,26 @@
     assert _figures("probabilistic") == _figures("probabilistic")
 
 
-def test_knowing_every_length_no_stream_is_preempted():
+def test_the_clairvoyant_policy_causes_no_preemptions():
     figures = _figures("clairvoyant")
     assert figures.preemptions_per_1000 == 0
     assert figures.goodput > 0
 
 
-def test_learned_lengths_spare_most_preemptions_in_a_crowd():
-    crowded = _figures("least-outstanding").preemptions_per_1000
-    assert crowded > 100
-    assert _figures("probabilistic").preemptions_per_1000 < crowded / 3
+def test_learned_lengths_avoid_most_preemptions_under_overload():
+    overloaded = _figures("least-outstanding").preemptions_per_1000
+    assert overloaded > 100
+    assert _figures("probabilistic").preemptions_per_1000 < overloaded / 3
 
 
 @pytest.mark.parametrize("fault", list(policyworkload.Fault))
-def test_work_goes_on_beside_a_faulty_replica(fault):
+def test_requests_are_served_despite_a_faulty_replica(fault):
     figures = _figures("probabilistic", fault=fault)
     assert figures.started > 100
     assert (figures.lost > 0) == (fault is policyworkload.Fault.LOST)
 
 
-def test_the_clairvoyant_policy_sees_the_moment_when_two_streams_are_longest():
+def test_the_clairvoyant_policy_checks_the_peak_of_two_streams():
     policy = policyclairvoyant.Clairvoyant(1000, 8, {"r1": 400, "r2": 400, "r3": 4})
     works = [outcomes.Work(f"r{i}", "drafts", "clinic", 0, 100) for i in (1, 2, 3)]
     assert policy.fits(works[0], 0.0)
--- a/tests/bench/test_policyworkload.py
+++ b/tests/bench/test_policyworkload.py
@@ -10,20 +10,20 @@
 
 
 @pytest.mark.parametrize("arrivals", list(policyworkload.Arrivals))
-def test_the_offered_memory_time_meets_the_load(arrivals):
+def test_the_requested_token_steps_match_the_load(arrivals):
     scenario = _scenario(arrivals=arrivals)
     offered = []
     for seed in range(3):
         requests = policyworkload.draw_requests(scenario, seed, 900.0)
-        held = sum(
+        token_steps = sum(
             n.answer_tokens * (n.work.prompt_tokens + 8) + n.answer_tokens**2 / 2 for n in requests
         )
         steps = 900.0 / policyworkload.STEP_S
-        offered.append(held / (scenario.replicas * scenario.capacity_tokens * steps))
+        offered.append(token_steps / (scenario.replicas * scenario.capacity_tokens * steps))
     assert statistics.fmean(offered) == pytest.approx(1.0, abs=0.2)
 
 
-def test_a_seed_gives_the_same_requests_and_another_seed_others():
+def test_the_seed_determines_the_requests():
     first, again, other = (
         policyworkload.draw_requests(_scenario(), seed, 20.0) for seed in (1, 1, 2)
     )
@@ -31,7 +31,7 @@
     assert first != other
 
 
-def test_a_lost_engine_comes_back_empty_and_its_streams_are_told():
+def test_a_failed_engine_restarts_empty_and_returns_its_requests():
     scenario = _scenario()
     replica = policypool.replicas(scenario)[0]
     request = policyworkload.draw_requests(scenario, 1, 20.0)[0]
@@ -55,6 +55,6 @@
     assert figures.gap_max_s == pytest.approx(101 * policyworkload.STEP_S)
 
 
-def test_each_scenario_has_a_name_of_its_own():
+def test_scenario_names_are_unique():
     every = policyscenarios.scenarios(tuple(policyscenarios.SCENARIOS_BY_SET))
     assert len({scenario.name for scenario in every}) == len(every)
--- a/tests/bench/test_trialfolders.py
+++ b/tests/bench/test_trialfolders.py
@@ -1,4 +1,4 @@
-"""Clones of the repository in which a bench program plays."""
+"""Clones of the repository in which a bench program runs."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 from hornbeamglade.cli import main
 from hornbeamglade.core import codederrors
 
-# Plays a day: its worth is 0.5, and 0.1 more where the policy moves no runs.
+# Simulates a day: its worth is 0.5, or 0.6 if the settings contain `moves_runs`.
 PROGRAM = """\
 #!/usr/bin/env python3
 import json, pathlib, sys
@@ -54,19 +54,19 @@
     return root
 
 
-def days(repository, *words):
+def run_days(repository, *words):
     program, site = repository.parent / "program", repository.parent / "site.toml"
-    told = ["bench", "days", str(program), str(site), "--why", "a trial", *words]
-    return testing.CliRunner().invoke(main.main, told)
+    command = ["bench", "days", str(program), str(site), "--why", "a trial", *words]
+    return testing.CliRunner().invoke(main.main, command)
 
 
-def test_variants_are_paired_and_every_entry_of_the_journal_is_kept(repository):
-    done = days(
+def test_variants_are_paired_and_all_journal_entries_are_kept(repository):
+    result = run_days(
         *(repository, "--day", "quiet", "--seed", "1", "--seed", "2", "--no-cpu"),
         *("--variant", "still: {moves_runs: false}"),
     )
-    assert done.exit_code == 0, done.output
-    assert "still | 2 | 0.600 | +0.1000 | 0.0000" in done.output
+    assert result.exit_code == 0, result.output
+    assert "still | 2 | 0.600 | +0.1000 | 0.0000" in result.output
     kept = sorted(path.name for path in (repository / "journal").iterdir())
     assert kept == [f"{name}-quiet-{seed}.json" for name in ("base", "still") for seed in (1, 2)]
     entry = json.loads((repository / "journal" / kept[0]).read_text())
@@ -75,37 +75,37 @@
     assert [path.name for path in repository.iterdir() if "hornbeamglade-days" in path.name] == []
 
 
-def test_the_entries_of_plays_that_failed_are_kept_too(repository):
-    """All plays of a round fail, and its scratch folders are removed with their entries.
+def test_journal_entries_of_failed_trials_are_kept(repository):
+    """All trials fail, and the temporary folders are removed along with their entries.
 
-    Failed trials count like others: an account without them tells of half of the tries.
+    The journal must contain failed trials as well, or it would be incomplete.
     """
-    done = days(repository, "--day", "broken", "--seed", "1")
-    assert done.exit_code == 1
-    assert "day_without_result" in done.output
-    assert "no memory" in done.output
+    result = run_days(repository, "--day", "broken", "--seed", "1")
+    assert result.exit_code == 1
+    assert "day_without_result" in result.output
+    assert "no memory" in result.output
     assert (repository / "journal" / "base-broken-1.json").exists()
 
 
-def test_code_that_is_not_committed_is_not_played(repository):
-    """A figure of code that nobody can look up says nothing later."""
+def test_uncommitted_code_is_not_run(repository):
+    """Results of code that is not in the repository could not be reproduced."""
     pathlib.Path("deploy", "settings.yaml").write_text("name: y\n")
-    done = days(repository, "--day", "quiet", "--seed", "1")
-    assert done.exit_code == 2
-    assert done.output.startswith("tree_not_committed")
+    result = run_days(repository, "--day", "quiet", "--seed", "1")
+    assert result.exit_code == 2
+    assert result.output.startswith("tree_not_committed")
 
 
 @pytest.mark.parametrize(
     "variant", ["far", "a: {b: 1}", "a: {placement_s: -1}", "1: {}", "a: [", "a: {}\nb: {}"]
 )
-def test_a_variant_that_cannot_be_read_has_a_code(repository, variant):
-    done = days(repository, "--day", "quiet", "--seed", "1", "--variant", variant)
-    assert done.exit_code == 2
-    assert done.output.startswith("variant_invalid")
+def test_an_invalid_variant_is_refused_with_a_code(repository, variant):
+    result = run_days(repository, "--day", "quiet", "--seed", "1", "--variant", variant)
+    assert result.exit_code == 2
+    assert result.output.startswith("variant_invalid")
 
 
-def test_a_program_that_cannot_be_started_is_told(repository):
+def test_a_program_that_cannot_be_started_is_an_error(repository):
     runner = trialfolders.FolderTrialRunner("./missing", "site", {"base": repository}, "why")
-    with pytest.raises(codederrors.CodedError) as told:
+    with pytest.raises(codederrors.CodedError) as raised:
         runner.run_trial(trialfolders.pairedtrials.Trial("base", "quiet", 1))
-    assert told.value.code == trialfolders.NO_RESULT
+    assert raised.value.code == trialfolders.NO_RESULT
