--- a/hornbeamglade/entry/daemon.py
+++ b/hornbeamglade/entry/daemon.py
@@ -180,7 +180,7 @@
         logs.state_changed("settings", "in_force", "changed", node=instance_settings.name)
 
     async def _drain(self) -> None:
-        """Shut down gracefully: announce it first, then let in-flight requests finish."""
+        """Perform the planned stop: announce it, then let in-flight requests finish."""
         logs.state_changed("node", "serving", "leaving", node=self._settings.name)
         stop = self.instance.leave()
         self._callers.leave()
--- a/hornbeamglade/store/tablefollower.py
+++ b/hornbeamglade/store/tablefollower.py
@@ -17,7 +17,7 @@
 recovery, and each call has a cost, even if it is refused."""
 
 COALESCE_S = 0.05
-"""Pause after a change. Hundreds of replicas that come and go change a table hundreds of times
+"""Pause after a change. Hundreds of replicas that start and stop change a table hundreds of times
 per second; polling at once after each change, 45 followers would exceed the capacity of the
 store. Changes must be in force within two seconds."""
 
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -26,7 +26,7 @@
 
 
 def test_single_nearby_instance_is_complemented_from_the_region():
-    """The only instance of a failure domain freezes.
+    """The only instance of a failure domain hangs.
 
     Without an alternative, its callers could not connect until their next lookup.
     """
