--- a/hornbeamglade/http1/clientpool.py
+++ b/hornbeamglade/http1/clientpool.py
@@ -33,7 +33,7 @@
         return self._open_by_address[address]
 
     async def acquire(
-        self, address: str, *, fresh: bool = False, timeout_s: float = CONNECT_TIMEOUT_S
+        self, address: str, *, new_only: bool = False, timeout_s: float = CONNECT_TIMEOUT_S
     ) -> clientside.ServerConnection | clientside.ResponseLost:
         """Return a connection for one request.
 
@@ -41,7 +41,7 @@
         """
         self._open_by_address[address] += 1
         idle = self._idle_by_address.get(address, [])
-        while idle and not fresh:
+        while idle and not new_only:
             connection = idle.pop()
             if connection.is_fresh():
                 return connection
--- a/tests/exchange/test_grantrequests.py
+++ b/tests/exchange/test_grantrequests.py
@@ -33,7 +33,7 @@
     assert again.message.grant_id == number
 
 
-def test_request_without_a_response_is_abandoned_and_released_ids(tracker):
+def test_request_without_a_response_is_abandoned_and_released(tracker):
     number = open_request(tracker)
     assert released_ids(tracker.advance(number, grantrequests.RESPONSE_TIMEOUT_S)) == [number]
     assert tracker.outcome(number) == grantrequests.NoResponse("b")
