--- a/hornbeamglade/capacity/__init__.py
+++ b/hornbeamglade/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes measured here, and what they say of the target size."""
+"""Measured cost slopes and their extrapolation to the target size."""
--- a/hornbeamglade/capacity/bytecount.py
+++ b/hornbeamglade/capacity/bytecount.py
@@ -1,16 +1,16 @@
-"""A TCP pass-through that counts the bytes of a link, both ways together."""
+"""A TCP proxy that counts the bytes of a connection, as a sum of both directions."""
 
 import contextlib
 import socket
 import threading
 
-_PIECE_BYTES = 65_536
+_READ_BYTES = 65_536
 
 
-class CountedLink:
-    """Passes connections on to one server.
+class CountingProxy:
+    """Forwards connections to one server.
 
-    :param target: the server's ``ip:port``.
+    :param target: ``ip:port`` of the server.
     """
 
     def __init__(self, target: str) -> None:
@@ -23,17 +23,17 @@
 
     @property
     def address(self) -> str:
-        """Where clients connect, as ``ip:port``."""
+        """Address for clients to connect to, as ``ip:port``."""
         host, port = self._listener.getsockname()
         return f"{host}:{port}"
 
     @property
-    def bytes_passed(self) -> int:
-        """Bytes passed on so far, both ways."""
+    def bytes_forwarded(self) -> int:
+        """Bytes forwarded so far in both directions."""
         return self._bytes
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Stop accepting connections."""
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -46,12 +46,12 @@
             except OSError:
                 return
             for source, sink in ((client, server), (server, client)):
-                threading.Thread(target=self._pass, args=(source, sink), daemon=True).start()
+                threading.Thread(target=self._forward, args=(source, sink), daemon=True).start()
 
-    def _pass(self, source: socket.socket, sink: socket.socket) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket) -> None:
         with contextlib.suppress(OSError):
-            while piece := source.recv(_PIECE_BYTES):
+            while data := source.recv(_READ_BYTES):
                 with self._lock:
-                    self._bytes += len(piece)
-                sink.sendall(piece)
+                    self._bytes += len(data)
+                sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
--- a/hornbeamglade/capacity/checks.py
+++ b/hornbeamglade/capacity/checks.py
@@ -1,4 +1,4 @@
-"""Where the code carries the target size, and where it does not."""
+"""Checks of whether the code stays within its bounds at the target size."""
 
 import math
 
@@ -21,7 +21,7 @@
 def all_checks(
     measured: slopes.SlopeSet, size: targetsize.SiteSize
 ) -> tuple[checkvalues.Check, ...]:
-    """Return every check, the budget's first."""
+    """Return all checks, those of the budget first."""
     return (
         *_budget_checks(measured, size),
         *_team_checks(measured, size),
@@ -74,7 +74,7 @@
             budget.store_writes_per_s,
             "/s",
             "claims/claimstore.py",
-            f"for {dutiesshared.UNREPEATABLE_PER_S:.0f} claims a second, an assumption",
+            f"for {dutiesshared.NON_IDEMPOTENT_PER_S:.0f} claims a second, an assumption",
         ),
     )
 
@@ -82,19 +82,19 @@
 def _team_checks(
     measured: slopes.SlopeSet, size: targetsize.SiteSize
 ) -> tuple[checkvalues.Check, ...]:
-    pass_s = dutyvalues.place_pass_s(measured, size)
-    placed_here = size.teams * addresses.shard_size(size.nodes, 1 / size.teams, PER_TEAM)
-    round_s = (size.nodes - 1) / dissemination.FANOUT * dissemination.SAMPLED_PERIOD_S
+    placement_pass_s = dutyvalues.placement_pass_s(measured, size)
+    shard_memberships = size.teams * addresses.shard_size(size.nodes, 1 / size.teams, PER_TEAM)
+    heartbeat_round_s = (size.nodes - 1) / dissemination.FANOUT * dissemination.SAMPLED_PERIOD_S
     return (
         checkvalues.Check(
             "the pause of a node's heartbeats while all teams are placed, after each change",
-            pass_s,
+            placement_pass_s,
             dissemination.SAMPLED_PERIOD_S,
             "s of processor",
             "node/applying.py (_place_teams), node/daemon.py (_tick)",
             "heartbeats leave by the thread that places, and so do the settling of schedulers and "
             "reports of progress; answers to other nodes' questions leave by another thread, "
-            f"so the node isn't held for dead; {dutyvalues.place_passes_per_day(size):,.0f} "
+            f"so the node isn't held for dead; {dutyvalues.placement_passes_per_day(size):,.0f} "
             "times a day; place in pieces, and only the teams that are active here",
         ),
         checkvalues.Check(
@@ -107,7 +107,7 @@
         ),
         checkvalues.Check(
             "teams of whose shards a node is one, against the teams that its heartbeat tells",
-            placed_here / size.nodes,
+            shard_memberships / size.nodes,
             messages.MAX_DEMANDS,
             "teams",
             "teams/limits.py (heartbeat), exchange/messages.py (MAX_DEMANDS)",
@@ -116,7 +116,7 @@
         ),
         checkvalues.Check(
             "seconds until two nodes of a team's shard have heard each other",
-            round_s
+            heartbeat_round_s
             if size.nodes > dissemination.FULL_MESH_MAX_NODES
             else dissemination.MESH_PERIOD_S,
             2 * dissemination.SAMPLED_PERIOD_S,
@@ -166,7 +166,7 @@
         ),
         checkvalues.Check(
             "a change in force at every node (poll, adoption, placing all teams)",
-            follower.POLL_S + adoption_s + dutyvalues.place_pass_s(measured, size),
+            follower.POLL_S + adoption_s + dutyvalues.placement_pass_s(measured, size),
             targetsize.BUDGET.change_s,
             "s",
             "configuration/follower.py, node/applying.py (apply)",
--- a/hornbeamglade/capacity/checksrouting.py
+++ b/hornbeamglade/capacity/checksrouting.py
@@ -1,4 +1,4 @@
-"""Bounds on routing, membership and the status page."""
+"""Checks of the bounds on routing, membership and the status page."""
 
 from hornbeamglade.capacity import checkvalues, dutyvalues, slopes, targetsize
 from hornbeamglade.exchange import grantrequests
@@ -11,11 +11,11 @@
 def routing_checks(
     measured: slopes.SlopeSet, size: targetsize.SiteSize
 ) -> tuple[checkvalues.Check, ...]:
-    """Return the checks of how replicas are chosen and known."""
-    heard = checkvalues.heard_part(size.nodes, replicacatalog.REPORT_LIFE_S)
+    """Return the checks of replica selection and of the knowledge of replicas."""
+    heard_fraction = checkvalues.heard_fraction(size.nodes, replicacatalog.REPORT_LIFE_S)
     routing = candidates.RoutingSettings()
-    usable = checkvalues.heard_part(size.nodes, routing.usable_s)
-    looked_at = min(replicacatalog.MAX_REMOTE_CANDIDATES, round(size.replicas_per_pool))
+    usable_fraction = checkvalues.heard_fraction(size.nodes, routing.usable_s)
+    sampled = min(replicacatalog.MAX_REMOTE_CANDIDATES, round(size.replicas_per_pool))
     lost_us = measured.at("membership.domain_lost_us", size.nodes)
     tick_ms = measured.at("membership.tick_us", size.nodes) / checkvalues.MS
     return (
@@ -30,9 +30,9 @@
             "still gone through",
         ),
         checkvalues.Check(
-            f"choices that see fewer than {routing.samples} of the {looked_at} replicas looked "
+            f"choices that see fewer than {routing.samples} of the {sampled} replicas looked "
             "at by a usable word",
-            100 * checkvalues.fewer_than(routing.samples, looked_at, usable),
+            100 * checkvalues.probability_of_fewer_than(routing.samples, sampled, usable_fraction),
             5.0,
             "%",
             "node/replicacatalog.py (candidates) over membership/dissemination.py",
@@ -41,7 +41,7 @@
         ),
         checkvalues.Check(
             "replicas of others of which a node has no fresh word, all in service",
-            100 * (1 - heard),
+            100 * (1 - heard_fraction),
             5.0,
             "%",
             "node/replicacatalog.py (takes_new_work) over membership/dissemination.py",
@@ -51,7 +51,7 @@
         checkvalues.Check(
             "requests to a plain service refused (no_replica) by a node that owns none of its "
             f"{SMALL_POOL} replicas",
-            100 * (1 - heard) ** SMALL_POOL,
+            100 * (1 - heard_fraction) ** SMALL_POOL,
             0.1,
             "%",
             "node/plainhandler.py (_choose) over the same",
--- a/hornbeamglade/capacity/checkvalues.py
+++ b/hornbeamglade/capacity/checkvalues.py
@@ -1,4 +1,4 @@
-"""A bound as a value, and the chances that several bounds rest on."""
+"""The result of a check and the probabilities that several checks use."""
 
 import dataclasses
 import math
@@ -11,23 +11,23 @@
 MB = 1e6
 TOKEN_MS = MS * targetsize.TOKEN_S
 
-CLOSE = 0.2
-"""A bound that holds by a smaller part of it may fail in another run."""
+CLOSE_MARGIN = 0.2
+"""Margin, as a share of the bound, below which a bound may be missed in another run."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Check:
-    """One bound beside what the slopes give for it.
-
-    :param what: what is bounded.
-    :param value: what the slopes give.
-    :param bound: the most that carries.
-    :param unit: of both.
-    :param mechanism: the module that has to carry it.
-    :param remark: what a user sees, or what would mend it.
+    """One bound and the value that follows from the slopes.
+
+    :param description: the bounded quantity.
+    :param value: value computed from the slopes.
+    :param bound: the largest acceptable value.
+    :param unit: unit of both.
+    :param mechanism: the module that determines the value.
+    :param remark: the effect for users, or a possible improvement.
     """
 
-    what: str
+    description: str
     value: float
     bound: float
     unit: str
@@ -35,35 +35,35 @@
     remark: str
 
     @property
-    def carried(self) -> bool:
+    def is_met(self) -> bool:
         """Whether the value is within the bound."""
         return self.value <= self.bound
 
     @property
     def verdict(self) -> str:
-        """Say whether it is carried, and whether so closely that another run may differ."""
-        if not self.carried:
+        """Verdict on the bound, with a note if another run could give a different one."""
+        if not self.is_met:
             return "**not carried**"
-        is_close = self.value > (1 - CLOSE) * self.bound
-        return f"carried, by less than {CLOSE:.0%}" if is_close else "carried"
+        is_close = self.value > (1 - CLOSE_MARGIN) * self.bound
+        return f"carried, by less than {CLOSE_MARGIN:.0%}" if is_close else "carried"
 
 
-def heard_part(nodes: int, within_s: float) -> float:
-    """Return the part of the other nodes that a node hears within some seconds.
+def heard_fraction(nodes: int, within_s: float) -> float:
+    """Return the share of other nodes from which a node receives a heartbeat in time.
 
     Explanation
     ===========
 
-    Each heartbeat that is heard comes from one of the others at random, so this is
-    the chance that a given one is among them.
+    Each received heartbeat comes from a random other node, so this is the probability that
+    at least one of them comes from a given node.
 
-    :param nodes: nodes of the site.
-    :param within_s: seconds.
+    :param nodes: number of nodes of the site.
+    :param within_s: length of the period in seconds.
 
     Examples
     ========
 
-    >>> heard_part(6, 5.0), round(heard_part(360, 5.0), 2)
+    >>> heard_fraction(6, 5.0), round(heard_fraction(360, 5.0), 2)
     (1.0, 0.05)
     """
     if nodes <= dissemination.FULL_MESH_MAX_NODES:
@@ -72,13 +72,13 @@
     return 1 - (1 - 1 / (nodes - 1)) ** heard
 
 
-def fewer_than(least: int, tries: int, chance: float) -> float:
-    """Return the chance of fewer than ``least`` hits in independent tries.
+def probability_of_fewer_than(least: int, tries: int, chance: float) -> float:
+    """Return the probability of fewer than ``least`` successes in independent trials.
 
     Examples
     ========
 
-    >>> fewer_than(1, 2, 0.5), fewer_than(2, 2, 1.0)
+    >>> probability_of_fewer_than(1, 2, 0.5), probability_of_fewer_than(2, 2, 1.0)
     (0.25, 0.0)
     """
     return sum(
--- a/hornbeamglade/capacity/duties.py
+++ b/hornbeamglade/capacity/duties.py
@@ -1,4 +1,4 @@
-"""What each duty of a node costs at a size, worked out from the measured slopes."""
+"""Cost of each duty of a node at a given site size, computed from the measured slopes."""
 
 from hornbeamglade.capacity import dutiesshared, dutyvalues, slopes, targetsize
 from hornbeamglade.exchange import messages
@@ -9,21 +9,21 @@
 PREFIX_BLOCKS = 8192
 
 REMOTE_SHARE = 1.0
-"""An assumption: the part of requests whose replica another node owns, at the worst."""
+"""Assumed worst-case share of requests whose replica is owned by another node."""
 
 
 def all_duties(
     measured: slopes.SlopeSet, size: targetsize.SiteSize, threads: int | None = None
 ) -> tuple[dutyvalues.Duty, ...]:
-    """Return every duty's costs at a size.
+    """Return the costs of every duty at a site size.
 
-    :param threads: caller threads of a node; by default those of its settings.
+    :param threads: caller threads of a node; by default as in its settings.
     """
     if threads is None:
         threads = settings.NodeSettings.model_fields["threads"].default
     return (
         _hot_path(measured, size, threads),
-        _watching(measured, size),
+        _replica_monitoring(measured, size),
         _grants(measured, size),
         _limits(measured, size),
         dutiesshared.leases(measured, size),
@@ -65,7 +65,7 @@
     )
 
 
-def _watching(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> dutyvalues.Duty:
+def _replica_monitoring(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> dutyvalues.Duty:
     owned = size.replicas_per_node
     polls = 1 / daemon.LOAD_S
     owned_us = measured.at("membership.owned_us", size.replicas)
@@ -135,17 +135,19 @@
 
 def _limits(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> dutyvalues.Duty:
     ticks = 1 / daemon.TICK_S
-    passes = dutyvalues.place_passes_per_day(size)
-    telling_s = messages.DEMANDS_INTERVAL_BEATS * dissemination.SAMPLED_PERIOD_S
+    passes_per_day = dutyvalues.placement_passes_per_day(size)
+    demand_period_s = messages.DEMANDS_INTERVAL_BEATS * dissemination.SAMPLED_PERIOD_S
     return dutyvalues.Duty(
         "Keeping team limits",
         f"a share of each of {size.teams:,} teams' limits, at every node",
         (
             dutyvalues.Cost(
-                f"placing every team, {passes:,.0f} times a day (each change of the revision or "
-                "of a member's state)",
+                f"placing every team, {passes_per_day:,.0f} times a day (each change of the "
+                "revision or of a member's state)",
                 ("teams.place_us",),
-                cores=dutyvalues.place_pass_s(measured, size) * passes / targetsize.DAY_S,
+                cores=dutyvalues.placement_pass_s(measured, size)
+                * passes_per_day
+                / targetsize.DAY_S,
             ),
             dutyvalues.Cost(
                 f"looking for such a change, {ticks:.0f} times a second",
@@ -159,7 +161,7 @@
                 ("teams.adjust_us",),
                 cores=measured.at("teams.adjust_us", size.teams)
                 * dutyvalues.MICROSECOND
-                / telling_s,
+                / demand_period_s,
             ),
             dutyvalues.Cost(
                 "limits and shares",
--- a/hornbeamglade/capacity/dutiesshared.py
+++ b/hornbeamglade/capacity/dutiesshared.py
@@ -1,4 +1,4 @@
-"""The duties that a node has for the whole site, whatever requests it serves."""
+"""The duties of a node for the whole site, independent of the requests it serves."""
 
 from hornbeamglade.capacity import dutyvalues, slopes, targetsize
 from hornbeamglade.claims import claimsweep, groupcommit
@@ -7,14 +7,14 @@
 from hornbeamglade.node import daemon, upkeep
 from hornbeamglade.placement import placementsettings
 
-UNREPEATABLE_PER_S = 100.0
-"""An assumption, as the letter names no figure: requests that may not be repeated."""
+NON_IDEMPOTENT_PER_S = 100.0
+"""Assumed rate of non-idempotent requests, as the requirements give no figure."""
 
-METRICS_READINGS_PER_S = 1 / 15
+METRICS_SCRAPES_PER_S = 1 / 15
 
 
 def leases(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> dutyvalues.Duty:
-    """Return the leases' cost."""
+    """Return the cost of leases."""
     placer = placementsettings.PlacerSettings()
     return dutyvalues.Duty(
         "Holding leases (orders to engines)",
@@ -39,7 +39,7 @@
 
 
 def configuration(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> dutyvalues.Duty:
-    """Return the cost of spreading configuration."""
+    """Return the cost of distributing configuration."""
     polls = 1 / follower.POLL_S
     changes = size.changes_per_s
     held = measured.at("config.held_bytes.teams", size.teams)
@@ -77,7 +77,7 @@
 
 
 def membership(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> dutyvalues.Duty:
-    """Return the cost of knowing the nodes."""
+    """Return the cost of membership."""
     frames = dissemination.heartbeats_per_second(size.nodes)
     owned = size.replicas_per_node
     list_s = dutyvalues.list_period_s(size)
@@ -122,14 +122,15 @@
 
 def claims(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> dutyvalues.Duty:
     """Return the cost of claims and of the audit trail."""
-    claims = UNREPEATABLE_PER_S * size.requests_per_s / targetsize.TARGET.requests_per_s
+    claims = NON_IDEMPOTENT_PER_S * size.requests_per_s / targetsize.TARGET.requests_per_s
     sweep_s = dutyvalues.sweep_period_s(size)
     parts = len(claimsweep.HEX_DIGITS) ** claimsweep.PART_DIGITS
-    # Parts are chosen at random, so a claim stays for a mean round of all parts longer.
+    # Each sweep chooses a part at random, so on average a claim outlives its retention by as
+    # many sweeps of the site as there are parts.
     overdue_s = parts * sweep_s / size.nodes
     kept = claims * (upkeep.CLAIM_SETTINGS.retention_s + overdue_s)
     in_part = kept / parts
-    # A part of more rows than one scan gives is read again in sixteen smaller ones.
+    # A part with more rows than the limit of one scan is read again as sixteen smaller parts.
     is_split = in_part >= claimsweep.SCAN_LIMIT
     scans = 1 + len(claimsweep.HEX_DIGITS) * is_split
     rows_read = in_part + claimsweep.SCAN_LIMIT * is_split
@@ -163,7 +164,7 @@
 
 
 def idle(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> dutyvalues.Duty:
-    """Return what a node costs that does nothing."""
+    """Return the cost of an idle node."""
     page_us = measured.at("metrics.page_us", size.teams)
     return dutyvalues.Duty(
         "Being there",
@@ -178,7 +179,7 @@
             dutyvalues.Cost(
                 "metrics, read every 15 s, each team refused once",
                 ("metrics.page_us", "metrics.team_bytes", "metrics.service_bytes"),
-                cores=page_us * dutyvalues.MICROSECOND * METRICS_READINGS_PER_S,
+                cores=page_us * dutyvalues.MICROSECOND * METRICS_SCRAPES_PER_S,
                 memory_bytes=measured.at("metrics.team_bytes", size.teams)
                 + measured.at("metrics.service_bytes", size.pools),
             ),
--- a/hornbeamglade/capacity/dutyvalues.py
+++ b/hornbeamglade/capacity/dutyvalues.py
@@ -1,4 +1,4 @@
-"""The costs of duties as values, and the sums that several of them share."""
+"""Duties and their costs as values, and computations that several duties share."""
 
 import dataclasses
 
@@ -7,33 +7,33 @@
 from hornbeamglade.node import upkeep
 
 PLACE_NODES = 360
-"""Nodes among which the teams were placed when that was measured."""
+"""Number of nodes in the measurement of team placement."""
 
 MICROSECOND = 1e-6
 
 STATES_PER_FAILURE = 3
-"""A failed node is suspected, gone, and later forgotten."""
+"""A failed node becomes suspect, then gone, and is later forgotten."""
 
 STATES_PER_REPLACEMENT = 2
-"""A node leaves and comes; at the least, as one with a new name is gone and forgotten too."""
+"""A node leaves and joins; a lower bound, as a renamed node is also gone and forgotten."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """One cost of a duty, at one node unless it says otherwise.
-
-    :param what: for the page.
-    :param keys: the slopes that it was worked out from.
-    :param cores: of one core.
-    :param memory_bytes: held.
-    :param messages_per_s: sent, requests and datagrams alike.
-    :param bytes_per_s: datagrams sent; HTTP in both directions.
-    :param reads_per_s: of the platform, by all nodes together.
-    :param writes_per_s: transactions of the platform's table, by all nodes together.
-    :param data_path: a cost of the requests themselves, which is not control.
+    """One cost of a duty, at one node unless stated otherwise.
+
+    :param description: text for the page.
+    :param keys: the slopes from which it was computed.
+    :param cores: CPU use as a fraction of one core.
+    :param memory_bytes: memory in use.
+    :param messages_per_s: requests and datagrams sent.
+    :param bytes_per_s: bytes of sent datagrams, and of HTTP in both directions.
+    :param reads_per_s: reads of the platform by all nodes together.
+    :param writes_per_s: transactions on the platform's table by all nodes together.
+    :param data_path: whether it is a cost of the requests themselves and not of control.
     """
 
-    what: str
+    description: str
     keys: tuple[str, ...]
     cores: float = 0.0
     memory_bytes: float = 0.0
@@ -46,11 +46,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Duty:
-    """One duty.
+    """One duty of a node.
 
-    :param name: for the page.
-    :param state: what is kept for it, where, and who else has it.
-    :param costs: what it costs.
+    :param name: title on the page.
+    :param state: the state kept for it, where it is kept, and who else has it.
+    :param costs: costs of the duty.
     """
 
     name: str
@@ -58,11 +58,11 @@
     costs: tuple[Cost, ...]
 
 
-def control_total(all_of_them: tuple[Duty, ...]) -> Cost:
-    """Return the sum of all costs but those of the data path."""
-    costs = [cost for duty in all_of_them for cost in duty.costs if not cost.data_path]
+def control_total(duties: tuple[Duty, ...]) -> Cost:
+    """Return the sum of all costs except those of the data path."""
+    costs = [cost for duty in duties for cost in duty.costs if not cost.data_path]
     return Cost(
-        what="control, in all",
+        description="control, in all",
         keys=(),
         cores=sum(cost.cores for cost in costs),
         memory_bytes=sum(cost.memory_bytes for cost in costs),
@@ -74,32 +74,32 @@
 
 
 def adoption_s(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> float:
-    """Return the processor seconds of putting one change into force at a node."""
-    by_teams = measured.at("config.adopt_us.teams", size.teams)
-    by_replicas = measured.at("config.adopt_us.replicas", size.replicas)
-    return (by_teams + by_replicas) * MICROSECOND
+    """Return the CPU seconds of applying one configuration change at a node."""
+    team_cost = measured.at("config.adopt_us.teams", size.teams)
+    replica_cost = measured.at("config.adopt_us.replicas", size.replicas)
+    return (team_cost + replica_cost) * MICROSECOND
 
 
 def document_bytes(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> float:
-    """Return the bytes of the canonical document."""
-    by_teams = measured.at("config.bytes.teams", size.teams)
-    return by_teams + measured.per("config.bytes.replicas") * size.replicas
+    """Return the size of the canonical document in bytes."""
+    team_cost = measured.at("config.bytes.teams", size.teams)
+    return team_cost + measured.per("config.bytes.replicas") * size.replicas
 
 
-def place_pass_s(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> float:
-    """Return the processor seconds of placing every team on its nodes once."""
+def placement_pass_s(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> float:
+    """Return the CPU seconds of placing every team on its nodes once."""
     whole = measured.at("teams.place_us", size.teams) * MICROSECOND
     return whole * size.nodes / PLACE_NODES
 
 
-def place_passes_per_day(size: targetsize.SiteSize) -> float:
-    """Return how often a day the revision or the members' states change.
+def placement_passes_per_day(size: targetsize.SiteSize) -> float:
+    """Return how often per day the revision or a member's state changes.
 
     Explanation
     ===========
 
-    Each change counts for itself: two that a tick finds together cost one pass, but
-    on average one comes in 22 s at the target.
+    Each change counts separately. Two changes in one tick would cost only one pass, but at
+    the target size there is one change per 22 s on average.
     """
     members = size.failures_per_day * STATES_PER_FAILURE
     members += size.replacements_per_day * STATES_PER_REPLACEMENT
@@ -107,7 +107,7 @@
 
 
 def list_period_s(size: targetsize.SiteSize) -> float:
-    """Return the seconds between two readings of the platform's list at a node."""
+    """Return the seconds between two reads of the platform's instance list at a node."""
     is_mesh = size.nodes <= dissemination.FULL_MESH_MAX_NODES
     return upkeep.LIST_INTERVAL_S if is_mesh else upkeep.LONG_LIST_INTERVAL_S
 
@@ -118,7 +118,7 @@
 
 
 def choice_s(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> float:
-    """Return the processor seconds of choosing one request's replica."""
+    """Return the CPU seconds of choosing the replica of one request."""
     choice = measured.at("routing.choice_us", size.replicas_per_pool)
     states = measured.at("grants.states_us", size.replicas_per_node)
     return (choice + states) * MICROSECOND
--- a/hornbeamglade/capacity/fits.py
+++ b/hornbeamglade/capacity/fits.py
@@ -1,19 +1,19 @@
-"""Least-squares fits of a cost over a size, and how well they hold."""
+"""Least-squares fits of a cost as a function of a size, with their quality."""
 
 import collections.abc
 import dataclasses
 
 LINEAR = 1
 QUADRATIC = 2
-LEAST_SIZES = 4
-_CLEARLY = 4
+MIN_SIZES = 4
+_IMPROVEMENT_FACTOR = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Point:
     """One measurement.
 
-    :param size: of what the cost is measured over.
+    :param size: size at which the cost was measured.
     :param value: the cost.
     """
 
@@ -23,11 +23,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fit:
-    """The line ``intercept + slope * size**power``.
+    """The function ``intercept + slope * size**power``.
 
-    :param power: 1 for a cost in proportion to the size, 2 for one to its square.
-    :param r_squared: the part of the variance that the line explains; 1 for a cost
-        that does not vary at all.
+    :param power: 1 for a linear cost, 2 for a quadratic one.
+    :param r_squared: share of the variance that the fit explains; 1 for a constant cost.
     """
 
     intercept: float
@@ -36,21 +35,21 @@
     r_squared: float
 
     def at(self, size: float) -> float:
-        """Return the cost at a size; never below 0."""
+        """Return the cost at a size; never negative."""
         return max(0.0, self.intercept + self.slope * size**self.power)
 
 
 def fit(points: collections.abc.Sequence[Point]) -> Fit:
-    """Return the better fit of the straight line and the square.
+    """Return the better of a linear and a quadratic fit.
 
     Explanation
     ===========
 
-    The square is taken only when it leaves less than a quarter of the straight
-    line's unexplained variance: noise must not bend a line that is then carried
-    ten times further than it was measured.
+    The quadratic fit is chosen only if it leaves less than a quarter of the variance that
+    the linear fit leaves unexplained. Noise must not cause a quadratic fit, since the result
+    is extrapolated to ten times the measured sizes.
 
-    :param points: at least four sizes.
+    :param points: measurements at four or more sizes.
     :raises ValueError: for fewer sizes.
 
     Examples
@@ -61,12 +60,14 @@
     >>> fit([Point(x, 5 * x * x) for x in (1, 2, 4, 8)]).power
     2
     """
-    if len({point.size for point in points}) < LEAST_SIZES:
-        raise ValueError(f"a fit needs {LEAST_SIZES} sizes")
+    if len({point.size for point in points}) < MIN_SIZES:
+        raise ValueError(f"a fit needs at least {MIN_SIZES} different sizes")
     linear = _fit_power(points, LINEAR)
     square = _fit_power(points, QUADRATIC)
-    bends = 1 - square.r_squared < (1 - linear.r_squared) / _CLEARLY and square.slope > 0
-    return square if bends else linear
+    is_quadratic = (
+        1 - square.r_squared < (1 - linear.r_squared) / _IMPROVEMENT_FACTOR and square.slope > 0
+    )
+    return square if is_quadratic else linear
 
 
 def _fit_power(points: collections.abc.Sequence[Point], power: int) -> Fit:
@@ -74,12 +75,14 @@
     values = [point.value for point in points]
     mean_size = sum(sizes) / len(sizes)
     mean_value = sum(values) / len(values)
-    spread = sum((size - mean_size) ** 2 for size in sizes)
+    size_variation = sum((size - mean_size) ** 2 for size in sizes)
     pairs = zip(sizes, values, strict=True)
-    slope = sum((size - mean_size) * (value - mean_value) for size, value in pairs) / spread
+    slope = (
+        sum((size - mean_size) * (value - mean_value) for size, value in pairs) / size_variation
+    )
     intercept = mean_value - slope * mean_size
-    total = sum((value - mean_value) ** 2 for value in values)
-    left = sum(
+    total_variation = sum((value - mean_value) ** 2 for value in values)
+    residual = sum(
         (value - intercept - slope * size) ** 2 for size, value in zip(sizes, values, strict=True)
     )
-    return Fit(intercept, slope, power, 1 - left / total if total else 1.0)
+    return Fit(intercept, slope, power, 1 - residual / total_variation if total_variation else 1.0)
--- a/hornbeamglade/capacity/losses.py
+++ b/hornbeamglade/capacity/losses.py
@@ -1,4 +1,4 @@
-"""What a loss of machines or of a link does at a size."""
+"""Effects of losing machines or a link at a given site size."""
 
 import dataclasses
 import math
@@ -14,34 +14,35 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loss:
-    """A loss and its effect on those that stay.
+    """A loss and its effect on the remaining nodes.
 
-    :param what: what is lost.
-    :param nodes: entry nodes lost, or out of sight.
-    :param replicas: replicas lost, or out of sight.
+    :param description: what is lost.
+    :param nodes: entry nodes lost or unreachable.
+    :param replicas: replicas lost or unreachable.
     :param streams_cut: streams through the lost nodes.
     :param owners_moved: replicas that get a new owner.
-    :param update_ms: processor time of the new owners, at each node.
-    :param rumour_s: seconds in which a node's heartbeats carry word of all lost nodes.
-    :param mechanism: what carries it.
+    :param update_ms: CPU time of the ownership update at each node.
+    :param gossip_s: seconds until the heartbeats of a node have carried the membership
+        updates of all lost nodes.
+    :param mechanism: modules that handle the loss.
     """
 
-    what: str
+    description: str
     nodes: int
     replicas: int
     streams_cut: int
     owners_moved: int
     update_ms: float
-    rumour_s: float
+    gossip_s: float
     mechanism: str
 
 
 def all_losses(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> tuple[Loss, ...]:
-    """Return the losses that the target names."""
+    """Return the losses that the capacity target includes."""
     domain_nodes = round(size.nodes / size.failure_domains)
     domain_replicas = round(size.replicas / size.failure_domains)
-    beyond = size.nodes - round(size.nodes / size.regions)
-    beyond_replicas = size.replicas - round(size.replicas / size.regions)
+    unreachable_nodes = size.nodes - round(size.nodes / size.regions)
+    unreachable_replicas = size.replicas - round(size.replicas / size.regions)
     return (
         _loss(measured, size, f"a rack ({RACK_NODES} nodes, assumed)", RACK_NODES, RACK_REPLICAS),
         _loss(measured, size, "a failure domain", domain_nodes, domain_replicas),
@@ -49,9 +50,9 @@
             measured,
             size,
             "the link of a region to the others",
-            beyond,
-            beyond_replicas,
-            cut=False,
+            unreachable_nodes,
+            unreachable_replicas,
+            cuts_streams=False,
         ),
     )
 
@@ -59,28 +60,28 @@
 def _loss(
     measured: slopes.SlopeSet,
     size: targetsize.SiteSize,
-    what: str,
+    description: str,
     nodes: int,
     replicas: int,
-    cut: bool = True,
+    cuts_streams: bool = True,
 ) -> Loss:
     moved = round(nodes * size.replicas_per_node)
-    left = size.nodes - nodes
-    seventh_us = measured.at("membership.domain_lost_us", size.nodes)
+    remaining = size.nodes - nodes
+    domain_lost_us = measured.at("membership.domain_lost_us", size.nodes)
     scores = (size.nodes / 7) * size.replicas_per_node * (size.nodes * 6 / 7)
     rounds = dissemination.UPDATE_ROUNDS_FACTOR * math.ceil(math.log2(size.nodes + 1))
     batches = math.ceil(nodes / messages.MAX_MEMBERSHIP_UPDATES)
     return Loss(
-        what=what,
+        description=description,
         nodes=nodes,
         replicas=replicas,
-        streams_cut=round(nodes * size.streams_per_node) if cut else 0,
+        streams_cut=round(nodes * size.streams_per_node) if cuts_streams else 0,
         owners_moved=moved,
-        update_ms=seventh_us / 1e3 * (moved * left) / scores,
-        rumour_s=batches * rounds * dissemination.UPDATE_PERIOD_S,
+        update_ms=domain_lost_us / 1e3 * (moved * remaining) / scores,
+        gossip_s=batches * rounds * dissemination.UPDATE_PERIOD_S,
         mechanism="membership/view.py, dissemination.py, ownership.py",
     )
 
 
-ASK_WAIT_S = grantrequests.RESPONSE_TIMEOUT_S
-DIGEST_LIFE_S = replicacatalog.REPORT_LIFE_S
+GRANT_RESPONSE_TIMEOUT_S = grantrequests.RESPONSE_TIMEOUT_S
+DIGEST_TTL_S = replicacatalog.REPORT_LIFE_S
--- a/hornbeamglade/capacity/measurement.py
+++ b/hornbeamglade/capacity/measurement.py
@@ -1,4 +1,4 @@
-"""All groups of measurements, in the order in which they run."""
+"""All measurement groups in the order in which they run."""
 
 import collections.abc
 import types
@@ -36,6 +36,6 @@
 
 
 def measure(groups: collections.abc.Iterable[str]) -> collections.abc.Iterator[slopes.Slope]:
-    """Measure groups one after the other, so that none disturbs another."""
+    """Measure the groups sequentially, so that they do not influence each other."""
     for group in groups:
         yield from _MODULE_BY_GROUP[group].measure()
--- a/hornbeamglade/capacity/measuringclaims.py
+++ b/hornbeamglade/capacity/measuringclaims.py
@@ -1,4 +1,4 @@
-"""Slopes of what claims, leases and the audit trail cost the platform's table."""
+"""Measures the cost of claims, leases and the audit trail at the platform's table."""
 
 import collections.abc
 
--- a/hornbeamglade/capacity/measuringconfiguration.py
+++ b/hornbeamglade/capacity/measuringconfiguration.py
@@ -1,4 +1,4 @@
-"""Slopes of spreading a configuration and of putting it into force."""
+"""Measures the cost of distributing a configuration and of applying it."""
 
 import collections.abc
 import json
@@ -48,7 +48,9 @@
         "held_bytes",
         "bytes of the revision in force and what is derived from it",
         "configuration/following.py, node/siteview.py",
-        lambda counts: profiling.held_bytes(lambda: siteview.derive(samplesite.in_force(counts))),
+        lambda counts: profiling.held_bytes(
+            lambda: siteview.derive(samplesite.active_revision(counts))
+        ),
     )
     operator = "configuration/documentyaml.py (the operator's command)"
     yield from _both("yaml_bytes", "bytes of the base file", operator, _yaml_bytes)
@@ -71,7 +73,7 @@
     mechanism: str,
     value: collections.abc.Callable[[samplesite.Counts], float],
 ) -> collections.abc.Iterator[slopes.Slope]:
-    """Measure over teams, then over replicas."""
+    """Measure as a function of teams, then of replicas."""
     few = samplesite.Counts()
     by_teams = [
         fits.Point(n, value(samplesite.Counts(teams=n, replicas=few.replicas)))
--- a/hornbeamglade/capacity/measuringgrants.py
+++ b/hornbeamglade/capacity/measuringgrants.py
@@ -1,4 +1,4 @@
-"""Slopes of grants: at this node's schedulers, and between nodes."""
+"""Measures the cost of grants at the local schedulers and between nodes."""
 
 import collections.abc
 import dataclasses
@@ -11,8 +11,8 @@
 from hornbeamglade.lengths import lengthmodel
 
 GROUP = "grants"
-ANSWER_S = 7.4
-"""The mean answer at the target size: 286 tokens of 26 ms."""
+RESPONSE_S = 7.4
+"""Mean duration of a response at the target size: 286 tokens of 26 ms each."""
 
 _STREAM_COUNTS = (8, 16, 32, 60)
 _SCHEDULER_COUNTS = (2, 5, 10, 20)
@@ -62,20 +62,20 @@
         "lengths/lengthmodel.py",
         [fits.Point(n, profiling.held_bytes(lambda n=n: _lengths(n))) for n in _TEAM_COUNTS],
     )
-    # Each at another owner: with some hundred owners in sight, a node seldom has two
-    # grants of one owner whose reports could share a frame.
-    lives = [_lived(count) for count in _GRANT_COUNTS]
+    # Each grant has another owner: with several hundred owners, a node rarely has two grants of
+    # the same owner whose progress reports could share a frame.
+    remote_grants = [_run_remote_grants(count) for count in _GRANT_COUNTS]
     remote = "exchange/grantclient.py, exchange/grantserver.py, grants/remotescheduler.py"
     for key, cost, read in (
-        ("grants.remote_bytes", "bytes of frames, both ways", lambda life: life.bytes),
-        ("grants.remote_messages", "frames, both ways", lambda life: life.frames),
-        ("grants.remote_us", "processor us at both nodes together", lambda life: life.cpu_us),
+        ("grants.remote_bytes", "bytes of frames, both ways", lambda grant: grant.bytes),
+        ("grants.remote_messages", "frames, both ways", lambda grant: grant.frames),
+        ("grants.remote_us", "processor us at both nodes together", lambda grant: grant.cpu_us),
     ):
         points = [
             fits.Point(count, sum(map(read, group)))
-            for count, group in zip(_GRANT_COUNTS, lives, strict=True)
+            for count, group in zip(_GRANT_COUNTS, remote_grants, strict=True)
         ]
-        over = f"whole grants of {ANSWER_S} s, each of another owner"
+        over = f"whole grants of {RESPONSE_S} s, each of another owner"
         yield _slope(key, cost, over, remote, points)
 
 
@@ -92,10 +92,10 @@
     return None
 
 
-def _report(
+def _apply_idle_report(
     schedulers: schedulerset.SchedulerSet, replicas: collections.abc.Iterable[str]
 ) -> None:
-    """Give the schedulers a report of an idle replica, without which they grant nothing."""
+    """Apply load reports of idle replicas, without which schedulers grant nothing."""
     view = tokenledger.LoadView(1, 0.0, samplesite.MEMORY_TOKENS, 0, 0)
     for replica in replicas:
         schedulers.apply(replica, lambda scheduler, now: scheduler.apply_report(view, False, now))
@@ -105,7 +105,7 @@
     schedulers = schedulerset.SchedulerSet(clocks.ManualClock(), _lengths(50))
     names = [samplesite.replica_name(number) for number in range(replicas)]
     schedulers.configure({name: samplesite.scheduler_spec() for name in names})
-    _report(schedulers, names)
+    _apply_idle_report(schedulers, names)
     for name in names:
         for number in range(streams):
             work = dataclasses.replace(_work(number), request_id=f"{name}/{number}")
@@ -120,9 +120,9 @@
     work = _work(1_000_000)
 
     def serve() -> None:
-        answer = schedulers.request_grant(replica, work, 1.0, 10.0, _ignore)
-        if not isinstance(answer, replicascheduler.Granted):
-            raise codederrors.InvariantError("capacity_not_granted", repr(answer))
+        response = schedulers.request_grant(replica, work, 1.0, 10.0, _ignore)
+        if not isinstance(response, replicascheduler.Granted):
+            raise codederrors.InvariantError("capacity_not_granted", repr(response))
         for seconds in range(1, 8):
             schedulers.progress(replica, work.request_id, 38 * seconds)
         schedulers.finish(replica, work.request_id)
@@ -140,33 +140,33 @@
     return model
 
 
-def _lived(count: int) -> "list[_RemoteLife]":
-    _RemoteLife(0).run()
-    lives = [_RemoteLife(number) for number in range(count)]
-    for life in lives:
-        life.run()
-    return lives
+def _run_remote_grants(count: int) -> "list[_RemoteGrant]":
+    _RemoteGrant(0).run()
+    remote_grants = [_RemoteGrant(number) for number in range(count)]
+    for grant in remote_grants:
+        grant.run()
+    return remote_grants
 
 
-class _Wire(transport.Transport):
-    """Encodes, counts, decodes and hands over at once."""
+class _LoopbackTransport(transport.Transport):
+    """Encodes, counts, decodes and delivers each message immediately."""
 
-    def __init__(self, own: codec.Codec, life: "_RemoteLife") -> None:
-        self._own = own
-        self._life = life
-        self.other: codec.Codec | None = None
-        self.handle: transport.MessageHandler | None = None
+    def __init__(self, own_codec: codec.Codec, grant: "_RemoteGrant") -> None:
+        self._codec = own_codec
+        self._grant = grant
+        self.peer_codec: codec.Codec | None = None
+        self.handler: transport.MessageHandler | None = None
 
     def send(self, peer: transport.Peer, message: messages.Message) -> None:
-        frame = self._own.encode(peer.name, message)
-        self._life.bytes += len(frame)
-        self._life.frames += 1
-        decoded = self.other.decode(frame)
-        self.handle(decoded.message, decoded.sender, _ENDPOINT)
+        frame = self._codec.encode(peer.name, message)
+        self._grant.bytes += len(frame)
+        self._grant.frames += 1
+        decoded = self.peer_codec.decode(frame)
+        self.handler(decoded.message, decoded.sender, _ENDPOINT)
 
 
-class _RemoteLife:
-    """One grant asked of another node, from the ask to the last repeated return."""
+class _RemoteGrant:
+    """One grant of a remote owner, from the grant request to the last repeated release."""
 
     def __init__(self, number: int) -> None:
         self.bytes = 0
@@ -177,24 +177,27 @@
         self._clock = clocks.ManualClock()
         ring = codec.KeyRing(1, {1: _SECRET})
         nodes = (samplesite.node_name(0), samplesite.node_name(number + 1))
-        asker, owner = (codec.Codec(name, _INCARNATION, ring, self._clock) for name in nodes)
-        to_owner, to_asker = _Wire(asker, self), _Wire(owner, self)
+        requester, owner = (codec.Codec(name, _INCARNATION, ring, self._clock) for name in nodes)
+        to_owner, to_requester = (
+            _LoopbackTransport(requester, self),
+            _LoopbackTransport(owner, self),
+        )
         self._client = grantclient.GrantClient(_INCARNATION, to_owner, self._clock)
         scheduler = self._scheduler()
-        self._server = grantserver.GrantServer(scheduler, to_asker, self._clock)
+        self._server = grantserver.GrantServer(scheduler, to_requester, self._clock)
         scheduler.set_push(self._server.push)
-        to_owner.other, to_owner.handle = owner, self._at_owner
-        to_asker.other, to_asker.handle = asker, self._client.on_response
+        to_owner.peer_codec, to_owner.handler = owner, self._handle_at_owner
+        to_requester.peer_codec, to_requester.handler = requester, self._client.on_response
         self._peer = transport.Peer(nodes[1], _ENDPOINT)
 
     def run(self) -> None:
-        """Carry the grant through its life."""
+        """Run the grant from request to release."""
         self.cpu_us = profiling.total_cpu_us(self._run)
 
     def _scheduler(self) -> remotescheduler.RemoteScheduler:
         schedulers = schedulerset.SchedulerSet(self._clock, lengthmodel.LengthModel())
         schedulers.configure({self._replica: samplesite.scheduler_spec()})
-        _report(schedulers, (self._replica,))
+        _apply_idle_report(schedulers, (self._replica,))
         names = remotescheduler.ConfiguredNames()
         names.replicas.replace((self._replica,))
         names.services.replace((self._work.service,))
@@ -202,22 +205,22 @@
         return remotescheduler.RemoteScheduler(schedulers, self._clock, names)
 
     def _run(self) -> None:
-        number = self._ask()
+        number = self._request_grant()
         for produced in (190, 286):
-            self._pass(ANSWER_S / 2)
+            self._advance(RESPONSE_S / 2)
             self._client.record_progress(number, produced)
         self._client.close(number)
         for _ in range(_REPORTS_AFTER_END):
-            self._pass(5.0)
+            self._advance(5.0)
 
-    def _pass(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         self._clock.advance(seconds)
         self._client.tick()
         self._server.tick()
 
-    def _ask(self) -> int:
+    def _request_grant(self) -> int:
         work = self._work
-        ask = messages.GrantRequest(
+        grant_request = messages.GrantRequest(
             grant_id=0,
             replica=messages.key_hash(self._replica),
             service=messages.key_hash(work.service),
@@ -228,12 +231,12 @@
             weight=1.0,
             deadline_ms=3000,
         )
-        answer = self._client.request_grant(self._peer, ask)
-        if getattr(answer, "kind", None) is not messages.GrantKind.GRANTED:
-            raise codederrors.InvariantError("capacity_not_granted", repr(answer))
-        return answer.grant_id
+        response = self._client.request_grant(self._peer, grant_request)
+        if getattr(response, "kind", None) is not messages.GrantKind.GRANTED:
+            raise codederrors.InvariantError("capacity_not_granted", repr(response))
+        return response.grant_id
 
-    def _at_owner(
+    def _handle_at_owner(
         self, message: messages.Message, sender: codec.Sender, source: transport.Endpoint
     ) -> None:
         if isinstance(message, messages.GrantRequest):
--- a/hornbeamglade/capacity/measuringmembership.py
+++ b/hornbeamglade/capacity/measuringmembership.py
@@ -1,4 +1,4 @@
-"""Slopes of heartbeats, views and the ownership of replicas."""
+"""Measures slopes of heartbeats, membership views and the ownership of replicas."""
 
 import collections.abc
 import statistics
@@ -54,19 +54,19 @@
         "node/placing.py (_is_candidate), membership/ownership.py",
         [fits.Point(size, _candidate_us(size)) for size in _NODE_COUNTS],
     )
-    carrier = "membership/heartbeats.py, exchange/codec.py"
+    modules = "membership/heartbeats.py, exchange/codec.py"
     yield _slope(
         "membership.heartbeat_bytes",
         "bytes of one heartbeat's frame",
         "replicas owned",
-        carrier,
+        modules,
         [fits.Point(size, len(_frame(size))) for size in _OWNED_COUNTS],
     )
     yield _slope(
         "membership.heartbeat_us",
         "processor us to encode a heartbeat, and to decode it",
         "replicas owned",
-        carrier,
+        modules,
         [fits.Point(size, _frame_us(size)) for size in _OWNED_COUNTS],
     )
     lists = "membership/registry.py, platform/storebodies.py"
@@ -92,25 +92,25 @@
 
 def _tick_us(nodes: int) -> float:
     mesh = samplemesh.Mesh(nodes)
-    took = []
+    durations_us = []
     for number in range(2 * _TICKS):
         if number % 10 == 0:
-            mesh.hear_all()
-        took.append(mesh.tick_us())
+            mesh.receive_from_all()
+        durations_us.append(mesh.tick_us())
     mesh.close()
-    # The first ticks make the owners of all replicas; they belong to a start.
-    return statistics.mean(took[_TICKS:])
+    # The first ticks compute the owners of all replicas, which is part of the start-up cost.
+    return statistics.mean(durations_us[_TICKS:])
 
 
 def _mesh(nodes: int) -> samplemesh.Mesh:
     mesh = samplemesh.Mesh(nodes)
-    mesh.hear_all()
+    mesh.receive_from_all()
     mesh.tick_us()
     mesh.close()
     return mesh
 
 
-def _places(nodes: int) -> tuple[list[ownership.Participant], list[ownership.Participant]]:
+def _participants(nodes: int) -> tuple[list[ownership.Participant], list[ownership.Participant]]:
     replicas = [
         ownership.Participant(samplesite.replica_name(number), samplesite.domain(number))
         for number in range(samplemesh.REPLICAS_PER_NODE * nodes)
@@ -123,28 +123,28 @@
 
 
 def _candidate_us(nodes: int) -> float:
-    _, members = _places(nodes)
+    _, members = _participants(nodes)
 
-    def name() -> None:
-        places = [ownership.Participant(member.name) for member in members]
-        ownership.owner(ownership.Participant("pool:pool-0"), places)
+    def choose_candidate() -> None:
+        participants = [ownership.Participant(member.name) for member in members]
+        ownership.owner(ownership.Participant("pool:pool-0"), participants)
 
-    return profiling.cpu_us(name)
+    return profiling.cpu_us(choose_candidate)
 
 
 def _owned_us(replicas: int) -> float:
     owners = ownership.Ownership()
-    owners.update(*_places(replicas // samplemesh.REPLICAS_PER_NODE))
+    owners.update(*_participants(replicas // samplemesh.REPLICAS_PER_NODE))
     return profiling.cpu_us(lambda: owners.owned_by(samplesite.node_name(0)))
 
 
 def _domain_lost_us(nodes: int) -> float:
-    replicas, members = _places(nodes)
+    replicas, members = _participants(nodes)
     owners = ownership.Ownership()
     owners.update(replicas, members)
     lost = samplesite.domain(0)
-    left = [member for member in members if member.failure_domain != lost]
-    return profiling.total_cpu_us(lambda: owners.update(replicas, left))
+    remaining = [member for member in members if member.failure_domain != lost]
+    return profiling.total_cpu_us(lambda: owners.update(replicas, remaining))
 
 
 def _codecs() -> tuple[codec.Codec, codec.Codec]:
@@ -182,12 +182,12 @@
     mesh = samplemesh.Mesh(nodes)
     body = _list_body(nodes)
 
-    def take() -> None:
+    def apply_list() -> None:
         listed = storebodies.Rows.model_validate_json(body)
         mesh.peering.heartbeats.apply_list(
             registry.parse_instances(row.to_row() for row in listed.rows)
         )
 
-    took = profiling.cpu_us(take)
+    elapsed_us = profiling.cpu_us(apply_list)
     mesh.close()
-    return took
+    return elapsed_us
--- a/hornbeamglade/capacity/measuringobservability.py
+++ b/hornbeamglade/capacity/measuringobservability.py
@@ -1,4 +1,4 @@
-"""Slopes of the metrics and of their label sets."""
+"""Measures the cost of metrics and of their label sets."""
 
 import collections.abc
 
--- a/hornbeamglade/capacity/measuringprocesses.py
+++ b/hornbeamglade/capacity/measuringprocesses.py
@@ -1,4 +1,4 @@
-"""Slopes of real nodes that serve nobody: what being there costs."""
+"""Measures the cost of real, idle node processes."""
 
 import collections.abc
 import contextlib
@@ -21,13 +21,13 @@
 _TEAM_COUNTS = (100, 200, 400, 800)
 _OWNED_COUNTS = (5, 10, 20, 40)
 _THREAD_COUNTS = (64, 128, 256, 448)
-_LOOKS = 5
+_STATUS_SAMPLES = 5
 _PLATFORM = "platform"
 
 
 @dataclasses.dataclass(slots=True)
 class _Reading:
-    """What the nodes of one site used, for each node."""
+    """Resource use of the nodes of one site, as a mean per node."""
 
     cores: float
     resident_bytes: float
@@ -39,23 +39,23 @@
 
 @dataclasses.dataclass(slots=True)
 class _Links:
-    """Counted links of a site."""
+    """Byte-counting proxies of a site."""
 
     stack: contextlib.ExitStack
-    link_by_name: dict[str, bytecount.CountedLink] = dataclasses.field(default_factory=dict)
+    link_by_name: dict[str, bytecount.CountingProxy] = dataclasses.field(default_factory=dict)
 
     def route(self, name: str, address: str) -> str:
-        """Give the address of the link that leads to ``address``."""
+        """Return the address of the proxy that forwards to ``address``."""
         if name not in self.link_by_name:
-            link = bytecount.CountedLink(address)
+            link = bytecount.CountingProxy(address)
             self.stack.callback(link.close)
             self.link_by_name[name] = link
         return self.link_by_name[name].address
 
-    def passed(self, platform: bool) -> int:
-        """Return bytes passed to and from the platform, or the backend servers."""
+    def bytes_forwarded(self, platform: bool) -> int:
+        """Return the bytes exchanged with the platform, or with the backend servers."""
         return sum(
-            link.bytes_passed
+            link.bytes_forwarded
             for name, link in self.link_by_name.items()
             if (name == _PLATFORM) is platform
         )
@@ -69,15 +69,15 @@
     yield from _by_threads()
 
 
-def _slopes(over, readings, chosen) -> collections.abc.Iterator[slopes.Slope]:
-    for key, cost, mechanism, read in chosen:
+def _slopes(over, readings, metrics) -> collections.abc.Iterator[slopes.Slope]:
+    for key, cost, mechanism, read in metrics:
         points = tuple(fits.Point(size, read(reading)) for size, reading in readings.items())
         yield slopes.Slope(f"processes.{key}", GROUP, cost, over, mechanism, points)
 
 
 def _by_nodes() -> collections.abc.Iterator[slopes.Slope]:
     readings = {n: _read_site({"nodes": n, "engines": 2, "services": 1}) for n in _NODE_COUNTS}
-    # Above the bound of the mesh the list is read too seldom for one window.
+    # Above the full-mesh limit, nodes read the list too rarely for one window.
     meshes = {
         n: reading for n, reading in readings.items() if n <= dissemination.FULL_MESH_MAX_NODES
     }
@@ -154,12 +154,12 @@
 
 
 def _read_site(shape: dict[str, typing.Any], owned: int = 0) -> _Reading:
-    """Start a site, let it settle, and read what its nodes use."""
+    """Start a site, wait until it has settled, and measure its nodes."""
     with contextlib.ExitStack() as stack:
         links = _Links(stack)
         folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        members = {"nodes": 1, "engines": 1, "services": 0} | shape
-        site = localsite.LocalSite(localsite.Shape(route=links.route, **members), folder)
+        options = {"nodes": 1, "engines": 1, "services": 0} | shape
+        site = localsite.LocalSite(localsite.Shape(route=links.route, **options), folder)
         stack.enter_context(site)
         if owned:
             site.apply(_with_replicas(site, links, owned), based_on=1, change_id="c2")
@@ -168,7 +168,7 @@
 
 
 def _with_replicas(site: localsite.LocalSite, links: _Links, count: int) -> dict[str, typing.Any]:
-    """Give a pool many replicas: one stand-in engine behind as many links."""
+    """Return a configuration in which a pool has many replicas, all proxies of one engine."""
     base = site.base()
     (engine,) = base["pools"]["drafters"]["replicas"].values()
     address = site.address_by_name["engine-0"]
@@ -182,16 +182,16 @@
     cpu_s, platform, backends = _totals(site, nodes, links)
     started = time.monotonic()
     time.sleep(WINDOW_S)
-    took_s = time.monotonic() - started
-    later = _totals(site, nodes, links)
+    elapsed_s = time.monotonic() - started
+    totals_after = _totals(site, nodes, links)
     resident = sum(site.child_by_name[name].resident_bytes() for name in nodes)
-    per_node_s = len(nodes) * took_s
-    unseen, status_s = _look(site, nodes)
+    per_node_s = len(nodes) * elapsed_s
+    unseen, status_s = _sample_status(site, nodes)
     return _Reading(
-        cores=(later[0] - cpu_s) / per_node_s,
+        cores=(totals_after[0] - cpu_s) / per_node_s,
         resident_bytes=resident / len(nodes),
-        platform_bytes_per_s=(later[1] - platform) / per_node_s,
-        backend_bytes_per_s=(later[2] - backends) / per_node_s,
+        platform_bytes_per_s=(totals_after[1] - platform) / per_node_s,
+        backend_bytes_per_s=(totals_after[2] - backends) / per_node_s,
         unseen=unseen,
         status_s=status_s,
     )
@@ -199,21 +199,21 @@
 
 def _totals(site: localsite.LocalSite, nodes: list[str], links: _Links) -> tuple[float, int, int]:
     cpu_s = sum(site.child_by_name[name].cpu_s() for name in nodes)
-    return cpu_s, links.passed(platform=True), links.passed(platform=False)
+    return cpu_s, links.bytes_forwarded(platform=True), links.bytes_forwarded(platform=False)
 
 
-def _look(site: localsite.LocalSite, nodes: list[str]) -> tuple[float, float]:
-    """Return the part of replicas held for leaving, and the seconds of a status page."""
-    seen: list[bool] = []
-    took: list[float] = []
-    for _ in range(_LOOKS):
+def _sample_status(site: localsite.LocalSite, nodes: list[str]) -> tuple[float, float]:
+    """Return the share of replicas not shown as serving, and the median status page time."""
+    is_serving: list[bool] = []
+    durations_s: list[float] = []
+    for _ in range(_STATUS_SAMPLES):
         for name in nodes:
             started = time.monotonic()
             page = site.status(name)
-            took.append(time.monotonic() - started)
-            seen += [each["state"] == "serving" for each in page["replicas"]]
+            durations_s.append(time.monotonic() - started)
+            is_serving += [each["state"] == "serving" for each in page["replicas"]]
         time.sleep(1.0)
-    return 1 - sum(seen) / len(seen), sorted(took)[len(took) // 2]
+    return 1 - sum(is_serving) / len(is_serving), sorted(durations_s)[len(durations_s) // 2]
 
 
 def _by_threads() -> collections.abc.Iterator[slopes.Slope]:
@@ -222,11 +222,11 @@
         folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
         site = localsite.LocalSite(localsite.Shape(nodes=1, engines=1, services=0), folder)
         stack.enter_context(site)
-        told = yaml.safe_load((folder / "entry-0.yaml").read_text(encoding="utf-8"))
+        settings = yaml.safe_load((folder / "entry-0.yaml").read_text(encoding="utf-8"))
         for count in _THREAD_COUNTS:
             name = f"threads-{count}"
             path = folder / f"{name}.yaml"
-            changed = told | {"name": name, "threads": count}
+            changed = settings | {"name": name, "threads": count}
             path.write_text(yaml.safe_dump(changed), encoding="utf-8")
             site.start(name, "node", "--settings", str(path))
             time.sleep(SETTLE_S)
--- a/hornbeamglade/capacity/measuringrelay.py
+++ b/hornbeamglade/capacity/measuringrelay.py
@@ -1,4 +1,4 @@
-"""Slopes of the data path: what a token costs an entry node, beside a bare relay."""
+"""Measures the cost of the data path at an entry node and at a bare relay."""
 
 import collections.abc
 import pathlib
--- a/hornbeamglade/capacity/measuringrouting.py
+++ b/hornbeamglade/capacity/measuringrouting.py
@@ -1,4 +1,4 @@
-"""Slopes of choosing a replica for a request, and of what is known of replicas."""
+"""Measures the cost of choosing a replica and of the stored state of replicas."""
 
 import collections.abc
 import random
@@ -17,7 +17,7 @@
 _BLOCK_COUNTS = (1024, 2048, 4096, 8192)
 _PROMPT = "Dear office, please draft a reply to this letter. " * 16
 _RECENT_PLACEMENTS = 200
-_OWN_OF_POOL = 2
+_OWNED_OF_POOL = 2
 
 
 def measure() -> collections.abc.Iterator[slopes.Slope]:
@@ -36,7 +36,7 @@
         "replicas of the site",
         "node/replicacatalog.py, node/digestcache.py",
         [
-            fits.Point(size, profiling.held_bytes(lambda n=size: _catalog(n)))
+            fits.Point(size, profiling.held_bytes(lambda n=size: _filled_catalog(n)))
             for size in _REPLICA_COUNTS
         ],
     )
@@ -46,7 +46,7 @@
         "blocks remembered",
         "routing/prefixes.py",
         [
-            fits.Point(size, profiling.held_bytes(lambda n=size: _index(n)))
+            fits.Point(size, profiling.held_bytes(lambda n=size: _prefix_index(n)))
             for size in _BLOCK_COUNTS
         ],
     )
@@ -56,7 +56,7 @@
     return slopes.Slope(key, GROUP, cost, over, mechanism, tuple(points))
 
 
-def _catalog(replicas: int) -> replicacatalog.ReplicaCatalog:
+def _filled_catalog(replicas: int) -> replicacatalog.ReplicaCatalog:
     clock = clocks.ManualClock()
     digests = digestcache.DigestCache(clock)
     catalog = replicacatalog.ReplicaCatalog(clock, digests)
@@ -66,40 +66,42 @@
         digest = messages.ReplicaDigest(name, 100_000 + number, number % 3, 0)
         digests.record(samplesite.node_name(number // 5), (digest,))
     for name in catalog.known_by_name:
-        # Choices look at other replicas each time, so in the end at all.
+        # Each choice looks at other random replicas, so over time all are looked up.
         catalog.prefix_sequence(name)
     clock.advance(0.5)
     return catalog
 
 
 def _choice_us(pool_size: int) -> float:
-    catalog = _catalog(pool_size * samplesite.POOLS)
+    catalog = _filled_catalog(pool_size * samplesite.POOLS)
     settings = candidates.RoutingSettings(failure_domain=samplesite.domain(0))
-    placed = placements.Placements(settings)
+    recent = placements.Placements(settings)
     for number in range(_RECENT_PLACEMENTS):
-        placed.placed(samplesite.replica_name(number % pool_size * samplesite.POOLS), 400, 0.4)
+        recent.placed(samplesite.replica_name(number % pool_size * samplesite.POOLS), 400, 0.4)
     prefix = prefixes.prefix_hashes(_PROMPT)
     work = outcomes.Work("r-1", "model-0", "team-00001", 0, 200, None, prefix)
     rng = random.Random(1)
-    own = _own_states()
+    own_states = _own_states()
 
     def choose() -> None:
-        known = catalog.candidates("pool-0", prefix, frozenset(), own)
-        choice.rank(work, placed.applied(known, 0.5), rng, settings)
+        known = catalog.candidates("pool-0", prefix, frozenset(), own_states)
+        choice.rank(work, recent.applied(known, 0.5), rng, settings)
 
     return profiling.cpu_us(choose)
 
 
 def _own_states() -> dict[str, schedulerset.SchedulerState]:
-    """Return the schedulers of the pool's replicas that a node owns at the target size."""
-    names = [samplesite.replica_name(number * samplesite.POOLS) for number in range(_OWN_OF_POOL)]
+    """Return scheduler states of the pool's replicas that a node owns at the target size."""
+    names = [
+        samplesite.replica_name(number * samplesite.POOLS) for number in range(_OWNED_OF_POOL)
+    ]
     schedulers = schedulerset.SchedulerSet(clocks.ManualClock(), lengthmodel.LengthModel())
     schedulers.configure({name: samplesite.scheduler_spec() for name in names})
     schedulers.set_owned(frozenset(names))
     return schedulers.states()
 
 
-def _index(blocks: int) -> prefixes.PrefixIndex:
+def _prefix_index(blocks: int) -> prefixes.PrefixIndex:
     index = prefixes.PrefixIndex()
     rng = random.Random(1)
     index.expect([rng.getrandbits(53) for _ in range(blocks)], 0.0)
--- a/hornbeamglade/capacity/measuringstatus.py
+++ b/hornbeamglade/capacity/measuringstatus.py
@@ -1,4 +1,4 @@
-"""Slope of a node's status page."""
+"""Measures the cost of a node's status page."""
 
 import collections.abc
 import random
@@ -29,35 +29,35 @@
 
 def _page_us(nodes: int) -> float:
     mesh = samplemesh.Mesh(nodes)
-    mesh.hear_all()
+    mesh.receive_from_all()
     mesh.tick_us()
-    told = samplemesh.settings_of_first()
-    places = placing.Placing(
+    own_settings = samplemesh.local_settings()
+    placer = placing.Placing(
         "holder",
-        told.name,
+        own_settings.name,
         mesh.platform,
         mesh.clock,
         random.Random(1),
         mesh.peering.heartbeats.owner_candidates,
     )
-    made = statuses.Statuses(
-        told,
-        told.callers,
+    status_pages = statuses.Statuses(
+        own_settings,
+        own_settings.callers,
         samplemesh.INCARNATION,
-        _parts(mesh),
+        _runtime(mesh),
         mesh.config,
         mesh.peering,
         lambda: "ready",
-        places,
+        placer,
     )
-    took = profiling.cpu_us(lambda: made.page().model_dump_json())
-    places.stop()
+    elapsed_us = profiling.cpu_us(lambda: status_pages.page().model_dump_json())
+    placer.stop()
     mesh.close()
-    return took
+    return elapsed_us
 
 
-def _parts(mesh: samplemesh.Mesh) -> runtime.Runtime:
-    """Return a node's parts as far as the page reads them."""
+def _runtime(mesh: samplemesh.Mesh) -> runtime.Runtime:
+    """Return a runtime with the parts that the status page reads."""
     return runtime.Runtime(
         clock=mesh.clock,
         views=runtime.Views(mesh.config),
--- a/hornbeamglade/capacity/measuringteams.py
+++ b/hornbeamglade/capacity/measuringteams.py
@@ -1,4 +1,4 @@
-"""Slopes of keeping teams' limits."""
+"""Measures the cost of enforcing team limits."""
 
 import collections.abc
 
@@ -58,14 +58,14 @@
     return slopes.Slope(key, GROUP, cost, over, mechanism, tuple(points))
 
 
-class _Beats:
-    """Stands for the heartbeats, of which the applier asks only who the members are."""
+class _FakeHeartbeats:
+    """Replaces the heartbeats, of which the applier uses only the list of members."""
 
     def __init__(self, members: tuple[membershipview.Member, ...]) -> None:
-        self.told = members
+        self.current_members = members
 
     def members(self) -> tuple[membershipview.Member, ...]:
-        return self.told
+        return self.current_members
 
 
 def _members(nodes: int) -> tuple[membershipview.Member, ...]:
@@ -76,13 +76,13 @@
     return view.members(0.0)
 
 
-def _applier(teams: int, beats: _Beats) -> applying.Applier:
-    """Return an applier that has placed the teams once."""
+def _applier(teams: int, heartbeats: _FakeHeartbeats) -> applying.Applier:
+    """Return an applier that has already placed the teams."""
     clock = clocks.ManualClock()
     platform = memory.MemoryPlatform(clock)
     own = samplesite.node_name(0)
     views = runtime.Views(follower.Follower(platform, platform, clock, samplesite.SITE, own))
-    view = siteview.derive(samplesite.in_force(samplesite.Counts(teams=teams)))
+    view = siteview.derive(samplesite.active_revision(samplesite.Counts(teams=teams)))
     views.publish(view)
     team_limits = limits.TeamLimits(own, shares.ShareSettings())
     team_limits.configure(view.team_limits())
@@ -91,7 +91,7 @@
         replicacatalog.ReplicaCatalog(clock, digestcache.DigestCache(clock)),
         schedulerset.SchedulerSet(clock, lengthmodel.LengthModel()),
         inflight.InFlight(team_limits),
-        beats,
+        heartbeats,
     )
     applier.follow_members()
     return applier
@@ -99,9 +99,9 @@
 
 def _place_us(teams: int) -> float:
     members = _members(_NODES)
-    beats = _Beats(members)
-    applier = _applier(teams, beats)
-    beats.told = members[:-1]
+    heartbeats = _FakeHeartbeats(members)
+    applier = _applier(teams, heartbeats)
+    heartbeats.current_members = members[:-1]
     return profiling.total_cpu_us(applier.follow_members)
 
 
@@ -109,15 +109,15 @@
     team_limits = _limits(teams)
     names = tuple(samplesite.node_name(number) for number in range(samplesite.PER_TEAM))
 
-    def hand_over() -> None:
+    def set_shards() -> None:
         for number in range(teams):
             team_limits.set_shard(samplesite.team_name(number), names)
 
-    return profiling.cpu_us(hand_over)
+    return profiling.cpu_us(set_shards)
 
 
 def _unchanged_us(nodes: int) -> float:
-    applier = _applier(samplesite.Counts().teams, _Beats(_members(nodes)))
+    applier = _applier(samplesite.Counts().teams, _FakeHeartbeats(_members(nodes)))
     return profiling.cpu_us(applier.follow_members)
 
 
@@ -129,7 +129,7 @@
 def _limits(teams: int) -> limits.TeamLimits:
     own = samplesite.node_name(0)
     team_limits = limits.TeamLimits(own, shares.ShareSettings())
-    view = siteview.derive(samplesite.in_force(samplesite.Counts(teams=teams)))
+    view = siteview.derive(samplesite.active_revision(samplesite.Counts(teams=teams)))
     team_limits.configure(view.team_limits())
     for team in view.site.team_by_name:
         team_limits.set_shard(team, (own, samplesite.node_name(1), samplesite.node_name(2)))
--- a/hornbeamglade/capacity/page.py
+++ b/hornbeamglade/capacity/page.py
@@ -1,4 +1,4 @@
-"""The page on the target size, made from measured slopes."""
+"""Generates the capacity page for the target size from measured slopes."""
 
 from hornbeamglade.capacity import (
     checks,
@@ -56,7 +56,7 @@
 every request goes to a replica that another node owns; a rack holds 8 nodes.
 """
 
-_NOT_WIRED = """\
+_LIMITATIONS = """\
 ## What the slopes don't show
 
 Found by reading the code when the slopes were measured:
@@ -90,12 +90,12 @@
   reaches a dead one only in minutes; in between it hears of it by rumours, eight in a
   heartbeat. With a rack these fit; with a failure domain, or a cut link, rumours queue
   for the time in the table, and what a node has not heard of it finds out by asks for
-  grants that nobody answers, each of which adds {ask_wait} s to one first token.
+  grants that nobody answers, each of which adds {response_timeout} s to one first token.
 - **A rack or a failure domain.** Streams through its nodes end with their connections;
   callers come back through the other addresses of their answer, which is spread over
-  domains. Its replicas' digests end after {digest_life} s, and streams of other nodes from
+  domains. Its replicas' digests end after {digest_ttl} s, and streams of other nodes from
   its replicas end with an event that says so, or are run again before their first token
-  when they are repeatable. The rest carries {more} of its former load for a domain.
+  when they are repeatable. The rest carries {load_factor} of its former load for a domain.
 - **A link between regions.** Nobody dies, but each side takes the other's nodes for gone and
   owns all replicas: it polls those beyond the link in vain (a second each, eight at once,
   `node/loadpoller.py`). An engine that never reported to its new owner looks empty there and
@@ -124,14 +124,14 @@
 
 
 def markdown(measured: slopes.SlopeSet, sweep: sweeptables.Sweep) -> str:
-    """Return the page.
+    """Return the page as Markdown.
 
     :param measured: all slopes.
-    :param sweep: one day at several sizes.
-    :raises CodedError: ``capacity_slope_missing`` when one was not measured.
+    :param sweep: results of one day at several sizes.
+    :raises CodedError: ``capacity_slope_missing`` when a slope was not measured.
     """
     size = targetsize.TARGET
-    found = checks.all_checks(measured, size)
+    results = checks.all_checks(measured, size)
     lines = [
         *_INTRODUCTION.splitlines(),
         *_SWEEP.splitlines(),
@@ -147,16 +147,17 @@
         "",
         "## What today's code carries",
         "",
-        f"{sum(check.carried for check in found)} of {len(found)} bounds hold at the target size.",
+        f"{sum(check.is_met for check in results)} of {len(results)} bounds hold at the target "
+        "size.",
         "",
-        *pagetables.check_table(found),
+        *pagetables.check_table(results),
         "",
         "## Control, in all",
         "",
         *_totals(measured),
         "",
         *_roles(measured, size),
-        *_NOT_WIRED.splitlines(),
+        *_LIMITATIONS.splitlines(),
         "",
         *_losses(measured, size),
         *_method(measured),
@@ -174,7 +175,7 @@
             f"{size.name}: {size.nodes} nodes, {size.replicas:,} replicas, {size.teams:,} teams"
         )
         rows.append((scale, *pagetables.cost_cells(total)))
-    return pagetables.table(("size", *pagetables.COST_HEADS[1:]), rows)
+    return pagetables.table(("size", *pagetables.COST_HEADINGS[1:]), rows)
 
 
 def _roles(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> list[str]:
@@ -202,19 +203,21 @@
 
 
 def _losses(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> list[str]:
-    more = size.failure_domains / (size.failure_domains - 1)
+    load_factor = size.failure_domains / (size.failure_domains - 1)
     after = _LOSSES_AFTER.format(
-        ask_wait=losses.ASK_WAIT_S, digest_life=losses.DIGEST_LIFE_S, more=f"{more:.2f} times"
+        response_timeout=losses.GRANT_RESPONSE_TIMEOUT_S,
+        digest_ttl=losses.DIGEST_TTL_S,
+        load_factor=f"{load_factor:.2f} times",
     )
     table = pagetables.loss_table(losses.all_losses(measured, size))
     return [*_LOSSES.splitlines(), "", *table, "", *after.splitlines(), ""]
 
 
 def _method(measured: slopes.SlopeSet) -> list[str]:
-    weak = pagetables.weak_slopes(measured)
+    weak = pagetables.poorly_fitted_slopes(measured)
     text = f"Lines that explain less than 95%: {', '.join(weak)}." if weak else ""
     largest = measured.slope_by_key["processes.unseen.nodes"].points[-1]
-    chance = 1 - checkvalues.heard_part(round(largest.size), losses.DIGEST_LIFE_S)
+    chance = 1 - checkvalues.heard_fraction(round(largest.size), losses.DIGEST_TTL_S)
     return _METHOD.format(
         weak=text, nodes=largest.size, chance=chance, seen=largest.value
     ).splitlines()
--- a/hornbeamglade/capacity/pagetables.py
+++ b/hornbeamglade/capacity/pagetables.py
@@ -1,4 +1,4 @@
-"""Tables of the page on the target size."""
+"""Tables of the capacity page."""
 
 import collections.abc
 
@@ -6,11 +6,11 @@
 
 _MB = 1e6
 _KB = 1e3
-_WEAK_R_SQUARED = 0.95
+_MIN_R_SQUARED = 0.95
 
 
 def table(
-    heads: collections.abc.Sequence[str], rows: collections.abc.Iterable[tuple[str, ...]]
+    headings: collections.abc.Sequence[str], rows: collections.abc.Iterable[tuple[str, ...]]
 ) -> list[str]:
     """Return the lines of a Markdown table.
 
@@ -20,11 +20,11 @@
     >>> table(("a", "b"), [("1", "2")])
     ['| a | b |', '|---|---|', '| 1 | 2 |']
     """
-    return [_row(heads), "|" + "---|" * len(heads), *map(_row, rows)]
+    return [_row(headings), "|" + "---|" * len(headings), *map(_row, rows)]
 
 
 def number(value: float) -> str:
-    """Return a figure with three digits that count; a dash for nothing.
+    """Format a number with three significant digits; zero gives a dash.
 
     Examples
     ========
@@ -39,14 +39,14 @@
     return f"{value:.3g}" if abs(value) >= 1e-4 else f"{value:.1e}"
 
 
-COST_HEADS = (
+COST_HEADINGS = (
     *("what", "CPU, % of a core", "memory, MB", "messages/s", "KB/s"),
     *("platform reads/s", "writes/s"),
 )
 
 
 def cost_cells(cost: dutyvalues.Cost) -> tuple[str, ...]:
-    """Return the figures of one cost."""
+    """Return the table cells of one cost."""
     return (
         number(100 * cost.cores),
         number(cost.memory_bytes / _MB),
@@ -58,10 +58,10 @@
 
 
 def duty_table(duty: dutyvalues.Duty, measured: slopes.SlopeSet) -> list[str]:
-    """Return the table of one duty, with the slopes and the modules behind it."""
+    """Return the table of one duty, with the slopes and modules of each cost."""
     rows = [
         (
-            f"{cost.what} (data path)" if cost.data_path else cost.what,
+            f"{cost.description} (data path)" if cost.data_path else cost.description,
             *cost_cells(cost),
             "; ".join(dict.fromkeys(measured.slope_by_key[key].mechanism for key in cost.keys)),
             ", ".join(f"{key} ({_r_squared(measured.slope_by_key[key])})" for key in cost.keys),
@@ -69,45 +69,45 @@
         for duty_cost in (duty.costs,)
         for cost in duty_cost
     ]
-    return table((*COST_HEADS, "mechanism", "slopes (R²)"), rows)
+    return table((*COST_HEADINGS, "mechanism", "slopes (R²)"), rows)
 
 
-def check_table(found: collections.abc.Iterable[checkvalues.Check]) -> list[str]:
-    """Return the table of what is carried and what is not."""
+def check_table(results: collections.abc.Iterable[checkvalues.Check]) -> list[str]:
+    """Return the table of checks with their verdicts."""
     rows = [
         (
             check.verdict,
-            check.what,
+            check.description,
             f"{number(check.value)} {check.unit}",
             f"{number(check.bound)} {check.unit}",
             check.mechanism,
             check.remark,
         )
-        for check in found
+        for check in results
     ]
     return table(("", "what", "from the slopes", "bound", "mechanism", "remark"), rows)
 
 
-def loss_table(found: collections.abc.Iterable[losses.Loss]) -> list[str]:
+def loss_table(results: collections.abc.Iterable[losses.Loss]) -> list[str]:
     """Return the table of losses."""
     rows = [
         (
-            loss.what,
+            loss.description,
             f"{loss.nodes:,}",
             f"{loss.replicas:,}",
             f"{loss.streams_cut:,}",
             f"{loss.owners_moved:,}",
             number(loss.update_ms),
-            number(loss.rumour_s),
+            number(loss.gossip_s),
             loss.mechanism,
         )
-        for loss in found
+        for loss in results
     ]
-    heads = (
+    headings = (
         *("what goes", "nodes", "replicas", "streams cut", "owners moved"),
         *("new owners, ms of CPU a node", "all word passed on by one node, s", "mechanism"),
     )
-    return table(heads, rows)
+    return table(headings, rows)
 
 
 def slope_table(measured: slopes.SlopeSet) -> list[str]:
@@ -127,12 +127,12 @@
     return table(("slope", "cost", "over", "measured", "per one", "at none", "R²"), rows)
 
 
-def weak_slopes(measured: slopes.SlopeSet) -> list[str]:
-    """Return the keys of slopes whose line explains little."""
+def poorly_fitted_slopes(measured: slopes.SlopeSet) -> list[str]:
+    """Return the keys of slopes whose fit has a low R²."""
     return [
         slope.key
         for slope in measured.slope_by_key.values()
-        if slope.fit.r_squared < _WEAK_R_SQUARED
+        if slope.fit.r_squared < _MIN_R_SQUARED
     ]
 
 
--- a/hornbeamglade/capacity/profiling.py
+++ b/hornbeamglade/capacity/profiling.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of a piece of code."""
+"""Measures the CPU time and memory of a function."""
 
 import collections.abc
 import gc
@@ -8,52 +8,54 @@
 import typing
 
 _REPEATS = 5
-_SHORTEST_S = 0.02
+_MIN_BATCH_S = 0.02
 _MICROSECONDS = 1e6
 
-_Made = typing.TypeVar("_Made")
+_Value = typing.TypeVar("_Value")
 
 
-def cpu_us(act: collections.abc.Callable[[], object]) -> float:
-    """Return the processor time of one call, in microseconds.
+def cpu_us(action: collections.abc.Callable[[], object]) -> float:
+    """Return the CPU time of one call in microseconds.
 
     Explanation
     ===========
 
-    The median of several batches, in processor time of the calling thread, so that
-    other load on the machine counts as little as it can.
+    The result is the median over several batches of the CPU time of the calling thread, so
+    that other load on the machine has little influence.
 
-    :param act: called again and again; must leave no state that makes it dearer.
+    :param action: called repeatedly; must not leave state that makes later calls slower.
     """
-    act()
+    action()
     calls = 1
-    while (took := _batch_s(act, calls)) < _SHORTEST_S and calls < 1 << 16:
-        calls *= 2 if took > _SHORTEST_S / 8 else 8
-    return statistics.median(_batch_s(act, calls) for _ in range(_REPEATS)) / calls * _MICROSECONDS
+    while (elapsed_s := _batch_s(action, calls)) < _MIN_BATCH_S and calls < 1 << 16:
+        calls *= 2 if elapsed_s > _MIN_BATCH_S / 8 else 8
+    return (
+        statistics.median(_batch_s(action, calls) for _ in range(_REPEATS)) / calls * _MICROSECONDS
+    )
 
 
-def total_cpu_us(act: collections.abc.Callable[[], object]) -> float:
-    """Return the processor time of a single call, in microseconds."""
-    return _batch_s(act, 1) * _MICROSECONDS
+def total_cpu_us(action: collections.abc.Callable[[], object]) -> float:
+    """Return the CPU time of a single call in microseconds."""
+    return _batch_s(action, 1) * _MICROSECONDS
 
 
-def held_bytes(make: collections.abc.Callable[[], _Made]) -> float:
-    """Return the bytes that the value made by ``make`` holds, as the allocator sees them."""
+def held_bytes(factory: collections.abc.Callable[[], _Value]) -> float:
+    """Return the bytes allocated for the value that ``factory`` returns."""
     gc.collect()
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        made = make()
+        value = factory()
         gc.collect()
         held = tracemalloc.get_traced_memory()[0] - before
-        del made
+        del value
         return float(held)
     finally:
         tracemalloc.stop()
 
 
-def _batch_s(act: collections.abc.Callable[[], object], calls: int) -> float:
+def _batch_s(action: collections.abc.Callable[[], object], calls: int) -> float:
     started = time.thread_time()
     for _ in range(calls):
-        act()
+        action()
     return time.thread_time() - started
--- a/hornbeamglade/capacity/samplemesh.py
+++ b/hornbeamglade/capacity/samplemesh.py
@@ -1,4 +1,4 @@
-"""One real peering among any number of sample nodes, for the measurements."""
+"""One real peering among any number of simulated nodes, for the measurements."""
 
 import dataclasses
 
@@ -19,11 +19,11 @@
 
 
 class Mesh:
-    """One real peering that hears ``nodes - 1`` others; what it sends goes nowhere."""
+    """One real peering with ``nodes - 1`` simulated peers; its own messages are discarded."""
 
     def __init__(self, nodes: int) -> None:
         self.clock = clocks.ManualClock()
-        self._beat = 0
+        self._sequence = 0
         self.schedulers = schedulerset.SchedulerSet(self.clock, lengthmodel.LengthModel())
         digests = digestcache.DigestCache(self.clock)
         self.catalog = replicacatalog.ReplicaCatalog(self.clock, digests)
@@ -34,14 +34,16 @@
             {name: samplesite.scheduler_spec() for name in self.catalog.known_by_name}
         )
         self.platform = memory.MemoryPlatform(self.clock)
-        told = settings_of_first()
+        own_settings = local_settings()
         self.config = follower.Follower(
-            self.platform, self.platform, self.clock, told.site, told.name
+            self.platform, self.platform, self.clock, own_settings.site, own_settings.name
+        )
+        self.in_flight = inflight.InFlight(
+            limits.TeamLimits(own_settings.name, shares.ShareSettings())
         )
-        self.in_flight = inflight.InFlight(limits.TeamLimits(told.name, shares.ShareSettings()))
         self.peering = peering.Peering(
-            node_settings=told,
-            address=told.callers,
+            node_settings=own_settings,
+            address=own_settings.callers,
             incarnation=INCARNATION,
             clock=self.clock,
             schedulers=self.schedulers,
@@ -53,30 +55,30 @@
             changed=_ignore,
             failed=_raise,
         )
-        listed = samplesite.instances(nodes)
-        self._others = listed[1:]
-        self.peering.heartbeats.apply_list(listed)
+        instances = samplesite.instances(nodes)
+        self._others = instances[1:]
+        self.peering.heartbeats.apply_list(instances)
 
-    def hear_all(self) -> None:
-        """Hear every other node, so that all stay live."""
-        self._beat += 1
+    def receive_from_all(self) -> None:
+        """Receive a heartbeat from every other node, so that all stay live."""
+        self._sequence += 1
         for instance in self._others:
-            told = dataclasses.replace(heartbeat(instance, 0), beat=self._beat)
+            message = dataclasses.replace(heartbeat(instance, 0), beat=self._sequence)
             sender = codec.Sender(instance.name, INCARNATION)
-            self.peering.heartbeats.receive(told, sender, transport.Endpoint("127.0.0.1", 9))
+            self.peering.heartbeats.receive(message, sender, transport.Endpoint("127.0.0.1", 9))
 
     def tick_us(self) -> float:
-        """Return one tick's processor time."""
+        """Run one tick and return its CPU time in microseconds."""
         self.clock.advance(TICK_S)
         return profiling.total_cpu_us(self.peering.tick)
 
     def close(self) -> None:
-        """Give the socket back."""
+        """Close the socket."""
         self.peering.stop()
 
 
-def settings_of_first() -> settings.NodeSettings:
-    """Return the settings of the one node that is real."""
+def local_settings() -> settings.NodeSettings:
+    """Return the settings of the real node."""
     return settings.NodeSettings(
         name=samplesite.node_name(0),
         site=samplesite.SITE,
@@ -97,7 +99,7 @@
 
 
 def heartbeat(instance: contract.Instance, owned: int) -> messages.Heartbeat:
-    """Return what a node of the site tells that owns ``owned`` replicas."""
+    """Return the heartbeat of a node that owns ``owned`` replicas."""
     replicas = tuple(
         messages.ReplicaDigest(
             messages.key_hash(samplesite.replica_name(number)), 50_000 + 977 * number, 2, 140
--- a/hornbeamglade/capacity/samplesite.py
+++ b/hornbeamglade/capacity/samplesite.py
@@ -1,4 +1,4 @@
-"""Sites of any size as plain values, for the measurements."""
+"""Generated sites of any size, for the measurements."""
 
 import dataclasses
 import hashlib
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Counts:
-    """How many of what a sample site has."""
+    """Numbers of teams, replicas and nodes of a generated site."""
 
     teams: int = 10
     replicas: int = 15
@@ -27,9 +27,9 @@
 
 
 def base(counts: Counts, address: str | None = None) -> dict[str, typing.Any]:
-    """Return a base file as plain values.
+    """Return the base configuration as plain values.
 
-    :param address: of every replica; by default each has its own.
+    :param address: address of all replicas; by default each has its own.
     """
     pools: dict[str, dict[str, typing.Any]] = {f"pool-{n}": {"replicas": {}} for n in range(POOLS)}
     for number in range(counts.replicas):
@@ -57,36 +57,36 @@
 
 
 def document(counts: Counts) -> documents.Document:
-    """Return a site's canonical document."""
+    """Return the canonical document of a site."""
     text = documents.canonical({"base": base(counts), "overlays": {SITE: {}}})
     return documents.Document(text, documents.digest(text))
 
 
 def site(counts: Counts) -> models.SiteConfiguration:
-    """Return a site's effective configuration."""
+    """Return the effective configuration of a site."""
     return documents.effective(document(counts).text, SITE)
 
 
-def in_force(counts: Counts) -> following.ActiveRevision:
-    """Return a site's configuration as a node holds it."""
-    made = document(counts)
-    revision = documents.Revision(1, made.digest, "c1", made.text)
-    return following.ActiveRevision(revision, documents.effective(made.text, SITE))
+def active_revision(counts: Counts) -> following.ActiveRevision:
+    """Return the configuration of a site in the form that nodes hold."""
+    site_document = document(counts)
+    revision = documents.Revision(1, site_document.digest, "c1", site_document.text)
+    return following.ActiveRevision(revision, documents.effective(site_document.text, SITE))
 
 
 def overlay() -> documentyaml.SourceFile:
-    """Return the overlay of the sample site, which states no difference."""
+    """Return the overlay of the site, which changes nothing."""
     return documentyaml.SourceFile("site.yaml", f"site: {SITE}\n".encode())
 
 
 def instances(count: int) -> tuple[contract.Instance, ...]:
-    """Return the platform's list of ``count`` nodes."""
+    """Return the platform's instance list with ``count`` nodes."""
     return tuple(
         contract.Instance(
             node_name(number),
             domain(number),
             f"10.0.{number // 250}.{number % 250 + 1}:8080",
-            # The discard port of the loopback: what a measured node sends goes nowhere.
+            # Discard port of the loopback interface: messages of the measured node are dropped.
             "127.0.0.1:9",
             leaving=False,
         )
@@ -95,7 +95,7 @@
 
 
 def scheduler_spec() -> schedulerset.SchedulerSpec:
-    """Return what every replica's scheduler is made from."""
+    """Return the specification that all replicas' schedulers share."""
     return schedulerset.SchedulerSpec(
         MEMORY_TOKENS, replicaadmission.AdmissionSettings(), queuesettings.QueueSettings()
     )
--- a/hornbeamglade/capacity/slopes.py
+++ b/hornbeamglade/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""Measured slopes and their file."""
+"""Measured slopes and the file that stores them."""
 
 import collections.abc
 import dataclasses
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slope:
-    """One cost, measured over several sizes.
+    """One cost, measured at several sizes.
 
-    :param key: names it in the arithmetic.
-    :param group: the group of measurements that it belongs to.
+    :param key: name of the slope in computations.
+    :param group: measurement group of the slope.
     :param cost: what was measured, with its unit.
     :param over: what the size counts.
-    :param mechanism: the module that carries it.
-    :param points: at least four sizes.
+    :param mechanism: module that causes the cost.
+    :param points: measurements at four or more sizes.
     """
 
     key: str
@@ -34,16 +34,16 @@
 
     @property
     def fit(self) -> fits.Fit:
-        """The line through the points."""
+        """The fit of the points."""
         return fits.fit(self.points)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlopeSet:
-    """All slopes of a page, with the machine that they were measured on.
+    """All slopes of a page and the machine on which they were measured.
 
     :param machine: processor and interpreter.
-    :param slope_by_key: in the order of measuring.
+    :param slope_by_key: slopes in the order of measurement.
     """
 
     machine: str
@@ -52,20 +52,20 @@
     def at(self, key: str, size: float) -> float:
         """Return a cost at a size.
 
-        :raises CodedError: ``capacity_slope_missing`` when it was not measured.
+        :raises CodedError: ``capacity_slope_missing`` when the cost was not measured.
         """
         return self._slope(key).fit.at(size)
 
     def per(self, key: str) -> float:
-        """Return what one more adds, without the part that does not grow."""
+        """Return the cost per unit of size, without the constant part."""
         return max(0.0, self._slope(key).fit.slope)
 
     def base(self, key: str) -> float:
-        """Return the part that does not grow."""
+        """Return the constant part of a cost."""
         return max(0.0, self._slope(key).fit.intercept)
 
     def merged(self, others: collections.abc.Iterable[Slope]) -> "SlopeSet":
-        """Return the set with some slopes measured anew."""
+        """Return the set with some slopes added or replaced."""
         newer = {slope.key: slope for slope in others}
         return SlopeSet(machine(), self.slope_by_key | newer)
 
@@ -80,7 +80,7 @@
 
 
 def machine() -> str:
-    """Name the processor and the interpreter in use."""
+    """Describe the processor and the interpreter in use."""
     model = platform.machine()
     try:
         lines = pathlib.Path("/proc/cpuinfo").read_text(encoding="utf-8").splitlines()
@@ -97,7 +97,7 @@
 def read(path: pathlib.Path) -> SlopeSet:
     """Read a file of slopes.
 
-    :raises CodedError: ``capacity_slopes_unreadable`` when it holds anything else.
+    :raises CodedError: ``capacity_slopes_unreadable`` when it cannot be read or is invalid.
     """
     try:
         return _ADAPTER.validate_json(path.read_bytes())
--- a/hornbeamglade/capacity/sweeppage.py
+++ b/hornbeamglade/capacity/sweeppage.py
@@ -1,4 +1,4 @@
-"""The section of the capacity page on entry instances, from a day played at several sizes."""
+"""Section of the capacity page on entry instances, from one day run at several sizes."""
 
 import dataclasses
 
@@ -7,15 +7,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bound:
-    """What a quantity may come to at the target size.
+    """Upper bound of a quantity at the target size.
 
-    :param quantity: its name in the table.
-    :param most: the bound, in the quantity's unit.
-    :param remark: what the bound is and what else is counted in.
+    :param quantity: name of the quantity in the table.
+    :param limit: the bound, in the unit of the quantity.
+    :param remark: source of the bound and what else the quantity includes.
     """
 
     quantity: str
-    most: float
+    limit: float
     remark: str
 
 
@@ -27,7 +27,7 @@
 
 
 def markdown(sweep: sweeptables.Sweep) -> str:
-    """Return the section.
+    """Return the section as Markdown.
 
     Examples
     ========
@@ -39,8 +39,13 @@
     True
     """
     sizes = sorted({size for each in sweep.quantities for size in each.by_size})
-    heads = ["quantity", *(f"{size} instances" for size in sizes), "power", f"at {sweep.target}"]
-    rows = [_row(heads), _row("---" for _ in heads)]
+    headings = [
+        "quantity",
+        *(f"{size} instances" for size in sizes),
+        "power",
+        f"at {sweep.target}",
+    ]
+    rows = [_row(headings), _row("---" for _ in headings)]
     rows += [_row(_cells(each, sizes)) for each in sweep.quantities]
     quantity_by_name = {each.name: each for each in sweep.quantities}
     bounds = [
@@ -48,7 +53,7 @@
         _row("---" for _ in range(5)),
     ]
     bounds += [
-        _row(_judged(bound, quantity_by_name[bound.quantity]))
+        _row(_bound_cells(bound, quantity_by_name[bound.quantity]))
         for bound in BOUNDS
         if bound.quantity in quantity_by_name
     ]
@@ -65,6 +70,6 @@
     return [quantity.name, *shown, f"{quantity.power:g}", f"{quantity.extrapolated:g}"]
 
 
-def _judged(bound: Bound, quantity: sweeptables.Quantity) -> tuple[str, ...]:
-    verdict = "carried" if quantity.extrapolated <= bound.most else "**not carried**"
-    return (verdict, quantity.name, f"{quantity.extrapolated:g}", f"{bound.most:g}", bound.remark)
+def _bound_cells(bound: Bound, quantity: sweeptables.Quantity) -> tuple[str, ...]:
+    verdict = "carried" if quantity.extrapolated <= bound.limit else "**not carried**"
+    return (verdict, quantity.name, f"{quantity.extrapolated:g}", f"{bound.limit:g}", bound.remark)
--- a/hornbeamglade/capacity/targetsize.py
+++ b/hornbeamglade/capacity/targetsize.py
@@ -1,4 +1,4 @@
-"""The sizes that a site is built for, and what each node may spend on control."""
+"""The supported site sizes and the control budget of each node."""
 
 import dataclasses
 
@@ -10,18 +10,18 @@
 class SiteSize:
     """The size of one site.
 
-    :param name: for the page.
-    :param nodes: entry nodes.
-    :param replicas: of all pools.
-    :param pools: model pools.
-    :param teams: configured teams.
-    :param requests_per_s: at the peak.
-    :param tokens_per_s: generated at the peak.
-    :param regions: regions that it spans.
-    :param failure_domains: failure domains that it spans.
-    :param changes_per_day: changes of configuration.
-    :param failures_per_day: instances that fail.
-    :param replacements_per_day: instances restarted or replaced.
+    :param name: name on the page.
+    :param nodes: number of entry nodes.
+    :param replicas: number of replicas in all pools.
+    :param pools: number of model pools.
+    :param teams: number of configured teams.
+    :param requests_per_s: peak request rate.
+    :param tokens_per_s: peak rate of generated tokens.
+    :param regions: number of regions that the site spans.
+    :param failure_domains: number of failure domains that the site spans.
+    :param changes_per_day: configuration changes per day.
+    :param failures_per_day: failures of instances per day.
+    :param replacements_per_day: instances restarted or replaced per day.
 
     Examples
     ========
@@ -45,22 +45,22 @@
 
     @property
     def requests_per_node(self) -> float:
-        """Requests a second at one node."""
+        """Requests per second at one node."""
         return self.requests_per_s / self.nodes
 
     @property
     def tokens_per_node(self) -> float:
-        """Tokens a second through one node."""
+        """Tokens per second through one node."""
         return self.tokens_per_s / self.nodes
 
     @property
     def streams_per_node(self) -> float:
-        """Streams open at once at one node."""
+        """Concurrent streams at one node."""
         return self.tokens_per_node * TOKEN_S
 
     @property
     def streams_per_replica(self) -> float:
-        """Streams open at once at one replica."""
+        """Concurrent streams at one replica."""
         return self.tokens_per_s * TOKEN_S / self.replicas
 
     @property
@@ -70,17 +70,17 @@
 
     @property
     def replicas_per_pool(self) -> float:
-        """Replicas among which a request's replica is chosen."""
+        """Replicas from which the replica of a request is chosen."""
         return self.replicas / self.pools
 
     @property
     def answer_s(self) -> float:
-        """Seconds that the mean answer takes."""
+        """Mean duration of a response in seconds."""
         return self.tokens_per_s / self.requests_per_s * TOKEN_S
 
     @property
     def changes_per_s(self) -> float:
-        """Changes of configuration a second, on average."""
+        """Mean configuration changes per second."""
         return self.changes_per_day / DAY_S
 
 
@@ -130,15 +130,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Budget:
-    """What control may spend.
-
-    :param cores: of one core, at a node.
-    :param memory_bytes: at a node.
-    :param bytes_per_s: at a node.
-    :param store_writes_per_s: of the platform's table, for all nodes together; its
-        "several hundred" counted as 400.
-    :param store_reads_per_s: of the platform, for all nodes together.
-    :param change_s: seconds until a change is in force everywhere.
+    """Resources that control may use.
+
+    :param cores: CPU use of a node as a fraction of one core.
+    :param memory_bytes: memory of a node.
+    :param bytes_per_s: network traffic of a node.
+    :param store_writes_per_s: writes to the platform's table by all nodes together; the
+        specified "several hundred" are counted as 400.
+    :param store_reads_per_s: reads of the platform by all nodes together.
+    :param change_s: seconds until a change is in force at all nodes.
     """
 
     cores: float = 0.048
--- a/tests/capacity/test_fits.py
+++ b/tests/capacity/test_fits.py
@@ -16,25 +16,25 @@
     assert fit.r_squared == pytest.approx(1.0)
 
 
-def test_a_square_is_not_carried_as_a_line():
-    # A page says that a node carries its teams; at the real size it stands still.
-    # Cause: a cost that grows with the square was measured at small sizes and
-    # carried to the target along a straight line.
+def test_a_quadratic_cost_is_not_extrapolated_linearly():
+    # Guards against a cost that grows quadratically, is measured at small sizes and is
+    # extrapolated linearly: the page would claim that a node supports the target number
+    # of teams, although it would stall at that size.
     fit = fits.fit([fits.Point(size, 5 + 0.1 * size**2) for size in (10, 20, 40, 80)])
     assert fit.at(800) == pytest.approx(5 + 0.1 * 800**2)
 
 
-def test_noise_on_a_line_does_not_bend_it():
+def test_noise_does_not_cause_a_quadratic_fit():
     values = (10.2, 19.8, 41.0, 78.9)
     fit = fits.fit([fits.Point(x, y) for x, y in zip((10, 20, 40, 80), values, strict=True)])
     assert fit.power == fits.LINEAR
 
 
-def test_three_sizes_are_refused():
+def test_fewer_than_four_sizes_are_refused():
     with pytest.raises(ValueError):
         fits.fit([fits.Point(1, 1), fits.Point(2, 2), fits.Point(3, 3), fits.Point(3, 4)])
 
 
-def test_a_cost_is_never_below_nothing():
+def test_a_cost_is_never_negative():
     fit = fits.fit([fits.Point(size, 2 * size - 10) for size in (10, 20, 40, 80)])
     assert fit.at(1) == 0.0
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -29,13 +29,13 @@
     return sweeptables.decode((DOCS / "capacity-sweep.txt").read_text(encoding="utf-8"))
 
 
-def test_the_page_is_the_one_that_its_slopes_give(measured, sweep):
-    # Readers trust a figure that no run gave. Order: the arithmetic or the slopes
-    # change, the page is not made anew. Cause: nothing ties the page to its source.
+def test_the_page_matches_its_slopes(measured, sweep):
+    # Guards against an outdated page: the computation or the slopes change, and the page
+    # is not generated again, so it contains figures that no run produced.
     assert (DOCS / "CAPACITY.md").read_text(encoding="utf-8") == page.markdown(measured, sweep)
 
 
-def test_every_slope_has_four_sizes_and_a_module_that_exists(measured):
+def test_every_slope_has_four_sizes_and_existing_modules(measured):
     package = DOCS.parent / "hornbeamglade"
     for slope in measured.slope_by_key.values():
         assert len({point.size for point in slope.points}) >= 4
@@ -44,62 +44,62 @@
                 assert (package / word).exists(), slope.key
 
 
-def test_the_bytes_of_the_list_are_measured_where_it_is_read_each_second(measured):
-    # The page shows no bytes for the platform's list. Order: a site above the bound of
-    # the mesh is measured with the others. Cause: it reads the list so seldom that its
-    # point bends the line below nothing, which counts as nothing.
+def test_the_bytes_of_the_instance_list_are_measured_within_the_full_mesh(measured):
+    # Guards against a page that shows no bytes for the platform's instance list. A site
+    # above the full-mesh limit reads the list so rarely that its point turns the slope
+    # negative, which counts as zero.
     slope = measured.slope_by_key["processes.platform_bytes.nodes"]
     assert all(point.size <= dissemination.FULL_MESH_MAX_NODES for point in slope.points)
     assert slope.fit.slope > 0
 
 
-def test_slopes_survive_their_file(measured, tmp_path):
+def test_slopes_survive_a_round_trip_through_a_file(measured, tmp_path):
     path = tmp_path / "slopes.json"
     slopes.write(path, measured)
     assert slopes.read(path) == measured
 
 
-def test_a_missing_slope_is_an_error_and_no_zero(measured, sweep):
-    # A page without the load polls would show a node within its budget. Cause: a
-    # group of slopes was left out and its costs counted as nothing.
-    left = dict(measured.slope_by_key)
-    del left["processes.cores.owned"]
+def test_a_missing_slope_is_an_error_and_not_zero(measured, sweep):
+    # Guards against costs that count as zero because their group was not measured: without
+    # the load polls, the page would show a node within its budget.
+    remaining = dict(measured.slope_by_key)
+    del remaining["processes.cores.owned"]
     with pytest.raises(codederrors.CodedError, match="processes.cores.owned"):
-        page.markdown(dataclasses.replace(measured, slope_by_key=left), sweep)
+        page.markdown(dataclasses.replace(measured, slope_by_key=remaining), sweep)
 
 
-def test_the_data_path_is_no_control(measured):
+def test_the_data_path_does_not_count_as_control(measured):
     cost = dutyvalues.Cost("tokens", (), cores=1.0, data_path=True)
     control = dutyvalues.Cost("polls", (), cores=0.25, reads_per_s=2.0)
     total = dutyvalues.control_total((dutyvalues.Duty("both", "none", (cost, control)),))
     assert (total.cores, total.reads_per_s) == (0.25, 2.0)
 
 
-def test_a_bound_is_broken_as_soon_as_it_is_passed():
+def test_a_bound_includes_its_own_value():
     check = checkvalues.Check("what", 3.0, 3.0, "s", "module", "remark")
-    assert check.carried
-    assert not dataclasses.replace(check, value=3.01).carried
+    assert check.is_met
+    assert not dataclasses.replace(check, value=3.01).is_met
 
 
-def test_a_bound_that_another_run_may_break_is_said_so():
+def test_a_narrowly_met_bound_is_marked():
     check = checkvalues.Check("what", 2.5, 3.0, "s", "module", "remark")
     assert check.verdict == "carried, by less than 20%"
     assert dataclasses.replace(check, value=2.3).verdict == "carried"
 
 
-def test_a_list_that_is_read_more_seldom_costs_fewer_bytes(measured):
-    # The page shows 41 KB/s for a list that is read each 30 s. Cause: the bytes were
-    # measured at one reading a second and taken as they were.
+def test_an_instance_list_that_is_read_less_often_costs_fewer_bytes(measured):
+    # Guards against bytes measured at one read per second that are not scaled to the actual
+    # period: the page showed 41 KB/s for a list that is read every 30 s.
     large = dataclasses.replace(targetsize.TARGET, nodes=dissemination.FULL_MESH_MAX_NODES + 1)
     small = dataclasses.replace(large, nodes=dissemination.FULL_MESH_MAX_NODES)
-    read = [
+    bytes_per_s = [
         sum(cost.bytes_per_s for cost in dutiesshared.membership(measured, size).costs[2:])
         for size in (small, large)
     ]
-    assert read[1] < read[0] / 10
+    assert bytes_per_s[1] < bytes_per_s[0] / 10
 
 
-def test_the_smaller_site_costs_less(measured):
+def test_a_smaller_site_costs_less(measured):
     totals = [
         dutyvalues.control_total(duties.all_duties(measured, size))
         for size in (targetsize.TODAY, targetsize.ONE_REGION, targetsize.TARGET)
@@ -108,6 +108,6 @@
     assert totals[0].reads_per_s < totals[1].reads_per_s < totals[2].reads_per_s
 
 
-def test_all_nodes_are_heard_up_to_the_bound_of_the_mesh():
-    assert checkvalues.heard_part(16, 5.0) == 1.0
-    assert checkvalues.heard_part(17, 5.0) < 1.0
+def test_all_nodes_are_heard_up_to_the_full_mesh_limit():
+    assert checkvalues.heard_fraction(16, 5.0) == 1.0
+    assert checkvalues.heard_fraction(17, 5.0) < 1.0
