--- a/hornbeamglade/node/generationhandler.py
+++ b/hornbeamglade/node/generationhandler.py
@@ -66,9 +66,9 @@
         service = view.permitted(team, name)
         if isinstance(service, outcomes.Refusal):
             return onceonly.before_claim(service, request)
-        refusal = _out_of_bounds(call, service, len(request.body))
-        if refusal is not None:
-            return onceonly.before_claim(refusal, request)
+        bounds_refusal = _out_of_bounds(call, service, len(request.body))
+        if bounds_refusal is not None:
+            return onceonly.before_claim(bounds_refusal, request)
         # The claim is made before the limits are checked: a retry of a request that has run
         # must never be answered with "not run" because its team is at its limit.
         dispatch = self._parts.once.begin(team, name, service, request)
@@ -152,7 +152,7 @@
         if isinstance(grant, outcomes.Refusal):
             return grant
         self._scope.grant = grant
-        answer = self._use(grant)
+        answer = self._use_grant(grant)
         if isinstance(answer, attempts.FailedAttempt):
             self._scope.release_grant()
             self._excluded.add(grant.replica)
@@ -194,7 +194,9 @@
             for each in known
         )
 
-    def _use(self, grant: grantacquirer.Grant) -> application.Answer | attempts.FailedAttempt:
+    def _use_grant(
+        self, grant: grantacquirer.Grant
+    ) -> application.Answer | attempts.FailedAttempt:
         known = self._parts.catalog.known_by_name.get(grant.replica)
         if known is None:
             return attempts.FailedAttempt(
--- a/hornbeamglade/node/replicacatalog.py
+++ b/hornbeamglade/node/replicacatalog.py
@@ -146,10 +146,10 @@
         ]
         return tuple(
             self._candidate(known, prefix, state_by_replica.get(known.name))
-            for known in self._sample(usable, state_by_replica)
+            for known in self._sample_replicas(usable, state_by_replica)
         )
 
-    def _sample(
+    def _sample_replicas(
         self, usable: list[KnownReplica], state_by_replica: collections.abc.Mapping[str, object]
     ) -> list[KnownReplica]:
         """Sample a large pool, as considering 600 replicas takes 13 ms per request."""
--- a/hornbeamglade/node/runtime.py
+++ b/hornbeamglade/node/runtime.py
@@ -66,14 +66,14 @@
     def requested(self, service: str) -> None:
         """Record a request's first attempt."""
         with self._lock:
-            self._of(service).record_request()
+            self._budget(service).record_request()
 
     def spend(self, service: str, *, repeatable: bool) -> bool:
         """Take one retry from the budget, if permitted."""
         with self._lock:
-            return self._of(service).spend(repeatable=repeatable)
+            return self._budget(service).spend(repeatable=repeatable)
 
-    def _of(self, service: str) -> budget.RetryBudget:
+    def _budget(self, service: str) -> budget.RetryBudget:
         default = budget.RetryBudget(budget.RetrySettings())
         return self._budget_by_service.setdefault(service, default)
 
--- a/tests/callers/callerside.py
+++ b/tests/callers/callerside.py
@@ -13,9 +13,9 @@
 
 
 def wait_for(condition):
-    ends = time.monotonic() + TIMEOUT_S
+    deadline = time.monotonic() + TIMEOUT_S
     while not condition():
-        assert time.monotonic() < ends, "condition not met in time"
+        assert time.monotonic() < deadline, "condition not met in time"
         time.sleep(0.005)
 
 
@@ -24,7 +24,7 @@
 
     def __init__(self, kind):
         self.kind = kind
-        self.closes = 0
+        self.close_count = 0
         self.pieces = self.relay()
 
     def relay(self):
@@ -35,7 +35,7 @@
         yield b"data: one\n\n"
         if self.kind == "raise":
             raise RuntimeError("in the middle")
-        while self.kind in ("endless", "recorded") and not self.closes:
+        while self.kind in ("endless", "recorded") and not self.close_count:
             time.sleep(0.005)
             yield b": keep-alive\n\n"
         yield b"data: [DONE]\n\n"
@@ -44,7 +44,7 @@
         return self.pieces
 
     def close(self):
-        self.closes += 1
+        self.close_count += 1
         self.rest = tuple(self.pieces)
         if self.kind == "raise_close":
             raise RuntimeError("while closing")
--- a/tests/callers/test_application.py
+++ b/tests/callers/test_application.py
@@ -174,7 +174,7 @@
         assert caller.reader.readline().startswith(b"HTTP/1.1 200")
         node.clock.advance(slowsenders.REQUEST_READ_S + 1)
         assert node.senders.sweep() == 0
-    callerside.wait_for(lambda: node.handlers.streams[-1].closes == 1)
+    callerside.wait_for(lambda: node.handlers.streams[-1].close_count == 1)
 
 
 def test_a_caller_that_disconnects_while_it_waits_is_detected(node):
@@ -209,7 +209,7 @@
     with node.caller() as caller:
         body = caller.send_request("POST", CHAT, kind.encode())[2]
         assert caller.send_request("GET", "/healthz")[0] == 200
-    assert node.handlers.streams[-1].closes == 1
+    assert node.handlers.streams[-1].close_count == 1
     assert len(node.handlers.errors) == (kind != "whole")
     assert (b"[DONE]" in body) == (kind in ("whole", "raise_close"))
     assert body.count(b'"internal_error"') == 2 * (b"[DONE]" not in body)
@@ -225,9 +225,9 @@
         caller.send(callerside.request("POST", CHAT, b"recorded"))
         assert caller.reader.readline().startswith(b"HTTP/1.1 200")
     stream = node.handlers.streams[-1]
-    callerside.wait_for(lambda: stream.closes)
+    callerside.wait_for(lambda: stream.close_count)
     callerside.wait_for(lambda: hasattr(stream, "rest"))
-    assert stream.closes == 1
+    assert stream.close_count == 1
     assert stream.rest[-1] == b"data: [DONE]\n\n"
 
 
@@ -256,4 +256,4 @@
     }
     with pytest.raises(BrokenPipeError):
         gateway.respond()
-    assert node.handlers.streams[-1].closes == 1
+    assert node.handlers.streams[-1].close_count == 1
--- a/tests/exchange/test_codec.py
+++ b/tests/exchange/test_codec.py
@@ -49,8 +49,8 @@
 @hypothesis.given(exchange_strategies.MESSAGES, strategies.data())
 def test_a_flipped_bit_is_dropped(message, data):
     frame = bytearray(make_codec("a").encode("b", message))
-    place = data.draw(strategies.integers(0, len(frame) * 8 - 1))
-    frame[place // 8] ^= 1 << place % 8
+    position = data.draw(strategies.integers(0, len(frame) * 8 - 1))
+    frame[position // 8] ^= 1 << position % 8
     assert isinstance(make_codec("b").decode(bytes(frame)), codec.Dropped)
 
 
@@ -121,13 +121,13 @@
 def test_a_heartbeat_of_maximum_size_fits_a_datagram():
     # A node that owns very many replicas fills its heartbeat. If that did not fit a
     # datagram, its heartbeats would stop when other nodes depend on it most.
-    most, name = 2**32 - 1, "n" * messages.MAX_NAME_BYTES
-    digest = messages.ReplicaDigest(2**64 - 3, most, 2**16 - 1, most, True, True)
+    largest, name = 2**32 - 1, "n" * messages.MAX_NAME_BYTES
+    digest = messages.ReplicaDigest(2**64 - 3, largest, 2**16 - 1, largest, True, True)
     demand = messages.TeamDemand(2**64 - 3, 2**16 - 1, 2**16 - 1)
-    update = messages.MembershipUpdate(2**64 - 3, 2**64 - 3, most, messages.NodeState.GONE)
+    update = messages.MembershipUpdate(2**64 - 3, 2**64 - 3, largest, messages.NodeState.GONE)
     beat = messages.Heartbeat(
         messages.NodeState.LEAVING,
-        most,
+        largest,
         2**64 - 3,
         name,
         name,
@@ -136,7 +136,7 @@
         replicas=(digest,) * messages.MAX_REPLICAS,
         demands=(demand,) * messages.MAX_DEMANDS,
         updates=(update,) * messages.MAX_MEMBERSHIP_UPDATES,
-        refutation=most,
+        refutation=largest,
         evacuations=evacuations.Evacuations(
             2**64 - 3, frozenset(str(n) * 8 for n in range(messages.MAX_EVACUATED))
         ),
@@ -149,11 +149,11 @@
 def test_a_progress_report_of_maximum_size_fits_a_datagram(running):
     # A node reports very many grants of one owner. If the report did not fit a
     # datagram, it would never be sent, and all these grants would expire.
-    most, name = 2**64 - 3, "n" * messages.MAX_NAME_BYTES
+    largest, name = 2**64 - 3, "n" * messages.MAX_NAME_BYTES
     released = messages.MAX_PROGRESS - running
     report = messages.Progress(
-        (messages.GrantProgress(most, most, 2**32 - 1),) * running,
-        (messages.GrantRelease(most, 2**32 - 1),) * released,
+        (messages.GrantProgress(largest, largest, 2**32 - 1),) * running,
+        (messages.GrantRelease(largest, 2**32 - 1),) * released,
     )
     frame = make_codec(name, incarnation=2**63).encode(name, report)
     assert make_codec(name).decode(frame).message == report
@@ -164,16 +164,16 @@
 
     Its new incarnation is lower, and all peers that knew the former one dropped its frames.
     """
-    peer, former, again = (
+    peer, former, restarted = (
         make_codec("b"),
         make_codec("a", incarnation=9),
         make_codec("a", incarnation=4),
     )
     peer.decode(former.encode("b", ANNOUNCEMENT))
-    dropped = peer.decode(again.encode("b", ANNOUNCEMENT))
+    dropped = peer.decode(restarted.encode("b", ANNOUNCEMENT))
     assert dropped.superseded_by == codec.Sender("a", 9)
-    assert again.raise_incarnation_above(9) == 10
-    assert peer.decode(again.encode("b", ANNOUNCEMENT)) == codec.Decoded(
+    assert restarted.raise_incarnation_above(9) == 10
+    assert peer.decode(restarted.encode("b", ANNOUNCEMENT)) == codec.Decoded(
         ANNOUNCEMENT, codec.Sender("a", 10)
     )
 
--- a/tests/http1/test_clientside.py
+++ b/tests/http1/test_clientside.py
@@ -143,8 +143,8 @@
     """A late response to an earlier request arrives before the response to this request."""
 
     async def main():
-        stray = b"HTTP/1.1 200 OK\r\nX-Id: old\r\nContent-Length: 3\r\n\r\nold"
-        server = raw.ScriptedServer(stray + COMPLETE)
+        late_response = b"HTTP/1.1 200 OK\r\nX-Id: old\r\nContent-Length: 3\r\n\r\nold"
+        server = raw.ScriptedServer(late_response + COMPLETE)
         address = await server.start()
         connection = await clientside.connect(address, 5.0, clocks.SystemClock())
         connection.send(b"POST", b"/", ((b"Host", b"x"),), b"abc")
--- a/tests/http1/test_serverside.py
+++ b/tests/http1/test_serverside.py
@@ -42,10 +42,10 @@
                 raise
         if target == b"/fault":
             raise ValueError("injected handler error")
-        if target in (b"/stream", b"/torn"):
+        if target in (b"/stream", b"/aborted"):
             await exchange.begin(200, ())
             await exchange.send(b"one")
-            if target == b"/torn":
+            if target == b"/aborted":
                 exchange.abort()
                 return
             await exchange.finish()
@@ -186,7 +186,7 @@
     async def main():
         server, address = await serve(Recorder())
         client = await raw.RawClient.connect(address)
-        await client.send(b"GET /torn HTTP/1.1\r\nHost: x\r\n\r\n")
+        await client.send(b"GET /aborted HTTP/1.1\r\nHost: x\r\n\r\n")
         await client.head()
         rest = b""
         try:
@@ -203,9 +203,9 @@
     async def main():
         recorder = Recorder()
         server, address = await serve(recorder)
-        broken = await raw.RawClient.connect(address)
-        await broken.send(b"GET /fault HTTP/1.1\r\nHost: x\r\n\r\n")
-        is_closed = await broken.is_closed()
+        failed = await raw.RawClient.connect(address)
+        await failed.send(b"GET /fault HTTP/1.1\r\nHost: x\r\n\r\n")
+        is_closed = await failed.is_closed()
         other = await raw.RawClient.connect(address)
         await other.send(GET)
         received = await other.answer()
@@ -246,16 +246,16 @@
         recorder = Recorder()
         server, address = await serve(recorder)
         idle = await raw.RawClient.connect(address)
-        begun = await raw.RawClient.connect(address)
-        await begun.send(b"GET /a HTTP/1.1\r\n")
+        incomplete = await raw.RawClient.connect(address)
+        await incomplete.send(b"GET /a HTTP/1.1\r\n")
         busy = await raw.RawClient.connect(address)
         await busy.send(b"GET /wait HTTP/1.1\r\nHost: x\r\n\r\n")
         await eventloop.until(lambda: server.busy_count == 1 and len(server.connections) == 3)
         await asyncio.sleep(0.02)
         server.close_idle()
         is_closed = await idle.is_closed()
-        await begun.send(b"Host: x\r\n\r\n")
-        received = await begun.answer()
+        await incomplete.send(b"Host: x\r\n\r\n")
+        received = await incomplete.answer()
         server.stop_listening()
         return is_closed, received[0], server.busy_count
 
--- a/tests/node/test_generationsource.py
+++ b/tests/node/test_generationsource.py
@@ -44,14 +44,16 @@
 
 
 def test_a_lost_connection_is_resumed_after_the_last_token(engine):
-    link = fakeparts.FakeConnection(token(0), token(1), LOST)
-    notes = []
-    source, state = fakeparts.make_source(clocks.ManualClock(), link, on_resume=notes.append)
+    connection = fakeparts.FakeConnection(token(0), token(1), LOST)
+    resume_outcomes = []
+    source, state = fakeparts.make_source(
+        clocks.ManualClock(), connection, on_resume=resume_outcomes.append
+    )
     rest = fakeparts.FakeConnection(token(2), fakeparts.finished(3))
     engine.outcomes = [outcomes.Lost("no connection"), generations.Opened(rest)]
-    assert read(source, state) == [*link.events[:2], *rest.events]
+    assert read(source, state) == [*connection.events[:2], *rest.events]
     assert engine.resume_offsets == [1, 1]
-    assert notes == ["resumed"]
+    assert resume_outcomes == ["resumed"]
     assert engine.cancelled == []
 
 
@@ -65,8 +67,8 @@
 
     The generation is cancelled, as a kept stream would grow although no caller waits for it.
     """
-    link = fakeparts.FakeConnection(*map(token, range(tokens)), LOST)
-    source, state = fakeparts.make_source(clocks.ManualClock(), link, repeatable, resumable)
+    connection = fakeparts.FakeConnection(*map(token, range(tokens)), LOST)
+    source, state = fakeparts.make_source(clocks.ManualClock(), connection, repeatable, resumable)
     assert read(source, state)[-1] is LOST
     assert engine.resume_offsets == []
     assert engine.cancelled == [fakeparts.GENERATION]
@@ -113,10 +115,10 @@
 
 
 def test_a_cancelled_generation_is_not_resumed(engine):
-    link = fakeparts.FakeConnection(token(0), LOST)
-    source, state = fakeparts.make_source(clocks.ManualClock(), link)
+    connection = fakeparts.FakeConnection(token(0), LOST)
+    source, state = fakeparts.make_source(clocks.ManualClock(), connection)
     events = iter(source)
     state.accept(fakeparts.GENERATION, next(events).offset)
     source.cancel()
     assert list(events) == [LOST]
-    assert (engine.resume_offsets, link.cancels) == ([], 1)
+    assert (engine.resume_offsets, connection.cancels) == ([], 1)
--- a/tests/node/test_path.py
+++ b/tests/node/test_path.py
@@ -23,19 +23,19 @@
 
 def test_complete_response_through_each_node(site):
     for number in range(3):
-        reply = site.caller(number).generate(f"letter {number}", 7)
-        assert reply.status == 200
-        words = reply.text.split()
+        response = site.caller(number).generate(f"letter {number}", 7)
+        assert response.status == 200
+        words = response.text.split()
         assert [word.split(".")[1] for word in words] == [str(n) for n in range(7)]
         assert len({word.split(".")[0] for word in words}) == 1
 
 
 def test_streamed_response(site):
-    reply = site.caller(1).stream("letter", 9)
-    reply.read_all()
-    assert len(reply.texts) == 9
-    assert reply.is_done
-    assert reply.error is None
+    response = site.caller(1).stream("letter", 9)
+    response.read_all()
+    assert len(response.texts) == 9
+    assert response.is_done
+    assert response.error is None
 
 
 def test_openai_client_complete_response(client):
@@ -86,10 +86,10 @@
 
 
 def test_plain_call_keeps_method_path_query_and_body(site):
-    reply = site.caller(2).call("PUT", "/services/codes/gate/7?door=a", b'{"x": 1}')
-    assert reply.status == 200
-    assert reply.json()["method"] == "PUT"
-    assert reply.json()["path"].startswith("/gate/7")
+    response = site.caller(2).call("PUT", "/services/codes/gate/7?door=a", b'{"x": 1}')
+    assert response.status == 200
+    assert response.json()["method"] == "PUT"
+    assert response.json()["path"].startswith("/gate/7")
 
 
 def test_claimed_call_is_run_once_and_its_response_replayed_at_another_node(site):
@@ -115,11 +115,11 @@
 
 
 def test_addresses_list_the_live_nodes(site):
-    reply = site.caller(0).call("GET", "/v1/addresses")
-    named = reply.json()["addresses"]
-    assert set(named) <= {site.address_by_name[f"entry-{n}"] for n in range(3)}
-    assert len(named) == 3
-    assert reply.headers["cache-control"] == "max-age=1"
+    response = site.caller(0).call("GET", "/v1/addresses")
+    addresses = response.json()["addresses"]
+    assert set(addresses) <= {site.address_by_name[f"entry-{n}"] for n in range(3)}
+    assert len(addresses) == 3
+    assert response.headers["cache-control"] == "max-age=1"
 
 
 @pytest.mark.parametrize(
@@ -137,23 +137,23 @@
     ],
 )
 def test_bad_input_gets_a_coded_error(site, method, path, body, status, code):
-    reply = site.caller(0).call(method, path, body)
-    assert (reply.status, reply.code, reply.run) == (status, code, "not_run")
+    response = site.caller(0).call(method, path, body)
+    assert (response.status, response.code, response.run) == (status, code, "not_run")
 
 
 def test_wrong_key_is_refused(site):
-    reply = site.caller(0, key="somebody's").generate("hi", 3)
-    assert (reply.status, reply.code) == (401, "key_unknown")
+    response = site.caller(0, key="somebody's").generate("hi", 3)
+    assert (response.status, response.code) == (401, "key_unknown")
 
 
 def test_too_long_prompt_is_refused(site):
-    reply = site.caller(0).generate("x" * 140_000, 3)
-    assert (reply.status, reply.code) == (413, "prompt_too_long")
+    response = site.caller(0).generate("x" * 140_000, 3)
+    assert (response.status, response.code) == (413, "prompt_too_long")
 
 
 def test_metrics_are_exposed(site):
-    reply = site.caller(0).call("GET", "/metrics")
-    assert b"hornbeamglade_time_to_first_token_seconds_bucket" in reply.body
+    response = site.caller(0).call("GET", "/metrics")
+    assert b"hornbeamglade_time_to_first_token_seconds_bucket" in response.body
 
 
 def test_status_shows_the_revision(site):
