--- a/hornbeamglade/cli/explain.py
+++ b/hornbeamglade/cli/explain.py
@@ -20,7 +20,7 @@
     Ends with 1 when no line names the request.
     """
     lines = [line for file in files for line in requesttimeline.parse(file)]
-    story = requesttimeline.find(request_id, lines)
-    click.echo(story.text())
-    if not story.lines:
+    timeline = requesttimeline.find(request_id, lines)
+    click.echo(timeline.text())
+    if not timeline.lines:
         sys.exit(EXIT_UNKNOWN)
--- a/hornbeamglade/observability/logbudget.py
+++ b/hornbeamglade/observability/logbudget.py
@@ -1,18 +1,18 @@
-"""How many lines on requests a process writes in a second."""
+"""Rate limit on the log lines that a process writes about requests."""
 
 LINES_PER_S = 500.0
-"""A node of the target size answers 20 requests a second with three lines each. A crowd of
-ten times that is still told in full; more would cost a twentieth of a core and hide what
-an operator looks for."""
+"""A node of the target size answers 20 requests a second and writes three lines for each. A load
+of ten times that is still logged in full; more would cost a twentieth of a core and bury the
+lines that an operator looks for."""
 
 BURST = 1000.0
 
 
 class LineRateLimiter:
-    """A token bucket for lines.
+    """A token bucket for log lines.
 
-    :param per_s: lines a second in the long run.
-    :param burst: lines at once.
+    :param per_s: sustained rate, in lines per second.
+    :param burst: lines that may be written at once.
 
     Examples
     ========
@@ -25,18 +25,18 @@
     def __init__(self, per_s: float = LINES_PER_S, burst: float = BURST) -> None:
         self._per_s = per_s
         self._burst = burst
-        self._left = burst
-        self._at: float | None = None
+        self._tokens = burst
+        self._refilled_at: float | None = None
 
     def take(self, now: float) -> bool:
-        """Take leave for one line; return whether there was any.
+        """Take one token; return False when the bucket is empty.
 
-        :param now: monotonic seconds.
+        :param now: monotonic time, in seconds.
         """
-        if self._at is not None:
-            self._left = min(self._burst, self._left + (now - self._at) * self._per_s)
-        self._at = now
-        if self._left < 1.0:
+        if self._refilled_at is not None:
+            self._tokens = min(self._burst, self._tokens + (now - self._refilled_at) * self._per_s)
+        self._refilled_at = now
+        if self._tokens < 1.0:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
--- a/hornbeamglade/observability/logs.py
+++ b/hornbeamglade/observability/logs.py
@@ -1,17 +1,17 @@
-"""Log lines for decisions on requests and changes of state, as JSON, one a line.
+"""Structured logs of decisions on requests and of state changes: one JSON object per line.
 
 Explanation
 ===========
 
-A line is written for each decision that touches a request, with what decided it, and
-whenever this process comes to believe something else: a node's readiness, a replica's
-entry, the configuration in force. Nothing here is called per token. Lines on requests are
-bounded (:mod:`hornbeamglade.observability.logbudget`); what is left out is counted, and
-said in a line of its own.
+A line is written for each decision about a request, with the inputs of the decision, and
+whenever this process's view of the system changes: a node's readiness, a replica's entry in
+the list, the configuration in force. Nothing here is called per token. Lines about requests
+are rate limited (:mod:`hornbeamglade.observability.logbudget`); dropped lines are counted, and
+the count is logged.
 
 A line never carries a key, a prompt or a body. Only the fields named in
 ``LOGGED_FIELDS`` are written, and only as identifiers or numbers: free text is
-withheld, whoever passes it.
+replaced by a placeholder, whichever code passes it.
 """
 
 import queue
@@ -29,8 +29,8 @@
 DECISION_TYPE = "hornbeamglade:decided"
 WITHHELD = "[withheld]"
 MAX_QUEUED_LINES = 1000
-TELL_GAPS_S = 1.0
-"""Lines that are missing are told this often."""
+GAP_REPORT_INTERVAL_S = 1.0
+"""Least time between two lines that report how many lines were dropped."""
 
 LOGGED_FIELDS = frozenset(
     {
@@ -101,61 +101,61 @@
 
 
 def state_changed(subject: str, before: str, after: str, **fields: FieldValue) -> bool:
-    """Write a line that ``subject`` went from one state to another.
+    """Log that ``subject`` went from one state to another.
 
     :param subject: what changed, such as ``node`` or ``config``.
-    :param before: its state until now.
-    :param after: its state from now on.
-    :param fields: what else to say, by the names in ``LOGGED_FIELDS``.
-    :return: whether a line was written; none is when the states are equal.
+    :param before: its previous state.
+    :param after: its new state.
+    :param fields: further fields, by the names in ``LOGGED_FIELDS``.
+    :return: whether a line was written; no line is written when the states are equal.
     """
     if before == after:
         return False
-    shown = {name: _shown(name, value) for name, value in fields.items()}
-    shown |= {
+    record = {name: _loggable(name, value) for name, value in fields.items()}
+    record |= {
         "subject": _identifier(subject),
         "before": _identifier(before),
         "after": _identifier(after),
     }
-    eliot.log_message(message_type=MESSAGE_TYPE, **shown)
+    eliot.log_message(message_type=MESSAGE_TYPE, **record)
     return True
 
 
 def decided(request_id: str, decision: str, outcome: str, **fields: FieldValue) -> None:
-    """Write a line on a decision that touches a request.
+    """Log a decision about a request.
 
-    :param request_id: the caller's id of the request.
+    :param request_id: the request's id, as given by the caller.
     :param decision: what was decided, such as ``routed`` or ``resumed``.
-    :param outcome: what came of it.
-    :param fields: its inputs, by the names in ``LOGGED_FIELDS``.
+    :param outcome: the result of the decision.
+    :param fields: the inputs of the decision, by the names in ``LOGGED_FIELDS``.
     """
-    shown = {name: _shown(name, value) for name, value in fields.items()}
-    shown |= {
+    record = {name: _loggable(name, value) for name, value in fields.items()}
+    record |= {
         "request_id": _identifier(request_id),
         "decision": _identifier(decision),
         "outcome": _identifier(outcome),
     }
-    eliot.log_message(message_type=DECISION_TYPE, **shown)
+    eliot.log_message(message_type=DECISION_TYPE, **record)
 
 
 def log_internal_error(where: str, error: Exception) -> None:
-    """Write a line on an error of this process's own.
+    """Log an unexpected exception in this process.
 
-    :param where: what was being done.
-    :param error: what was raised; its type and place are shown, not its text.
+    :param where: the operation that failed.
+    :param error: the exception; its type and source line are logged, its text is not.
     """
     frames = traceback.extract_tb(error.__traceback__)
     place = f"{frames[-1].filename.rsplit('/', 1)[-1]}:{frames[-1].lineno}" if frames else "-"
     state_changed("internal_error", "none", type(error).__name__, operation=where, reason=place)
 
 
-def _shown(name: str, value: FieldValue) -> FieldValue:
-    """Return what a line may show of a field.
+def _loggable(name: str, value: FieldValue) -> FieldValue:
+    """Return the value of a field that may be logged, or the placeholder.
 
-    A key or a citizen's letter would otherwise reach the operators' log store
-    through a field that was added in passing, or through the text of an error
-    that quotes a body. A list of names and a pattern without spaces or quotes
-    keep both out; the name of the field is still seen, so the omission shows.
+    An API key or a citizen's letter could otherwise reach the operators' log store
+    through a newly added field, or through the text of an error that quotes a body.
+    The list of field names and a pattern without spaces and quotes prevent both. The
+    name of a withheld field is still logged, so that the omission is visible.
     """
     if name not in LOGGED_FIELDS:
         return WITHHELD
@@ -165,7 +165,7 @@
 
 
 def slug(text: str) -> str:
-    """Return a text of this process's own as an identifier that a line may show.
+    """Turn a text that this process made itself into an identifier that may be logged.
 
     Examples
     ========
@@ -183,21 +183,21 @@
 
 
 class LogWriter:
-    """Writes lines from a thread of its own; start it once a process.
+    """Writes log lines from a background thread; start it once per process.
 
     Explanation
     ===========
 
-    The reader of a process's output may stall like any link. A write would
-    then block the thread that changed state, and with it the node's heartbeat
-    or a caller's stream, while nothing is wrong with the node. Lines therefore
-    wait in a bounded queue; a full queue drops and counts the newest.
+    The process that reads this process's output may stall. A direct write would
+    then block the thread that logs, and with it the node's heartbeat or a
+    caller's stream, although nothing is wrong with the node. Lines therefore go
+    through a bounded queue; when it is full, new lines are dropped and counted.
 
     :param stream: a text stream, such as ``sys.stderr`` or an open file.
-    :param node: the node's name, put on every line.
-    :param changes: counts each change by subject before its line is queued.
-    :param drops: counts lines that found the queue full, or were beyond the bound.
-    :param budget: bounds the lines on requests.
+    :param node: the node's name, added to every line.
+    :param changes: counts each state change by subject, before its line is queued.
+    :param drops: counts lines dropped because the queue was full or the rate limit exceeded.
+    :param budget: the rate limit for lines about requests.
     """
 
     def __init__(
@@ -209,26 +209,26 @@
         budget: logbudget.LineRateLimiter | None = None,
     ) -> None:
         self._budget = budget or logbudget.LineRateLimiter()
-        self._missing = 0
-        self._told_at = 0.0
+        self._dropped_lines = 0
+        self._dropped_reported_at = 0.0
         self._stream = stream
         self._node = node
         self._changes = changes
         self._drops = drops
         self._lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
-        self._in_hand = 0
+        self._lines_in_write = 0
         self._destination = eliot.FileDestination(file=self)
         self._thread = threading.Thread(target=self._write_lines, name="logs", daemon=True)
         self._running = False
 
     def start(self) -> None:
-        """Begin to write the process's lines."""
+        """Start to write the process's log lines."""
         self._running = True
         self._thread.start()
         eliot.add_destinations(self._deliver)
 
     def stop(self, timeout_s: float = 2.0) -> None:
-        """Write what is queued and end, or give up after ``timeout_s`` seconds; idempotent."""
+        """Write the queued lines and stop, or give up after ``timeout_s`` seconds; idempotent."""
         if not self._running:
             return
         self._running = False
@@ -240,14 +240,14 @@
         self._thread.join(timeout_s)
 
     def write(self, line: str) -> None:
-        """Queue one line; called by the log library.
+        """Queue one line; called by the logging library.
 
-        :raises TypeError: for bytes, which tells the library to write text.
+        :raises TypeError: for bytes, which makes the library write text instead.
         """
         if isinstance(line, bytes):
             raise TypeError("the log is a text stream")
-        # Lines that the thread holds while its reader stands still take memory too.
-        if self._lines.qsize() + self._in_hand >= MAX_QUEUED_LINES:
+        # Lines that the thread holds while the reader is stalled take memory too.
+        if self._lines.qsize() + self._lines_in_write >= MAX_QUEUED_LINES:
             self._drop()
             return
         try:
@@ -256,53 +256,57 @@
             self._drop()
 
     def flush(self) -> None:
-        """Do nothing: the writing thread flushes."""
+        """Do nothing: the background thread flushes."""
 
     def _deliver(self, message: dict[str, typing.Any]) -> None:
-        kind = message.get("message_type")
-        if kind not in (MESSAGE_TYPE, DECISION_TYPE):
+        message_type = message.get("message_type")
+        if message_type not in (MESSAGE_TYPE, DECISION_TYPE):
             return
-        if kind == MESSAGE_TYPE and self._changes is not None:
+        if message_type == MESSAGE_TYPE and self._changes is not None:
             self._changes.add(labels=(message["subject"],))
         now = time.monotonic()
-        self._tell_gaps(message, now)
-        if kind == DECISION_TYPE and not self._budget.take(now):
+        self._report_dropped_lines(message, now)
+        if message_type == DECISION_TYPE and not self._budget.take(now):
             self._drop()
             return
         self._destination(message | {"logged_by": self._node})
 
     def _drop(self) -> None:
-        self._missing += 1
+        self._dropped_lines += 1
         if self._drops is not None:
             self._drops.add()
 
-    def _tell_gaps(self, message: dict[str, typing.Any], now: float) -> None:
-        """Say how many lines are missing, so that nobody takes the log for whole."""
-        if not self._missing or now - self._told_at < TELL_GAPS_S or self._lines.full():
+    def _report_dropped_lines(self, message: dict[str, typing.Any], now: float) -> None:
+        """Log how many lines were dropped, so that nobody takes the log to be complete."""
+        if (
+            not self._dropped_lines
+            or now - self._dropped_reported_at < GAP_REPORT_INTERVAL_S
+            or self._lines.full()
+        ):
             return
-        self._told_at = now
-        missing, self._missing = self._missing, 0
-        told = {"subject": "log", "before": "whole", "after": "lines_missing", "count": missing}
-        kept = {"timestamp": message["timestamp"], "message_type": MESSAGE_TYPE}
-        self._destination(kept | told | {"logged_by": self._node})
+        self._dropped_reported_at = now
+        dropped, self._dropped_lines = self._dropped_lines, 0
+        summary = {"subject": "log", "before": "whole", "after": "lines_missing", "count": dropped}
+        header = {"timestamp": message["timestamp"], "message_type": MESSAGE_TYPE}
+        self._destination(header | summary | {"logged_by": self._node})
 
     def _write_lines(self) -> None:
         while (line := self._lines.get()) is not None:
-            # A start or a change of the list queues hundreds: one call takes them all.
-            lines, is_last = self._queued_after(line)
-            self._in_hand = len(lines)
+            # A start or a change of the replica list queues hundreds of lines: write them at once.
+            lines, is_last = self._drain_queue(line)
+            self._lines_in_write = len(lines)
             try:
                 self._stream.write("".join(lines))
                 self._stream.flush()
             except (OSError, ValueError):
                 if self._drops is not None:
                     self._drops.add(len(lines))
-            self._in_hand = 0
+            self._lines_in_write = 0
             if is_last:
                 return
 
-    def _queued_after(self, line: str) -> tuple[list[str], bool]:
-        """Return a line and all that are queued behind it, and whether that is the end."""
+    def _drain_queue(self, line: str) -> tuple[list[str], bool]:
+        """Return a line, all lines queued after it, and whether the writer has to stop."""
         lines = [line]
         while True:
             try:
@@ -312,4 +316,4 @@
             if following is None:
                 return lines, True
             lines.append(following)
-            self._in_hand = len(lines)
+            self._lines_in_write = len(lines)
--- a/hornbeamglade/observability/losses.py
+++ b/hornbeamglade/observability/losses.py
@@ -1,19 +1,19 @@
-"""What callers did not get, by cause, from the log lines of all instances of a site.
+"""Failed and late requests by cause, from the log lines of all instances of a site.
 
 Explanation
 ===========
 
-Each request whose answer was not whole, or came late, is put down to one cause of a closed
-list. A run that was lost with its engine is put down to the part of its move that took most
-of the time: learning that the engine stops, finding room elsewhere, waiting for a turn to
-leave, or the copy itself. An instance that is killed writes nothing, so a stream that was
-placed and has no end in its instance's log is a cause of its own; a plain request that was
-under way there leaves no line at all, and is not counted.
+Each request whose response was incomplete or late is attributed to one cause of a closed
+list. A run that was lost with its engine is attributed to the step of its migration that took
+the longest: learning that the engine stops, finding free capacity elsewhere, waiting for a
+migration slot, or the KV cache copy itself. An instance that is killed writes nothing, so a
+stream that was placed and has no end in its instance's log has a cause of its own; a plain
+request that was in progress there leaves no line at all, and is not counted.
 
 Examples
 ========
 
->>> lost = [Loss("r1", 3.0, "n1", "draft", Cause.NO_ROOM, 3500, 40, 1.2)]
+>>> lost = [Loss("r1", 3.0, "n1", "draft", Cause.NO_CAPACITY, 3500, 40, 1.2)]
 >>> [(row.cause.value, row.count, row.tokens) for row in by_cause(lost)]
 [('left_no_room', 1, 3500)]
 """
@@ -31,22 +31,22 @@
 
 
 class Cause(enum.Enum):
-    """Why a caller did not get a whole answer on time."""
+    """Why a caller did not get a complete response on time."""
 
-    UNMOVED = "engine_left_unmoved"
+    NOT_MIGRATED = "engine_left_unmoved"
     LEARNED_LATE = "left_learned_late"
-    NO_ROOM = "left_no_room"
-    NO_TURN = "left_no_turn"
+    NO_CAPACITY = "left_no_room"
+    NO_MIGRATION_SLOT = "left_no_turn"
     COPY_LATE = "left_copy_late"
     ENGINE_LOST = "engine_lost"
     INSTANCE_STOPPED = "instance_stopped"
     INSTANCE_VANISHED = "instance_vanished"
     REFUSED = "refused"
     REPLICA_FAILED = "replica_failed"
-    TOO_LATE = "time_over"
+    DEADLINE_PASSED = "time_over"
     LATE_START = "late_in_queue_or_prompt"
-    LATE_PACE = "late_by_a_pause"
-    LATE_PLAIN = "late_answer"
+    LATE_TOKEN = "late_by_a_pause"
+    LATE_RESPONSE = "late_answer"
     CALLER_LEFT = "caller_left"
     UNKNOWN = "unknown"
 
@@ -54,25 +54,25 @@
 _CAUSE_BY_OUTCOME = {
     "cut_by_stop": Cause.INSTANCE_STOPPED,
     "caller_left": Cause.CALLER_LEFT,
-    "answer_too_late": Cause.TOO_LATE,
-    "not_started_in_time": Cause.TOO_LATE,
+    "answer_too_late": Cause.DEADLINE_PASSED,
+    "not_started_in_time": Cause.DEADLINE_PASSED,
     "no_answer": Cause.REPLICA_FAILED,
 }
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loss:
-    """One request that was not served whole and on time.
+    """One request that was not served completely and on time.
 
     :param request_id: the request.
-    :param at: seconds since 1970 of its last line.
-    :param node: the instance that wrote it.
-    :param service: the route, or the service where the line names no route.
-    :param cause: why.
-    :param tokens: of its prompt.
-    :param events: that its caller got.
-    :param seconds: that it took.
-    :param code: the code of a refusal, else an empty text.
+    :param at: Unix time of its last line, in seconds.
+    :param node: the instance that wrote this line.
+    :param service: the route, or the service when the line names no route.
+    :param cause: why the request failed or was late.
+    :param tokens: tokens of its prompt.
+    :param events: events that its caller received.
+    :param seconds: its duration.
+    :param code: the code of a refusal, otherwise empty.
     """
 
     request_id: str
@@ -88,13 +88,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """Losses that have something in common.
+    """A group of losses.
 
-    :param key: what, by the grouping that was asked for.
-    :param cause: the cause.
-    :param count: requests.
-    :param tokens: of their prompts.
-    :param seconds: that they took.
+    :param key: the value that the losses share in the chosen grouping.
+    :param cause: the cause that they share.
+    :param count: number of requests.
+    :param tokens: total tokens of their prompts.
+    :param seconds: their total duration.
     """
 
     key: str
@@ -106,12 +106,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Losses:
-    """What the logs of a site tell.
+    """The requests and losses in the logs of a site.
 
-    :param requests: requests with an end, and streams that have none.
-    :param lost: those that were not served whole and on time.
-    :param domain_by_node: the failure domain of each instance that told it.
-    :param began_at: seconds since 1970 of the first line on a request.
+    :param requests: number of requests with an end, plus streams without one.
+    :param lost: those that were not served completely and on time.
+    :param domain_by_node: the failure domain of each instance that logged it.
+    :param began_at: Unix time of the first line about a request, in seconds.
     """
 
     requests: int
@@ -121,41 +121,52 @@
 
 
 def find(lines: collections.abc.Iterable[requesttimeline.Line]) -> Losses:
-    """Attribute every request of the logs that was not served whole and on time."""
-    kept = sorted(lines, key=lambda line: line.at)
-    own_by_id: dict[tuple[str, str], list[requesttimeline.Line]] = collections.defaultdict(list)
-    learned = _Learned()
+    """Attribute each request that was not served completely and on time to a cause."""
+    ordered = sorted(lines, key=lambda line: line.at)
+    lines_by_request: dict[tuple[str, str], list[requesttimeline.Line]] = collections.defaultdict(
+        list
+    )
+    leaving_times = _LeavingTimes()
     domain_by_node = {}
-    for line in kept:
+    for line in ordered:
         if line.is_decision:
-            own_by_id[line.node, str(line.fields.get("request_id"))].append(line)
-        learned.hear(line)
+            lines_by_request[line.node, str(line.fields.get("request_id"))].append(line)
+        leaving_times.observe(line)
         if line.fields.get("subject") == "node" and "domain" in line.fields:
             domain_by_node[line.node] = str(line.fields["domain"])
-    fields = [_judged(own, learned) for own in own_by_id.values() if _is_counted(own)]
-    lost = sorted((loss for loss in fields if loss is not None), key=lambda loss: loss.at)
-    began_at = min((own[0].at for own in own_by_id.values()), default=0.0)
-    return Losses(len(fields), tuple(lost), domain_by_node, began_at)
+    results = [
+        _classify(request_lines, leaving_times)
+        for request_lines in lines_by_request.values()
+        if _is_counted(request_lines)
+    ]
+    lost = sorted((loss for loss in results if loss is not None), key=lambda loss: loss.at)
+    began_at = min(
+        (request_lines[0].at for request_lines in lines_by_request.values()), default=0.0
+    )
+    return Losses(len(results), tuple(lost), domain_by_node, began_at)
 
 
 def by_cause(lost: collections.abc.Iterable[Loss]) -> list[Row]:
-    """Return losses by cause, the most frequent first."""
+    """Return the losses grouped by cause, the most frequent first."""
     return _rows(lost, lambda _loss: "all")
 
 
 def by_service(lost: collections.abc.Iterable[Loss]) -> list[Row]:
-    """Return losses by route and cause."""
+    """Return the losses grouped by route and cause."""
     return _rows(lost, lambda loss: loss.service)
 
 
 def by_domain(found: Losses) -> list[Row]:
-    """Return losses by failure domain of the instance and by cause."""
+    """Return the losses grouped by the instance's failure domain and by cause."""
     domains = found.domain_by_node
     return _rows(found.lost, lambda loss: domains.get(loss.node, UNKNOWN_DOMAIN))
 
 
 def by_window(found: Losses) -> list[Row]:
-    """Return losses by windows of :data:`WINDOW_S` from the first request, and by cause."""
+    """Return the losses grouped by cause and by windows of :data:`WINDOW_S` seconds.
+
+    The first window begins with the first request.
+    """
 
     def window(loss: Loss) -> str:
         return f"{int((loss.at - found.began_at) // WINDOW_S) * WINDOW_S:06.1f}"
@@ -163,14 +174,14 @@
     return sorted(_rows(found.lost, window), key=lambda row: row.key)
 
 
-class _Learned:
-    """When engines were first known to stop, by anyone and by each instance."""
+class _LeavingTimes:
+    """When engines were first known to be leaving, by any instance and by each one."""
 
     def __init__(self) -> None:
         self._first_by_replica: dict[str, float] = {}
         self._at_by_node: dict[tuple[str, str], float] = {}
 
-    def hear(self, line: requesttimeline.Line) -> None:
+    def observe(self, line: requesttimeline.Line) -> None:
         fields = line.fields
         if fields.get("subject") != "engine" or fields.get("after") != "leaving":
             return
@@ -181,98 +192,105 @@
     def is_leaving(self, replica: str, at: float) -> bool:
         return self._first_by_replica.get(replica, at + 1) <= at
 
-    def late_s(self, node: str, replica: str, at: float) -> float:
-        """Return how much later than the first an instance knew; up to now if it does not."""
+    def delay_s(self, node: str, replica: str, at: float) -> float:
+        """Return how much later than the first instance this one knew, up to ``at``."""
         first = self._first_by_replica.get(replica, at)
         return max(0.0, self._at_by_node.get((node, replica), at) - first)
 
 
-def _is_counted(own: list[requesttimeline.Line]) -> bool:
-    """Tell whether the lines are those of a routed request."""
-    decisions = {line.fields.get("decision") for line in own}
+def _is_counted(request_lines: list[requesttimeline.Line]) -> bool:
+    """Return whether the lines are those of a routed request."""
+    decisions = {line.fields.get("decision") for line in request_lines}
     return _END in decisions or "placed" in decisions
 
 
-def _judged(own: list[requesttimeline.Line], learned: _Learned) -> Loss | None:
-    """Return a request's loss, or None when it was served whole and on time."""
-    ends = [line for line in own if line.fields.get("decision") == _END]
+def _classify(
+    request_lines: list[requesttimeline.Line], leaving_times: _LeavingTimes
+) -> Loss | None:
+    """Return a request's loss, or None when it was served completely and on time."""
+    ends = [line for line in request_lines if line.fields.get("decision") == _END]
     if not ends:
-        return _loss(own, own[-1], Cause.INSTANCE_VANISHED)
+        return _loss(request_lines, request_lines[-1], Cause.INSTANCE_VANISHED)
     end = ends[-1]
     outcome = str(end.fields.get("outcome"))
     if outcome in ("answered", "streamed"):
-        cause = _late(end, outcome)
-        return None if cause is None else _loss(own, end, cause)
+        cause = _lateness_cause(end, outcome)
+        return None if cause is None else _loss(request_lines, end, cause)
     if outcome == "broken_off":
-        return _loss(own, end, _broken(own, learned))
+        return _loss(request_lines, end, _interruption_cause(request_lines, leaving_times))
     cause = _CAUSE_BY_OUTCOME.get(outcome)
     if cause is None:
         is_refusal = end.fields.get("status") in (408, 421, 429, 503)
-        return _loss(own, end, Cause.REFUSED if is_refusal else Cause.UNKNOWN, outcome)
-    return _loss(own, end, cause)
+        return _loss(request_lines, end, Cause.REFUSED if is_refusal else Cause.UNKNOWN, outcome)
+    return _loss(request_lines, end, cause)
 
 
-def _late(end: requesttimeline.Line, outcome: str) -> Cause | None:
-    """Return why an answer that was whole came late, or None when it did not."""
+def _lateness_cause(end: requesttimeline.Line, outcome: str) -> Cause | None:
+    """Return why a complete response was late, or None when it was on time."""
     fields = end.fields
     if outcome == "answered":
         if _number(fields.get("status")) >= 500:
             return Cause.REPLICA_FAILED
         goal_s = _number(fields.get("goal_s"))
-        return Cause.LATE_PLAIN if 0 < goal_s < _number(fields.get("seconds")) else None
+        return Cause.LATE_RESPONSE if 0 < goal_s < _number(fields.get("seconds")) else None
     if 0 < _number(fields.get("goal_s")) < _number(fields.get("first_s")):
         return Cause.LATE_START
     if 0 < _number(fields.get("gap_goal_s")) < _number(fields.get("gap_s")):
-        return Cause.LATE_PACE
+        return Cause.LATE_TOKEN
     return None
 
 
-def _broken(own: list[requesttimeline.Line], learned: _Learned) -> Cause:
+def _interruption_cause(
+    request_lines: list[requesttimeline.Line], leaving_times: _LeavingTimes
+) -> Cause:
     """Return why a stream was lost with its engine."""
-    lost = [line for line in own if line.fields.get("decision") == "stream_lost"]
+    lost = [line for line in request_lines if line.fields.get("decision") == "stream_lost"]
     if not lost:
         return Cause.UNKNOWN
     replica, at = str(lost[-1].fields.get("replica")), lost[-1].at
-    if not learned.is_leaving(replica, at):
+    if not leaving_times.is_leaving(replica, at):
         return Cause.ENGINE_LOST
-    moves = [
+    migrations = [
         line
-        for line in own
+        for line in request_lines
         if line.fields.get("decision") == "handover" and line.fields.get("replica") == replica
     ]
-    if not moves:
-        return Cause.UNMOVED
-    fields = moves[-1].fields
+    if not migrations:
+        return Cause.NOT_MIGRATED
+    fields = migrations[-1].fields
     seconds_by_cause = {
         Cause.COPY_LATE: _number(fields.get("copy_s")),
-        Cause.NO_TURN: _number(fields.get("wait_s")),
-        Cause.NO_ROOM: _number(fields.get("room_s")),
-        Cause.LEARNED_LATE: learned.late_s(own[-1].node, replica, at),
+        Cause.NO_MIGRATION_SLOT: _number(fields.get("wait_s")),
+        Cause.NO_CAPACITY: _number(fields.get("room_s")),
+        Cause.LEARNED_LATE: leaving_times.delay_s(request_lines[-1].node, replica, at),
     }
     return max(seconds_by_cause, key=seconds_by_cause.__getitem__)
 
 
 def _loss(
-    own: list[requesttimeline.Line], last: requesttimeline.Line, cause: Cause, code: str = ""
+    request_lines: list[requesttimeline.Line],
+    last: requesttimeline.Line,
+    cause: Cause,
+    code: str = "",
 ) -> Loss:
     fields = last.fields
-    placed = [line.fields for line in own if line.fields.get("decision") == "placed"]
-    begun = placed[-1] if placed else {}
+    placed = [line.fields for line in request_lines if line.fields.get("decision") == "placed"]
+    placed_fields = placed[-1] if placed else {}
     return Loss(
         request_id=str(fields.get("request_id")),
         at=last.at,
         node=last.node,
-        service=str(fields.get("route") or begun.get("service") or "-"),
+        service=str(fields.get("route") or placed_fields.get("service") or "-"),
         cause=cause,
-        tokens=int(_number(fields.get("tokens") or begun.get("tokens"))),
+        tokens=int(_number(fields.get("tokens") or placed_fields.get("tokens"))),
         events=int(_number(fields.get("events"))),
-        seconds=_number(fields.get("seconds")) or last.at - own[0].at,
+        seconds=_number(fields.get("seconds")) or last.at - request_lines[0].at,
         code=code,
     )
 
 
 def _number(value: object) -> float:
-    """Return a field of a line as a number; what is none counts as 0, as a missing one."""
+    """Return a field of a line as a number; a missing field or another type counts as 0."""
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     return float(value) if is_number else 0.0
 
--- a/hornbeamglade/observability/lossesplot.py
+++ b/hornbeamglade/observability/lossesplot.py
@@ -1,4 +1,4 @@
-"""A picture of losses over time."""
+"""Plot of failed and late requests over time."""
 
 import pathlib
 
@@ -9,9 +9,9 @@
 
 
 def plot(found: losses.Losses, path: pathlib.Path) -> None:
-    """Draw requests that were lost by window of time, a colour for each cause.
+    """Plot the number of losses per time window, with a colour for each cause.
 
-    :param path: the file; its ending says the format.
+    :param path: the output file; its suffix sets the format.
     :raises CodedError: ``plot_unavailable`` when matplotlib is not installed.
     """
     try:
--- a/hornbeamglade/observability/metrics.py
+++ b/hornbeamglade/observability/metrics.py
@@ -1,4 +1,4 @@
-"""The instruments of an entry node."""
+"""Metrics of an entry node."""
 
 from hornbeamglade.observability import (
     metricsprocess,
@@ -7,7 +7,7 @@
     metricsstream,
 )
 
-# The pace of the engines is a token every 25 to 30 ms: the bounds are close there.
+# Engines produce a token every 25 to 30 ms, so the bounds are closest in that range.
 GAP_BOUNDS_S = (
     *(0.005, 0.01, 0.02, 0.025, 0.03, 0.035, 0.04, 0.05, 0.075, 0.1),
     *(0.15, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0),
@@ -15,16 +15,16 @@
 
 
 class NodeMetrics:
-    """The instruments that an entry node writes.
+    """The metrics that an entry node records.
 
     Explanation
     ===========
 
-    Distributions are labelled by service only: a series is 27 KB, and a node
-    meets thousands of teams. Teams are labels of counters alone, and only team
-    names taken from the configuration may be given, never a caller's text.
+    Histograms are labelled by service only: a series takes 27 KB, and a node
+    serves thousands of teams. Only counters have a team label, and its values
+    must be names from the configuration, never text from a caller.
 
-    :param stall_threshold_s: the longest gap that still reads as steady.
+    :param stall_threshold_s: the longest gap between tokens that is not a stall.
 
     Examples
     ========
@@ -127,7 +127,7 @@
     def stream_times(self, service: str, started: float) -> metricsstream.StreamTimes:
         """Return a recorder for one stream of ``service``.
 
-        :param started: when the request came in, in the clock's seconds.
+        :param started: arrival time of the request, in seconds of the clock.
         """
         gaps = self.token_gap_s.series((service,))
         return metricsstream.StreamTimes(started, gaps, self._stall_threshold_s)
@@ -140,9 +140,9 @@
         *,
         tokens_per_event: int = 1,
     ) -> None:
-        """Merge a stream's times; call once, however the stream ended.
+        """Add a finished stream to the metrics; call once, however the stream ended.
 
-        :param tokens_per_event: tokens that each recorded event holds.
+        :param tokens_per_event: tokens in each recorded event.
         """
         times.finish(now)
         if times.time_to_first_token_s is None:
@@ -153,9 +153,9 @@
         self.tokens.add(times.tokens * tokens_per_event, labels)
 
     def exposition(self) -> bytes:
-        """Return all metrics in text, the process's use read anew."""
-        use = metricsprocess.read_use()
-        self.process_cpu_s.set_total(use.cpu_s)
-        self.process_resident_bytes.set(use.resident_bytes)
-        self.process_threads.set(use.threads)
+        """Return all metrics in text form, with current values of CPU, memory and threads."""
+        usage = metricsprocess.read_usage()
+        self.process_cpu_s.set_total(usage.cpu_s)
+        self.process_resident_bytes.set(usage.resident_bytes)
+        self.process_threads.set(usage.threads)
         return self.registry.exposition()
--- a/hornbeamglade/observability/metricsexposition.py
+++ b/hornbeamglade/observability/metricsexposition.py
@@ -1,10 +1,10 @@
-"""Instruments in the Prometheus text format.
+"""Exposition of metrics in the Prometheus text format.
 
 Explanation
 ===========
 
-The one module that knows the exposition library, which is a good part of all that an
-instance imports. It is imported at the first scrape, when the instance serves already.
+This is the only module that uses the Prometheus client library, which is a large part of all
+that an instance imports. It is imported at the first scrape, when the instance already serves.
 """
 
 import collections.abc
@@ -19,7 +19,7 @@
 
 
 def text(instruments: Instruments) -> bytes:
-    """Return instruments with their present values.
+    """Return the current values of instruments in the Prometheus text format.
 
     Examples
     ========
@@ -35,7 +35,7 @@
 
 
 class _Collector:
-    """Hands the instruments to the exposition library."""
+    """Adapts the instruments to the client library's collector interface."""
 
     def __init__(self, instruments: Instruments) -> None:
         self._instruments = instruments
@@ -47,7 +47,7 @@
 
 @functools.singledispatch
 def _family(instrument: metricsinstruments.Instrument) -> prometheuscore.Metric:
-    """Return an instrument in the library's form."""
+    """Convert an instrument to the client library's type."""
     raise NotImplementedError(type(instrument).__name__)
 
 
--- a/hornbeamglade/observability/metricsinstruments.py
+++ b/hornbeamglade/observability/metricsinstruments.py
@@ -1,11 +1,11 @@
-"""Counters, gauges and histograms that many threads may write at once.
+"""Thread-safe counters, gauges and histograms.
 
 Explanation
 ===========
 
 Each instrument keeps one series per tuple of label values, in the order of its
-label names. Distributions are kept in HDR histograms [1]_ of microseconds with
-two significant digits: about 27 KB a series, whatever is recorded.
+label names. Histograms are HDR histograms [1]_ of microseconds with two
+significant digits: about 27 KB per series, whatever is recorded.
 
 References
 ==========
@@ -34,8 +34,8 @@
     """A named metric with one series per tuple of label values.
 
     :param name: the exposed name, with its unit as suffix.
-    :param help_text: one sentence for the exposition.
-    :param label_names: the names that label values are given for, in order.
+    :param help_text: the help text, one sentence.
+    :param label_names: the names of the labels, in the order of their values.
     """
 
     max_series = MAX_SERIES
@@ -46,20 +46,20 @@
         self.label_names = label_names
         self._lock = threading.Lock()
 
-    def _bounded(self, labels: Labels, known: collections.abc.Mapping) -> Labels:
-        """Return ``labels``, or the overflow series once there are too many.
+    def _limit_series(self, labels: Labels, known: collections.abc.Mapping) -> Labels:
+        """Return ``labels``, or those of the overflow series when there are too many series.
 
-        A label value that a caller can choose would otherwise grow the
-        process's memory without bound: it shows as a slow rise until the
-        instance is killed. Folding new series into one keeps the totals true.
+        Label values that callers can choose would otherwise grow the process's memory
+        without bound, slowly, until the instance is killed. Merging new series into one
+        keeps the totals correct.
         """
         if labels in known or len(known) < self.max_series:
             return labels
         return (OVERFLOW_LABEL,) * len(self.label_names)
 
 
-class _Scalars(Instrument):
-    """What counters and gauges share: one number per series."""
+class _ScalarInstrument(Instrument):
+    """Base class of counters and gauges: one number per series."""
 
     def __init__(self, name: str, help_text: str, label_names: Labels = ()) -> None:
         super().__init__(name, help_text, label_names)
@@ -68,11 +68,11 @@
     def add(self, amount: float = 1, labels: Labels = ()) -> None:
         """Add ``amount`` to the series of ``labels``."""
         with self._lock:
-            key = self._bounded(labels, self._value_by_labels)
+            key = self._limit_series(labels, self._value_by_labels)
             self._value_by_labels[key] = self._value_by_labels.get(key, 0) + amount
 
     def value(self, labels: Labels = ()) -> float:
-        """Return the series' value; 0 when nothing was recorded."""
+        """Return the value of a series; 0 when nothing was recorded."""
         with self._lock:
             return self._value_by_labels.get(labels, 0)
 
@@ -87,8 +87,8 @@
             return dict(self._value_by_labels)
 
 
-class Counter(_Scalars):
-    """A number that only grows.
+class Counter(_ScalarInstrument):
+    """A value that only increases.
 
     Examples
     ========
@@ -100,28 +100,28 @@
     """
 
     def set_total(self, value: float, labels: Labels = ()) -> None:
-        """Replace the series' value by one that is counted elsewhere."""
+        """Set the series to a total that is counted elsewhere."""
         with self._lock:
             self._value_by_labels[labels] = value
 
 
-class Gauge(_Scalars):
-    """A number that goes up and down."""
+class Gauge(_ScalarInstrument):
+    """A value that can go up and down."""
 
     def set(self, value: float, labels: Labels = ()) -> None:
-        """Replace the series' value."""
+        """Set the value of a series."""
         with self._lock:
-            key = self._bounded(labels, self._value_by_labels)
+            key = self._limit_series(labels, self._value_by_labels)
             self._value_by_labels[key] = value
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Cumulative:
-    """A consistent copy of a series for the exposition.
+class CumulativeCounts:
+    """A consistent snapshot of a histogram series, with cumulative buckets.
 
-    :param below: records at or below each bound asked for.
-    :param count: all records.
-    :param sum_s: their sum in seconds.
+    :param below: number of values at or below each requested bound.
+    :param count: number of all values.
+    :param sum_s: sum of the values in seconds.
     """
 
     below: tuple[int, ...]
@@ -130,7 +130,7 @@
 
 
 class HistogramSeries:
-    """The distribution of one series, in seconds.
+    """One series of a histogram, in seconds.
 
     Examples
     ========
@@ -148,12 +148,12 @@
 
     @property
     def count(self) -> int:
-        """How many values were recorded."""
+        """Number of recorded values."""
         return self._histogram.total_count
 
     @property
     def sum_s(self) -> float:
-        """The sum of the recorded values, in seconds."""
+        """Sum of the recorded values, in seconds."""
         return self._sum_s
 
     def record(self, seconds: float) -> None:
@@ -163,9 +163,9 @@
     def record_many(self, seconds: collections.abc.Sequence[float]) -> None:
         """Record a batch of values under one lock.
 
-        Values outside the histogram's range are recorded at its ends: the
-        library would drop them without a word, and the longest stall, the one
-        that matters most, would be missing from the count.
+        Values outside the histogram's range are clamped to it: the library would
+        drop them silently, and the longest stall, the most important value, would
+        be missing from the count.
         """
         record_value = self._histogram.record_value
         with self._lock:
@@ -174,7 +174,7 @@
             self._sum_s += sum(seconds)
 
     def quantile(self, fraction: float) -> float:
-        """Return the value in seconds that ``fraction`` of the records do not exceed."""
+        """Return the value in seconds that ``fraction`` of the values do not exceed."""
         with self._lock:
             return self._histogram.get_value_at_percentile(fraction * 100) / _MICROSECONDS
 
@@ -183,10 +183,10 @@
         with self._lock:
             return self._histogram.get_max_value() / _MICROSECONDS
 
-    def cumulative(self, bounds_s: tuple[float, ...]) -> Cumulative:
-        """Return how many records lie at or below each bound.
+    def cumulative(self, bounds_s: tuple[float, ...]) -> CumulativeCounts:
+        """Return how many values are at or below each bound.
 
-        :param bounds_s: ascending bounds in seconds, each true to the
+        :param bounds_s: ascending bounds in seconds, each exact to the
             histogram's resolution of 1 %.
         """
         with self._lock:
@@ -194,18 +194,18 @@
             total = self._histogram.total_count
             sum_s = self._sum_s
         below = []
-        reached = 0
+        start = 0
         seen = 0
         for bound in bounds_s:
-            upto = self._histogram.get_counts_array_index(int(bound * _MICROSECONDS)) + 1
-            seen += sum(counts[reached:upto])
-            reached = upto
+            end = self._histogram.get_counts_array_index(int(bound * _MICROSECONDS)) + 1
+            seen += sum(counts[start:end])
+            start = end
             below.append(seen)
-        return Cumulative(tuple(below), total, sum_s)
+        return CumulativeCounts(tuple(below), total, sum_s)
 
 
 class Histogram(Instrument):
-    """Distributions in seconds.
+    """A histogram of durations in seconds.
 
     :param bounds_s: ascending bucket bounds of the exposition, in seconds.
     """
@@ -225,20 +225,20 @@
         self._series_by_labels: dict[Labels, HistogramSeries] = {}
 
     def series(self, labels: Labels = ()) -> HistogramSeries:
-        """Return the series of ``labels``; hold on to it on a hot path."""
+        """Return the series of ``labels``; keep the result on a hot path."""
         with self._lock:
-            key = self._bounded(labels, self._series_by_labels)
-            found = self._series_by_labels.get(key)
-            if found is None:
-                found = self._series_by_labels[key] = HistogramSeries()
-            return found
+            key = self._limit_series(labels, self._series_by_labels)
+            series = self._series_by_labels.get(key)
+            if series is None:
+                series = self._series_by_labels[key] = HistogramSeries()
+            return series
 
     def record(self, seconds: float, labels: Labels = ()) -> None:
         """Record one value in the series of ``labels``."""
         self.series(labels).record(seconds)
 
-    def cumulative_by_labels(self) -> dict[Labels, Cumulative]:
-        """Return a copy of all series."""
+    def cumulative_by_labels(self) -> dict[Labels, CumulativeCounts]:
+        """Return a snapshot of all series."""
         with self._lock:
             series_by_labels = dict(self._series_by_labels)
         return {
--- a/hornbeamglade/observability/metricsprocess.py
+++ b/hornbeamglade/observability/metricsprocess.py
@@ -1,4 +1,4 @@
-"""What the process itself uses: processor time, memory, threads."""
+"""Resource usage of this process: CPU time, memory, threads."""
 
 import dataclasses
 import os
@@ -10,11 +10,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ProcessUse:
-    """One reading of the process's use.
+class ProcessUsage:
+    """Resource usage of the process at one time.
 
-    :param cpu_s: processor seconds since the start, user and system.
-    :param resident_bytes: memory resident now.
+    :param cpu_s: CPU seconds since the start, user and system.
+    :param resident_bytes: current resident memory.
     :param threads: live threads.
     """
 
@@ -23,10 +23,10 @@
     threads: int
 
 
-def read_use() -> ProcessUse:
-    """Read this process's use now."""
+def read_usage() -> ProcessUsage:
+    """Return the current resource usage of this process."""
     times = os.times()
-    return ProcessUse(times.user + times.system, _resident_bytes(), threading.active_count())
+    return ProcessUsage(times.user + times.system, _resident_bytes(), threading.active_count())
 
 
 def _resident_bytes() -> int:
--- a/hornbeamglade/observability/metricsregistry.py
+++ b/hornbeamglade/observability/metricsregistry.py
@@ -1,4 +1,4 @@
-"""The registry of a process's instruments, and their exposition in text."""
+"""The registry of a process's instruments, and their exposition as text."""
 
 import typing
 
@@ -35,13 +35,13 @@
     def counter(
         self, name: str, help_text: str, label_names: metricsinstruments.Labels = ()
     ) -> metricsinstruments.Counter:
-        """Add a counter; ``name`` goes without the common prefix."""
+        """Add a counter; ``name`` is given without the common prefix."""
         return self._add(metricsinstruments.Counter(PREFIX + name, help_text, label_names))
 
     def gauge(
         self, name: str, help_text: str, label_names: metricsinstruments.Labels = ()
     ) -> metricsinstruments.Gauge:
-        """Add a gauge; ``name`` goes without the common prefix."""
+        """Add a gauge; ``name`` is given without the common prefix."""
         return self._add(metricsinstruments.Gauge(PREFIX + name, help_text, label_names))
 
     def histogram(
@@ -52,14 +52,14 @@
         *,
         bounds_s: tuple[float, ...] = WAIT_BOUNDS_S,
     ) -> metricsinstruments.Histogram:
-        """Add a histogram of seconds; ``name`` goes without the common prefix."""
+        """Add a histogram of seconds; ``name`` is given without the common prefix."""
         return self._add(
             metricsinstruments.Histogram(PREFIX + name, help_text, label_names, bounds_s=bounds_s)
         )
 
     def exposition(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
-        # Nobody scrapes an instance that does not serve yet.
+        # Imported on first use: an instance is scraped only once it serves.
         from hornbeamglade.observability import metricsexposition
 
         return metricsexposition.text(self._instrument_by_name.values())
--- a/hornbeamglade/observability/metricsrouted.py
+++ b/hornbeamglade/observability/metricsrouted.py
@@ -1,15 +1,15 @@
-"""What entry instances measure beside the streams and requests of all nodes."""
+"""Metrics that only entry instances have, besides those common to all nodes."""
 
 from hornbeamglade.observability import metricsinstruments, metricsregistry
 
 
 class RoutedMetrics:
-    """Instruments of the routed path.
+    """Metrics of routed requests.
 
-    Labels are names of services and codes of this program, so that the number of series
+    Label values are service names and this program's own codes, so the number of series
     is bounded by the configuration.
 
-    :param registry: what exposes them.
+    :param registry: the registry that exposes them.
 
     Examples
     ========
--- a/hornbeamglade/observability/metricsstream.py
+++ b/hornbeamglade/observability/metricsstream.py
@@ -1,4 +1,4 @@
-"""The times of one stream, recorded at little cost per token."""
+"""Timing of one stream, recorded at little cost per token."""
 
 from hornbeamglade.observability import metricsinstruments
 
@@ -12,14 +12,14 @@
     Explanation
     ===========
 
-    Written by the one thread that carries the stream, so a token costs an
-    append and no lock. Gaps go into the shared distribution in batches. Stall
-    time is what each wait lasts beyond the threshold, summed; the wait before
-    the first token is not part of it.
+    Used only by the thread that relays the stream, so a token costs an append
+    and no lock. Gaps are added to the shared histogram in batches. Stall time
+    is the sum of the time by which each wait exceeds the threshold; the wait
+    for the first token is not part of it.
 
-    :param started: when the request came in, in the clock's seconds.
-    :param gaps: the distribution that gaps are merged into, or None.
-    :param stall_threshold_s: the longest gap that still reads as steady.
+    :param started: arrival time of the request, in seconds of the clock.
+    :param gaps: the histogram series that gaps are added to, or None.
+    :param stall_threshold_s: the longest gap that is not a stall.
 
     Examples
     ========
@@ -74,11 +74,11 @@
             self._flush()
 
     def finish(self, now: float) -> None:
-        """Record that the stream ended at ``now``, whole or not.
+        """Record that the stream ended at ``now``, complete or not.
 
-        A stream that stands still and is then cut off has no later token to
-        show the wait: without the last wait the worst stalls would be counted
-        as none at all. It is a stall but not a gap between tokens.
+        A stream that stalls and is then cut off has no later token that would show
+        the wait. Without counting the last wait, the worst stalls would not be counted
+        at all. It counts as a stall, but not as a gap between tokens.
         """
         self._flush()
         if self._last is not None:
--- a/hornbeamglade/observability/requesttimeline.py
+++ b/hornbeamglade/observability/requesttimeline.py
@@ -1,18 +1,19 @@
-"""The story of one request, from the log lines of several instances.
+"""The timeline of one request, from the log lines of several instances.
 
 Explanation
 ===========
 
-A request's own lines bear its id. What explains them often does not: an engine that was
-reclaimed, an instance that stopped, a store that was lost. So changes of state are taken
-in that name a replica or an instance of the request's own lines, or that concern what its
-instance believed, from shortly before its first line to its end.
+The lines about a request carry its id. The events that explain them often do not: an engine
+was reclaimed, an instance stopped, the connection to the store was lost. The timeline
+therefore includes state changes that name a replica or an instance of the request's own
+lines, or that concern its instance's view of the system, from shortly before the request's
+first line to its last.
 
-Lines may be missing: an instance writes none once it is killed, leaves lines out under
-load (and says how many), and files may be incomplete. The story says what it cannot tell.
+Lines may be missing: a killed instance writes none, an instance under load drops lines (and
+logs how many), and files may be incomplete. The timeline says what cannot be known.
 
-Instances' clocks differ; lines of one instance are in order, between instances only as far
-as their clocks agree.
+The clocks of instances differ. Lines of one instance are in order; lines of different
+instances are ordered only as well as their clocks agree.
 """
 
 import collections.abc
@@ -22,12 +23,12 @@
 DECISION_TYPE = "hornbeamglade:decided"
 STATE_TYPE = "hornbeamglade:state_changed"
 BEFORE_S = 10.0
-"""What was decided by is seconds old at the most."""
+"""A decision is based on state that is at most some seconds old."""
 
 AFTER_S = 1.0
 END = "answer"
-_OWN_BELIEFS = frozenset(("store", "config", "settings", "node", "follower", "log"))
-_SHOWN_ELSEWHERE = frozenset(
+_VIEW_SUBJECTS = frozenset(("store", "config", "settings", "node", "follower", "log"))
+_HEADER_FIELDS = frozenset(
     (
         *("request_id", "decision", "outcome", "subject", "before", "after"),
         *("timestamp", "task_uuid", "task_level", "message_type", "logged_by"),
@@ -39,9 +40,9 @@
 class Line:
     """One log line.
 
-    :param at: seconds since 1970 by the clock of the instance that wrote it.
-    :param node: the instance.
-    :param told: all of its fields.
+    :param at: Unix time in seconds, by the clock of the instance that wrote it.
+    :param node: the instance that wrote it.
+    :param fields: all fields of the line.
     """
 
     at: float
@@ -50,29 +51,27 @@
 
     @property
     def is_decision(self) -> bool:
-        """Whether it is about a request."""
+        """Whether the line is about a request."""
         return self.fields.get("message_type") == DECISION_TYPE
 
     def __str__(self) -> str:
-        """Return the line as a person reads it."""
+        """Return the line in a human-readable form."""
         fields = self.fields
         if self.is_decision:
             head = f"{fields.get('decision')}: {fields.get('outcome')}"
         else:
             head = f"{fields.get('subject')}: {fields.get('before')} -> {fields.get('after')}"
-        rest = (
-            f"{name}={value}" for name, value in fields.items() if name not in _SHOWN_ELSEWHERE
-        )
+        rest = (f"{name}={value}" for name, value in fields.items() if name not in _HEADER_FIELDS)
         return " ".join((head, *rest))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestTimeline:
-    """What logs tell of one request.
+    """Everything that the logs contain about one request.
 
     :param request_id: the request.
-    :param lines: its own lines and what explains them, in order of time.
-    :param gaps: what the logs cannot tell, a sentence each.
+    :param lines: its own lines and those that explain them, in order of time.
+    :param gaps: what the logs do not show, one sentence each.
     """
 
     request_id: str
@@ -80,17 +79,19 @@
     gaps: tuple[str, ...]
 
     def text(self) -> str:
-        """Return the story as text, times counted from its first own line."""
-        own = [line for line in self.lines if line.is_decision]
-        start = own[0].at if own else 0.0
-        fields = [f"request {self.request_id}"]
-        fields += [f"{line.at - start:+9.3f} s  {line.node:<16}  {line}" for line in self.lines]
-        fields += [f"missing: {gap}" for gap in self.gaps]
-        return "\n".join(fields)
+        """Return the timeline as text, with times relative to the request's first line."""
+        request_lines = [line for line in self.lines if line.is_decision]
+        start = request_lines[0].at if request_lines else 0.0
+        text_lines = [f"request {self.request_id}"]
+        text_lines += [
+            f"{line.at - start:+9.3f} s  {line.node:<16}  {line}" for line in self.lines
+        ]
+        text_lines += [f"missing: {gap}" for gap in self.gaps]
+        return "\n".join(text_lines)
 
 
 def parse(text: collections.abc.Iterable[str]) -> collections.abc.Iterator[Line]:
-    """Return the log lines of a file; whatever else stands there is passed over.
+    """Return the log lines of a file; any other text in it is skipped.
 
     Examples
     ========
@@ -113,84 +114,93 @@
 
 
 def find(request_id: str, lines: collections.abc.Iterable[Line]) -> RequestTimeline:
-    """Return the story of one request.
+    """Return the timeline of one request.
 
-    :param lines: of any number of instances, in any order.
+    :param lines: log lines of any number of instances, in any order.
     """
-    kept = sorted(lines, key=lambda line: line.at)
-    own = [line for line in kept if line.fields.get("request_id") == request_id]
-    if not own:
-        return RequestTimeline(request_id, (), _never_seen(kept))
-    first, last = own[0].at - BEFORE_S, own[-1].at + AFTER_S
-    nodes = {line.node for line in own}
-    replicas = _replicas(own)
+    ordered = sorted(lines, key=lambda line: line.at)
+    request_lines = [line for line in ordered if line.fields.get("request_id") == request_id]
+    if not request_lines:
+        return RequestTimeline(request_id, (), _not_found(ordered))
+    first, last = request_lines[0].at - BEFORE_S, request_lines[-1].at + AFTER_S
+    nodes = {line.node for line in request_lines}
+    replicas = _replicas(request_lines)
     explaining = [
         line
-        for line in kept
+        for line in ordered
         if first <= line.at <= last and not line.is_decision and _explains(line, nodes, replicas)
     ]
-    story = sorted((*own, *_newest(explaining, own[0].at)), key=lambda line: line.at)
-    return RequestTimeline(request_id, tuple(story), _gaps(own, kept))
+    timeline_lines = sorted(
+        (*request_lines, *_without_superseded(explaining, request_lines[0].at)),
+        key=lambda line: line.at,
+    )
+    return RequestTimeline(request_id, tuple(timeline_lines), _gaps(request_lines, ordered))
 
 
-def _replicas(own: list[Line]) -> frozenset[str]:
+def _replicas(request_lines: list[Line]) -> frozenset[str]:
     names: set[str] = set()
-    for line in own:
-        fields = line.fields.get("replica")
-        if isinstance(fields, str):
-            names.update(each for each in fields.split(",") if each not in ("", "-"))
+    for line in request_lines:
+        replica = line.fields.get("replica")
+        if isinstance(replica, str):
+            names.update(each for each in replica.split(",") if each not in ("", "-"))
     return frozenset(names)
 
 
 def _explains(line: Line, nodes: set[str], replicas: frozenset[str]) -> bool:
     subject = line.fields.get("subject")
     if line.fields.get("replica") in replicas:
-        # Each instance learns of a replica by itself; those of the request count.
+        # Every instance logs what it learns of a replica; only the request's instances matter.
         return line.node in nodes
     if subject == "member":
         return line.node in nodes
-    return subject in _OWN_BELIEFS and line.node in nodes
+    return subject in _VIEW_SUBJECTS and line.node in nodes
 
 
-def _newest(lines: list[Line], start: float) -> collections.abc.Iterator[Line]:
-    """Leave out what was overtaken before the request began."""
-    overtaken = {}
+def _without_superseded(lines: list[Line], start: float) -> collections.abc.Iterator[Line]:
+    """Leave out states that had been replaced before the request began."""
+    latest_by_key = {}
     for line in lines:
         if line.at <= start:
             subject = line.fields.get("subject")
-            about = (
+            affected = (
                 line.fields.get("replica") or line.fields.get("table") or line.fields.get("node")
             )
-            overtaken[line.node, subject, about] = line
-    return (line for line in lines if line.at > start or line in overtaken.values())
+            latest_by_key[line.node, subject, affected] = line
+    return (line for line in lines if line.at > start or line in latest_by_key.values())
 
 
-def _gaps(own: list[Line], kept: list[Line]) -> tuple[str, ...]:
+def _gaps(request_lines: list[Line], ordered: list[Line]) -> tuple[str, ...]:
     gaps = []
-    ended = {line.node for line in own if line.fields.get("decision") == END}
-    for node in sorted({line.node for line in own} - ended):
-        later = [line for line in kept if line.node == node and line.at > own[-1].at]
-        starts = [line for line in later if line.fields.get("after") == "serving"]
-        if starts:
+    ended = {line.node for line in request_lines if line.fields.get("decision") == END}
+    for node in sorted({line.node for line in request_lines} - ended):
+        later_lines = [
+            line for line in ordered if line.node == node and line.at > request_lines[-1].at
+        ]
+        restarts = [line for line in later_lines if line.fields.get("after") == "serving"]
+        if restarts:
             gaps.append(f"{node} wrote no end of the request and started anew: it was killed")
-        elif later:
+        elif later_lines:
             gaps.append(f"{node} wrote no end of the request, though it wrote later lines")
         else:
             gaps.append(f"{node} wrote nothing after its last line here: killed, or cut off here")
-    for line in kept:
-        is_told = (
+    for line in ordered:
+        is_gap_report = (
             line.fields.get("subject") == "log" and line.fields.get("after") == "lines_missing"
         )
-        if is_told and line.node in {each.node for each in own} and line.at >= own[0].at:
+        if (
+            is_gap_report
+            and line.node in {each.node for each in request_lines}
+            and line.at >= request_lines[0].at
+        ):
             gaps.append(
                 f"{line.node} left out {line.fields.get('count')} lines up to {line.at:.3f}"
             )
     return tuple(gaps)
 
 
-def _never_seen(kept: list[Line]) -> tuple[str, ...]:
-    if not kept:
+def _not_found(ordered: list[Line]) -> tuple[str, ...]:
+    if not ordered:
         return ("the files hold no log lines",)
-    nodes = ", ".join(sorted({line.node for line in kept}))
-    span = f"{kept[0].at:.3f} to {kept[-1].at:.3f}"
+    nodes = ", ".join(sorted({line.node for line in ordered}))
+    span = f"{ordered[0].at:.3f} to {ordered[-1].at:.3f}"
     return (f"no line of {nodes} from {span} names the request: it was not read there",)
--- a/hornbeamglade/observability/statuspage.py
+++ b/hornbeamglade/observability/statuspage.py
@@ -1,4 +1,4 @@
-"""The JSON that a node answers on ``GET /status``.
+"""The JSON document that a node returns for ``GET /status``.
 
 Examples
 ========
@@ -12,13 +12,13 @@
 
 
 class ReplicaStatus(pydantic.BaseModel):
-    """What a node knows of one replica.
+    """A replica as one node sees it.
 
-    :param room_tokens: engine memory not yet promised, in tokens; None for a
+    :param room_tokens: engine memory that is not reserved, in tokens; None for a
         plain service.
     :param state: ``serving``, ``leaving``, ``unreachable`` or ``unknown``.
-    :param owner: the node that admits to the replica, by name, or None.
-    :param load_age_s: the age of the load report behind the figures, in seconds.
+    :param owner: name of the node that admits requests to the replica, or None.
+    :param load_age_s: age of the load report that the figures come from, in seconds.
     """
 
     model_config = pydantic.ConfigDict(frozen=True, extra="ignore")
@@ -38,13 +38,13 @@
 
 
 class PlacementRow(pydantic.BaseModel):
-    """What a node that places a pool's models knows of one engine.
+    """An engine as seen by the node that places the pool's models.
 
-    :param wanted: names of models and adapters that the configuration wants.
-    :param present: those that the engine said it has, or None when it was not read.
-    :param condition: where its change stands.
+    :param wanted: names of the models and adapters that the configuration asks for.
+    :param present: those that the engine reported, or None before it was read.
+    :param condition: progress of the engine's change.
     :param reason: why wanted and present differ.
-    :param closed: it gets no new work until it has changed.
+    :param closed: whether it gets no new requests until it has changed.
     """
 
     model_config = pydantic.ConfigDict(frozen=True, extra="ignore")
@@ -58,21 +58,22 @@
 
 
 class NodeStatus(pydantic.BaseModel):
-    """What a node says of itself.
+    """A node's own status.
 
-    Unknown members are passed over, so that a command of one release reads
-    the nodes of the next while they are replaced.
+    Unknown fields are ignored, so that a command of one release can read the
+    nodes of the next during an upgrade.
 
     :param state: ``starting``, ``ready``, ``leaving`` or ``unready``.
     :param config_revision: the revision in force; 0 when there is none.
-    :param config_provisional: whether the revision came from a peer and was
+    :param config_provisional: whether the revision came from a peer and is
         not yet confirmed by the platform.
-    :param config_problem: the code of what keeps the newest revision out, if anything.
-    :param incarnation: tells this process from an earlier one of its name.
+    :param config_problem: the code of the error that keeps the newest revision from taking
+        effect, if any.
+    :param incarnation: distinguishes this process from earlier ones of the same name.
     :param streams: streams in flight.
     :param waiting: requests in the queue.
-    :param platform_ok: whether the last call to the platform was answered.
-    :param share_by_team: the node's part of teams' limits, of those it tells others.
+    :param platform_ok: whether the last call to the platform got a response.
+    :param share_by_team: the node's shares of the teams' limits that it announces to peers.
     :param counters: totals since the start, by name.
     """
 
@@ -96,7 +97,7 @@
 
     @property
     def refusals(self) -> int:
-        """Requests refused since the start."""
+        """Number of requests refused since the start."""
         return int(self.counters.get(REFUSALS_COUNTER, 0))
 
 
--- a/hornbeamglade/observability/statusreading.py
+++ b/hornbeamglade/observability/statusreading.py
@@ -1,4 +1,4 @@
-"""Reading the status pages of many nodes."""
+"""Reads the status pages of many nodes."""
 
 import concurrent.futures
 import dataclasses
@@ -12,15 +12,15 @@
 STATUS_PATH = "/status"
 READ_TIMEOUT_S = 2.0
 MAX_PAGE_BYTES = 4 * 1024 * 1024
-_READERS = 16
+_MAX_THREADS = 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeReading:
-    """What came of asking one node.
+    """The result of reading one node's status page.
 
-    :param address: ``ip:port`` that was asked.
-    :param status: the node's page, or None when there was none.
+    :param address: ``ip:port`` that the page was requested from.
+    :param status: the node's page, or None when it could not be read.
     :param problem: why there is no page; empty when there is one.
     """
 
@@ -32,30 +32,30 @@
 def read_all(
     addresses: tuple[str, ...], timeout_s: float = READ_TIMEOUT_S
 ) -> tuple[NodeReading, ...]:
-    """Ask each node for its page, several at once, in the order of ``addresses``."""
-    with concurrent.futures.ThreadPoolExecutor(_READERS) as readers:
-        return tuple(readers.map(lambda address: read(address, timeout_s), addresses))
+    """Read the pages of all nodes concurrently; the results have the order of ``addresses``."""
+    with concurrent.futures.ThreadPoolExecutor(_MAX_THREADS) as executor:
+        return tuple(executor.map(lambda address: read(address, timeout_s), addresses))
 
 
 def read(address: str, timeout_s: float = READ_TIMEOUT_S) -> NodeReading:
-    """Ask one node for its page; a failure is a value.
+    """Read the page of one node; a failure is returned, not raised.
 
     :param address: ``ip:port`` on which the node serves callers.
-    :param timeout_s: seconds for the connection, and for each read after it.
+    :param timeout_s: timeout of the connection and of each read, in seconds.
     """
     pool = urllib3.PoolManager(retries=False)
     try:
-        answer = pool.request(
+        response = pool.request(
             "GET", f"http://{address}{STATUS_PATH}", timeout=timeout_s, preload_content=False
         )
-        page = answer.read(MAX_PAGE_BYTES + 1)
-        answer.close()
+        page = response.read(MAX_PAGE_BYTES + 1)
+        response.close()
     except (urllib3.exceptions.HTTPError, OSError) as error:
         return NodeReading(address, None, type(error).__name__)
     finally:
         pool.clear()
-    if answer.status != http.HTTPStatus.OK:
-        return NodeReading(address, None, f"status {answer.status}")
+    if response.status != http.HTTPStatus.OK:
+        return NodeReading(address, None, f"status {response.status}")
     if len(page) > MAX_PAGE_BYTES:
         return NodeReading(address, None, "page too large")
     try:
--- a/hornbeamglade/observability/statustable.py
+++ b/hornbeamglade/observability/statustable.py
@@ -1,4 +1,4 @@
-"""Status pages as tables for people and as JSON for scripts."""
+"""Status pages as human-readable tables and as JSON for scripts."""
 
 import collections
 import collections.abc
@@ -21,10 +21,10 @@
 
 
 def as_text(readings: Readings) -> str:
-    """Return a table of nodes, one of replicas, and what stands out.
+    """Return a table of nodes, a table of replicas, and remarks.
 
-    A node that gave no page is a row too: leaving it out would make a site
-    with a dead node look whole.
+    A node whose page could not be read has a row too: without it, a site with a
+    dead node would look healthy.
     """
     parts = [_table(_NODE_HEADS, [_node_row(reading) for reading in readings])]
     replica_rows = [_replica_row(node, replica) for node, replica in best_views(readings).values()]
@@ -35,7 +35,7 @@
 
 
 def as_json(readings: Readings) -> str:
-    """Return every page whole, with the address asked and what went wrong."""
+    """Return every page in full, with the node's address and the error, if any."""
     nodes = [
         {
             "address": reading.address,
@@ -50,10 +50,10 @@
 def best_views(
     readings: Readings,
 ) -> dict[str, tuple[statuspage.NodeStatus, statuspage.ReplicaStatus]]:
-    """Return, by replica name, the view to show and the node that has it.
+    """Return, by replica name, the view to show and the node that it comes from.
 
-    The owner admits to the replica and knows its own requests exactly, so its
-    view comes first; without it, the view with the freshest load report.
+    The owner admits requests to the replica and knows them exactly, so its view is
+    preferred; without it, the view with the newest load report is shown.
     """
     view_by_replica: dict[str, tuple[statuspage.NodeStatus, statuspage.ReplicaStatus]] = {}
     for reading in readings:
@@ -62,12 +62,12 @@
         for replica in reading.status.replicas:
             view = (reading.status, replica)
             known = view_by_replica.get(replica.name)
-            if known is None or _distance(view) < _distance(known):
+            if known is None or _view_rank(view) < _view_rank(known):
                 view_by_replica[replica.name] = view
     return dict(sorted(view_by_replica.items(), key=lambda item: (item[1][1].pool, item[0])))
 
 
-def _distance(
+def _view_rank(
     view: tuple[statuspage.NodeStatus, statuspage.ReplicaStatus],
 ) -> tuple[bool, float]:
     node, replica = view
@@ -111,14 +111,14 @@
 
 
 def _remarks(readings: Readings) -> list[str]:
-    silent = sum(reading.status is None for reading in readings)
+    unreachable = sum(reading.status is None for reading in readings)
     names_by_revision = collections.defaultdict(list)
     for reading in readings:
         if reading.status is not None:
             names_by_revision[reading.status.config_revision].append(reading.status.name)
     remarks = []
-    if silent:
-        remarks.append(f"{silent} of {len(readings)} nodes gave no status.")
+    if unreachable:
+        remarks.append(f"{unreachable} of {len(readings)} nodes gave no status.")
     for reading in readings:
         if reading.status is not None and reading.status.config_problem is not None:
             remarks.append(f"{reading.status.name}: {reading.status.config_problem}.")
--- a/tests/observability/test_logs.py
+++ b/tests/observability/test_logs.py
@@ -14,7 +14,7 @@
 _PROMPT = "Dear Mrs Nowak, your court notice"
 
 
-def _discard_lines_kept_from_before():
+def _discard_buffered_lines():
     writer = logs.LogWriter(io.StringIO(), "none")
     writer.start()
     writer.stop()
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def lines():
-    _discard_lines_kept_from_before()
+    _discard_buffered_lines()
     stream = io.StringIO()
     writer = logs.LogWriter(stream, "entry-1")
     writer.start()
@@ -35,14 +35,14 @@
     writer.stop()
 
 
-def test_a_change_of_state_is_one_json_line(lines):
+def test_a_state_change_is_one_json_line(lines):
     logs.state_changed("config", "12", "13", revision=13, change_id="c-1")
     (line,) = lines()
     assert (line["subject"], line["before"], line["after"]) == ("config", "12", "13")
     assert (line["revision"], line["change_id"], line["logged_by"]) == (13, "c-1", "entry-1")
 
 
-def test_no_change_is_no_line(lines):
+def test_equal_states_write_no_line(lines):
     assert not logs.state_changed("config", "13", "13", revision=13)
     assert lines() == []
 
@@ -60,9 +60,8 @@
     ],
 )
 def test_keys_prompts_and_bodies_are_never_logged(lines, fields):
-    # An operator searches the log store and finds a citizen's letter beside a
-    # team's key: an error's text quoted the request's body, and someone passed
-    # it on as a field of a state change.
+    # Guards against a citizen's letter or a team's key in the log store: the text
+    # of an error quotes the request's body and is passed as a field of a state change.
     logs.state_changed("replica", "serving", f"bad {_PROMPT}", **fields)
     (line,) = lines()
     text = json.dumps(line)
@@ -82,9 +81,9 @@
 
 
 def test_a_stalled_log_reader_blocks_no_state_change():
-    # A node stops its heartbeats and is replaced though it is healthy: whatever
-    # reads its log has stalled, the pipe is full, and the thread that reported
-    # a change of state waits in write().
+    # Guards against a healthy node that stops its heartbeats and is replaced: the
+    # reader of its log has stalled, the pipe is full, and the thread that logs a
+    # state change blocks in write().
     stream = _StalledStream()
     drops = metricsinstruments.Counter("drops_total", "Drops.")
     changes = metricsinstruments.Counter("changes_total", "Changes.", ("subject",))
@@ -112,13 +111,13 @@
     return logs.LogWriter(stream, "entry-1", None, drops, budget), drops
 
 
-def test_lines_on_requests_are_bounded_and_the_missing_ones_are_told(monkeypatch):
-    """A crowd comes, and each request writes its lines.
+def test_lines_about_requests_are_rate_limited_and_drops_are_reported(monkeypatch):
+    """Under overload each request writes its lines.
 
-    Unbounded, they cost more than the answers. Bounded without a word, an operator looks
-    for a request's lines and takes their absence for a request that never came.
+    Without a limit, logging costs more than serving. With a limit that is not reported, an
+    operator takes missing lines for a request that never arrived.
     """
-    _discard_lines_kept_from_before()
+    _discard_buffered_lines()
     clock = clocks.ManualClock(50.0)
     monkeypatch.setattr(logs.time, "monotonic", clock.now)
     stream = io.StringIO()
@@ -127,14 +126,14 @@
     for number in range(10):
         logs.decided(f"r{number}", "answer", "answered")
     logs.state_changed("node", "a", "b")
-    clock.advance(logs.TELL_GAPS_S)
+    clock.advance(logs.GAP_REPORT_INTERVAL_S)
     logs.decided("late", "answer", "answered")
     writer.stop()
     lines = [json.loads(line) for line in stream.getvalue().splitlines()]
-    told = [line for line in lines if line.get("subject") == "log"]
-    written = [line["request_id"] for line in lines if "request_id" in line]
-    assert written == ["r0", "r1", "r2", "late"]
-    assert sum(line["count"] for line in told) == drops.value() == 7
+    gap_lines = [line for line in lines if line.get("subject") == "log"]
+    logged_ids = [line["request_id"] for line in lines if "request_id" in line]
+    assert logged_ids == ["r0", "r1", "r2", "late"]
+    assert sum(line["count"] for line in gap_lines) == drops.value() == 7
     assert any(line.get("subject") == "node" for line in lines)
 
 
@@ -147,14 +146,14 @@
 
 
 def test_only_the_logs_module_writes_log_lines():
-    # Lines per token would cost more than carrying the token does: all lines go
-    # through the one module that writes changes of state alone.
+    # A log line per token would cost more than relaying the token: all lines go
+    # through the one module that logs only decisions and state changes.
     root = pathlib.Path(hornbeamglade.__file__).parent
     users = [path.name for path in root.rglob("*.py") if "eliot" in set(_imported(path))]
     assert users == ["logs.py"]
 
 
-def test_carrying_tokens_writes_no_line(lines):
+def test_relaying_tokens_writes_no_line(lines):
     node = metrics.NodeMetrics()
     times = node.stream_times("draft", started=0.0)
     for number in range(200):
--- a/tests/observability/test_losses.py
+++ b/tests/observability/test_losses.py
@@ -1,4 +1,4 @@
-"""What callers did not get, put down to causes, from lines of several instances."""
+"""Failed and late requests are attributed to causes, from log lines of several instances."""
 
 import json
 
@@ -9,8 +9,8 @@
 Cause = losses.Cause
 
 
-def line(at, node, kind, **fields):
-    return json.dumps(fields | {"timestamp": at, "logged_by": node, "message_type": kind})
+def line(at, node, message_type, **fields):
+    return json.dumps(fields | {"timestamp": at, "logged_by": node, "message_type": message_type})
 
 
 def decided(at, decision, outcome, *, node="n1", request_id="r1", **fields):
@@ -27,12 +27,12 @@
     return decided(at, "answer", outcome, **({"route": "draft", "goal_s": 1.8} | fields))
 
 
-def found(*lines):
+def find_losses(*lines):
     return losses.find(requesttimeline.parse(lines))
 
 
 def causes(*lines):
-    return [loss.cause for loss in found(*lines).lost]
+    return [loss.cause for loss in find_losses(*lines).lost]
 
 
 PLACED = decided(1.0, "placed", "granted", replica="e1", tokens=3000, service="draft")
@@ -47,18 +47,18 @@
         (answer(9.0, "caller_left", status=0), Cause.CALLER_LEFT),
         (answer(9.0, "no_answer", status=502), Cause.REPLICA_FAILED),
         (answer(9.0, "answered", status=500, seconds=0.1), Cause.REPLICA_FAILED),
-        (answer(9.0, "answer_too_late", status=504), Cause.TOO_LATE),
+        (answer(9.0, "answer_too_late", status=504), Cause.DEADLINE_PASSED),
         (answer(9.0, "queue_timeout", status=503), Cause.REFUSED),
         (answer(9.0, "streamed", status=200, first_s=1.9), Cause.LATE_START),
         (
             answer(9.0, "streamed", status=200, first_s=0.4, gap_s=0.3, gap_goal_s=0.18),
-            Cause.LATE_PACE,
+            Cause.LATE_TOKEN,
         ),
-        (answer(9.0, "answered", status=200, seconds=1.9), Cause.LATE_PLAIN),
+        (answer(9.0, "answered", status=200, seconds=1.9), Cause.LATE_RESPONSE),
         (answer(9.0, "of_tomorrow", status=200), Cause.UNKNOWN),
     ],
 )
-def test_end_names_the_cause(end, cause):
+def test_last_line_determines_the_cause(end, cause):
     assert causes(PLACED, end) == [cause]
 
 
@@ -69,9 +69,9 @@
         answer(9.0, "answered", status=404, seconds=0.1),
     ],
 )
-def test_whole_and_on_time_is_no_loss(end):
-    fields = found(PLACED, end)
-    assert (fields.requests, fields.lost) == (1, ())
+def test_complete_and_timely_response_is_no_loss(end):
+    found = find_losses(PLACED, end)
+    assert (found.requests, found.lost) == (1, ())
 
 
 def moved(**fields):
@@ -82,42 +82,43 @@
     ("lines", "cause"),
     [
         ((), Cause.ENGINE_LOST),
-        ((leaving(7.5),), Cause.UNMOVED),
-        ((leaving(7.5), moved(room_s=1.2, wait_s=0.2, copy_s=0.1)), Cause.NO_ROOM),
-        ((leaving(7.5), moved(room_s=0.1, wait_s=1.2, copy_s=0.2)), Cause.NO_TURN),
+        ((leaving(7.5),), Cause.NOT_MIGRATED),
+        ((leaving(7.5), moved(room_s=1.2, wait_s=0.2, copy_s=0.1)), Cause.NO_CAPACITY),
+        ((leaving(7.5), moved(room_s=0.1, wait_s=1.2, copy_s=0.2)), Cause.NO_MIGRATION_SLOT),
         ((leaving(7.5), moved(room_s=0.1, wait_s=0.2, copy_s=1.2)), Cause.COPY_LATE),
         ((leaving(7.0, "n2"), leaving(8.7), moved(room_s=0.1, wait_s=0.2)), Cause.LEARNED_LATE),
     ],
 )
-def test_run_that_is_lost_with_its_engine_is_put_down_to_the_longest_part(lines, cause):
-    """An engine stops, and one of its drafts does not get away in time.
+def test_run_lost_with_its_engine_is_attributed_to_the_longest_step(lines, cause):
+    """An engine stops, and one of its runs is not migrated in time.
 
-    Whoever is to mend it needs to know what took the time: learning, room, turn or copy.
+    The cause names what took the time: learning that the engine stops, finding capacity,
+    waiting for a migration slot, or the copy.
     """
     assert causes(PLACED, *lines, LOST, BROKEN) == [cause]
 
 
-def test_stream_without_an_end_is_that_of_an_instance_that_vanished():
-    fields = found(PLACED).lost
-    assert [(loss.cause, loss.tokens, loss.service) for loss in fields] == [
+def test_stream_without_an_end_is_attributed_to_a_vanished_instance():
+    lost = find_losses(PLACED).lost
+    assert [(loss.cause, loss.tokens, loss.service) for loss in lost] == [
         (Cause.INSTANCE_VANISHED, 3000, "draft")
     ]
 
 
-def test_groups_sum_to_the_whole():
+def test_groups_sum_to_the_total():
     other = answer(12.0, "queue_timeout", status=503, route="tag", seconds=2.0)
     begun = line(
         0.5, "n1", requesttimeline.STATE_TYPE, subject="node", after="serving", domain="d1"
     )
-    fields = found(begun, PLACED, LOST, BROKEN, other.replace("r1", "r2"))
+    found = find_losses(begun, PLACED, LOST, BROKEN, other.replace("r1", "r2"))
     groups = {
-        "cause": losses.by_cause(fields.lost),
-        "service": losses.by_service(fields.lost),
-        "domain": losses.by_domain(fields),
-        "window": losses.by_window(fields),
+        "cause": losses.by_cause(found.lost),
+        "service": losses.by_service(found.lost),
+        "domain": losses.by_domain(found),
+        "window": losses.by_window(found),
     }
     for rows in groups.values():
-        assert sum(row.count for row in rows) == len(fields.lost) == 2
+        assert sum(row.count for row in rows) == len(found.lost) == 2
         assert sum(row.seconds for row in rows) == pytest.approx(10.1)
     assert {row.key for row in groups["domain"]} == {"d1"}
     assert [row.key for row in groups["window"]] == ["0008.0", "0010.0"]
@@ -125,10 +126,10 @@
 
 @pytest.mark.parametrize("lines", [(), (PLACED, LOST, BROKEN)])
 def test_plot_is_drawn(lines, tmp_path):
-    lossesplot.plot(found(*lines), tmp_path / "losses.png")
+    lossesplot.plot(find_losses(*lines), tmp_path / "losses.png")
     assert (tmp_path / "losses.png").stat().st_size
 
 
-def test_broken_fields_are_no_numbers():
+def test_fields_that_are_no_numbers_count_as_zero():
     end = answer(9.0, "streamed", status=200, first_s="soon", gap_s=True, goal_s=None)
     assert causes(PLACED, end) == []
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -31,9 +31,8 @@
 
 
 def test_a_wait_beyond_the_range_is_still_counted():
-    # An operator sees a count of stalls that lacks the longest one: the stream
-    # stood for over an hour, and the histogram library drops values that are
-    # out of its range without an error.
+    # Guards against a stall count without the longest stall, of over an hour: the
+    # histogram library silently drops values that are out of its range.
     series = metricsinstruments.HistogramSeries()
     series.record_many([0.026, 5 * 3600.0])
     assert series.count == 2
@@ -41,8 +40,8 @@
 
 
 def test_label_values_do_not_grow_memory_without_bound():
-    # A node's memory rises over days until it is killed: a label carries a text
-    # that callers choose, and each new text makes a new series.
+    # Guards against memory that grows over days until the node is killed: callers
+    # choose a label's value, and each new value makes a new series.
     refusals = metricsinstruments.Counter("refusals_total", "Refusals.", ("code",))
     for number in range(metricsinstruments.MAX_SERIES + 50):
         refusals.add(labels=(f"code-{number}",))
@@ -52,25 +51,25 @@
 
 
 @pytest.fixture
-def eager_switching():
-    usual = sys.getswitchinterval()
+def frequent_thread_switches():
+    previous = sys.getswitchinterval()
     sys.setswitchinterval(1e-6)
     yield
-    sys.setswitchinterval(usual)
+    sys.setswitchinterval(previous)
 
 
-def test_threads_lose_no_record(eager_switching):
-    # The page says fewer tokens than callers received: two streams' threads add
-    # to one sum at once, both read the old value, and one addition is lost.
+def test_threads_lose_no_record(frequent_thread_switches):
+    # Guards against a lost update: the threads of two streams add to one sum, both
+    # read the old value, and the metrics show fewer tokens than callers received.
     node = metrics.NodeMetrics()
 
-    def carry():
+    def relay():
         times = node.stream_times("draft", started=0.0)
         for number in range(1, 2001):
             times.token(number * 0.026)
         node.stream_finished("draft", times, now=2000 * 0.026)
 
-    threads = [threading.Thread(target=carry) for _ in range(8)]
+    threads = [threading.Thread(target=relay) for _ in range(8)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -99,23 +98,22 @@
 
 
 def test_a_stream_cut_off_in_a_stall_counts_the_stall():
-    # A clerk reads half a draft, waits ten seconds and sees it break off: the
-    # link stalled and the node gave up. No later token shows the wait, so the
-    # stall metric reads zero for the worst case there is.
+    # The connection to the engine stalls for ten seconds and the node gives up. No
+    # later token shows the wait, so the stall metric would be zero in the worst case.
     times = metricsstream.StreamTimes(0.0, stall_threshold_s=0.25)
     times.token(1.0)
     times.finish(11.25)
     assert times.stall_s == pytest.approx(10.0)
 
 
-def test_the_process_use_is_exposed():
+def test_the_process_usage_is_exposed():
     text = metrics.NodeMetrics().exposition()
     resident = _sample(text, "hornbeamglade_process_resident_memory_bytes")
     assert float(resident[0].rsplit(" ", 1)[1]) > 1_000_000
     assert _sample(text, "hornbeamglade_process_cpu_seconds_total")
 
 
-def test_a_metric_is_named_once():
+def test_a_metric_name_can_be_added_only_once():
     registry = metricsregistry.Registry()
     registry.counter("drops_total", "Drops.")
     with pytest.raises(ValueError, match="exists already"):
--- a/tests/observability/test_requesttimeline.py
+++ b/tests/observability/test_requesttimeline.py
@@ -1,4 +1,4 @@
-"""The story of one request, found in the lines of several instances."""
+"""The timeline of one request, from the log lines of several instances."""
 
 import json
 
@@ -15,11 +15,11 @@
     return _line(at, node, requesttimeline.STATE_TYPE, fields)
 
 
-def _line(at, node, kind, fields):
-    return json.dumps(fields | {"timestamp": at, "logged_by": node, "message_type": kind})
+def _line(at, node, message_type, fields):
+    return json.dumps(fields | {"timestamp": at, "logged_by": node, "message_type": message_type})
 
 
-def story(request_id, *lines):
+def find_timeline(request_id, *lines):
     return requesttimeline.find(request_id, requesttimeline.parse(lines))
 
 
@@ -34,41 +34,41 @@
 )
 
 
-def test_lines_of_the_request_and_of_its_replica_are_told_in_order():
-    fields = story("r1", *reversed(BROKEN))
-    kept = [
-        (line.at, line.fields.get("subject") or line.fields["decision"]) for line in fields.lines
+def test_timeline_has_the_lines_of_the_request_and_of_its_replica_in_order():
+    timeline = find_timeline("r1", *reversed(BROKEN))
+    events = [
+        (line.at, line.fields.get("subject") or line.fields["decision"]) for line in timeline.lines
     ]
-    assert kept == [(10.0, "placed"), (13.0, "engine"), (14.5, "stream_lost"), (14.6, "answer")]
-    assert fields.gaps == ()
+    assert events == [(10.0, "placed"), (13.0, "engine"), (14.5, "stream_lost"), (14.6, "answer")]
+    assert timeline.gaps == ()
 
 
-def test_what_was_overtaken_before_the_request_came_is_left_out():
-    fields = story(
+def test_states_replaced_before_the_request_arrived_are_left_out():
+    timeline = find_timeline(
         "r1",
         changed(4.0, "n1", "store", "unknown", "reached", table="t"),
         changed(8.0, "n1", "store", "reached", "lost", table="t"),
         *BROKEN,
     )
-    assert [line.fields["after"] for line in fields.lines if "table" in line.fields] == ["lost"]
+    assert [line.fields["after"] for line in timeline.lines if "table" in line.fields] == ["lost"]
 
 
-def test_an_instance_that_was_killed_is_told_by_what_is_missing():
-    """An instance is killed in the middle of a stream and writes nothing more.
+def test_killed_instance_is_recognized_by_its_missing_lines():
+    """An instance is killed during a stream and writes nothing more.
 
-    Its log ends without a word on the request; what began anew there tells why.
+    Its log has no end of the request; that the instance started again shows why.
     """
-    fields = story("r1", *BROKEN[:1], changed(15.0, "n1", "node", "starting", "serving"))
-    assert fields.gaps == ("n1 wrote no end of the request and started anew: it was killed",)
+    timeline = find_timeline("r1", *BROKEN[:1], changed(15.0, "n1", "node", "starting", "serving"))
+    assert timeline.gaps == ("n1 wrote no end of the request and started anew: it was killed",)
 
 
-def test_lines_that_were_left_out_are_said_to_be_missing():
+def test_dropped_lines_are_reported_as_a_gap():
     gap = changed(14.9, "n1", "log", "whole", "lines_missing", count=40)
-    assert story("r1", *BROKEN, gap).gaps == ("n1 left out 40 lines up to 14.900",)
+    assert find_timeline("r1", *BROKEN, gap).gaps == ("n1 left out 40 lines up to 14.900",)
 
 
-def test_a_request_that_no_line_names_is_said_to_be_unknown():
-    fields = story("r9", *BROKEN)
-    assert fields.lines == ()
-    assert "n1, n2" in fields.gaps[0]
-    assert story("r9").gaps == ("the files hold no log lines",)
+def test_unknown_request_is_reported_as_a_gap():
+    timeline = find_timeline("r9", *BROKEN)
+    assert timeline.lines == ()
+    assert "n1, n2" in timeline.gaps[0]
+    assert find_timeline("r9").gaps == ("the files hold no log lines",)
--- a/tests/observability/test_status.py
+++ b/tests/observability/test_status.py
@@ -27,9 +27,9 @@
 
 @pytest.fixture
 def serve(request):
-    def start(body, code="200 OK"):
+    def start_server(body, status_line="200 OK"):
         def application(environ, start_response):
-            start_response(code, [("Content-Type", "application/json")])
+            start_response(status_line, [("Content-Type", "application/json")])
             return [body]
 
         server = wsgi.Server(("127.0.0.1", 0), application, numthreads=2)
@@ -39,7 +39,7 @@
         request.addfinalizer(server.stop)
         return f"127.0.0.1:{server.bind_addr[1]}"
 
-    return start
+    return start_server
 
 
 def _run(*arguments):
@@ -63,18 +63,18 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "code"), [(b"busy", "503 Busy"), (b"<html>", "200 OK"), (b"{}", "200 OK")]
+    ("body", "status_line"), [(b"busy", "503 Busy"), (b"<html>", "200 OK"), (b"{}", "200 OK")]
 )
-def test_a_node_without_a_page_is_shown_and_fails_the_command(serve, body, code):
-    # An operator sees five healthy nodes and goes home: the sixth answers with
-    # an error, and the table left it out.
-    result = _run("--nodes", serve(body, code))
+def test_a_node_without_a_page_is_shown_and_fails_the_command(serve, body, status_line):
+    # Guards against a table that leaves out a node which returns an error: an
+    # operator would see only the healthy nodes.
+    result = _run("--nodes", serve(body, status_line))
     assert result.exit_code == 1
     assert "no answer" in result.output
     assert "1 of 1 nodes gave no status." in result.output
 
 
-def test_an_unreachable_node_is_a_value():
+def test_an_unreachable_node_gives_a_reading_without_a_status():
     assert statusreading.read("127.0.0.1:9", 0.5).status is None
 
 
@@ -91,10 +91,10 @@
     assert "Behind revision 7: entry-2." in statustable.as_text(readings)
 
 
-def test_members_of_a_later_release_are_passed_over():
+def test_fields_of_a_later_release_are_ignored():
     page = json.loads(_node("entry-1").model_dump_json()) | {"added_later": 1}
     assert statuspage.NodeStatus.model_validate(page).name == "entry-1"
 
 
-def test_one_source_of_nodes_must_be_given():
+def test_exactly_one_source_of_nodes_must_be_given():
     assert _run().exit_code == 2
