--- a/hornbeamglade/localsite/__init__.py
+++ b/hornbeamglade/localsite/__init__.py
@@ -1,4 +1,4 @@
-"""A whole site on this machine, of separate processes: for the demo and for tests."""
+"""A complete site of separate processes on this machine, for the demo and for tests."""
 
 from hornbeamglade.localsite.localcaller import Caller, Reply
 from hornbeamglade.localsite.localsite import LocalSite, Shape
--- a/hornbeamglade/localsite/localcaller.py
+++ b/hornbeamglade/localsite/localcaller.py
@@ -1,4 +1,4 @@
-"""A caller of a local site: sends requests and keeps what it was told."""
+"""A client of a local site: sends requests and keeps the responses."""
 
 import collections.abc
 import dataclasses
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What a caller got.
+    """The response to one request.
 
     :param status: the HTTP status; 0 when the connection was lost.
-    :param headers: values by lower-case name.
-    :param body: the body's bytes.
+    :param headers: header values by lower-case name.
+    :param body: the response body.
     """
 
     status: int
@@ -32,17 +32,17 @@
 
     @property
     def code(self) -> str | None:
-        """The refusal's code, or None for an answer."""
+        """The code of a refusal, or None for any other response."""
         return self.json().get("code") if self._is_problem() else None
 
     @property
     def run(self) -> str | None:
-        """What the refusal says of the run, or None for an answer."""
+        """Whether the request ran according to the refusal, or None for any other response."""
         return self.json().get("run") if self._is_problem() else None
 
     @property
     def text(self) -> str:
-        """The generated text of a whole answer."""
+        """The generated text of a complete response."""
         choice = self.json()["choices"][0]
         return choice["message"]["content"] if "message" in choice else choice["text"]
 
@@ -51,7 +51,7 @@
 
 
 class StreamReply:
-    """A streamed answer, read event by event.
+    """A streamed response, read event by event.
 
     :param response: the open response.
     """
@@ -62,38 +62,38 @@
         self.error: dict[str, str] | None = None
         self.is_done = False
         self._response = response
-        self._rest = b""
+        self._buffer = b""
 
     def read_tokens(self, count: int) -> None:
-        """Read until ``count`` tokens have come, or the stream has ended."""
+        """Read until ``count`` tokens have arrived or the stream has ended."""
         for _ in self._events():
             if len(self.texts) >= count:
                 return
 
     def read_all(self) -> None:
-        """Read to the end of the stream, or of the connection."""
+        """Read to the end of the stream or of the connection."""
         for _ in self._events():
             pass
 
     def close(self) -> None:
-        """Leave: close the connection in the middle of the answer."""
+        """Close the connection in the middle of the response, as a caller that leaves does."""
         self._response.close()
 
     def _events(self) -> collections.abc.Iterator[None]:
         while True:
-            while EVENT_END in self._rest:
-                event, _, self._rest = self._rest.partition(EVENT_END)
-                self._take(event)
+            while EVENT_END in self._buffer:
+                event, _, self._buffer = self._buffer.partition(EVENT_END)
+                self._parse_event(event)
                 yield
             try:
-                piece = self._response.read1(65_536)
+                data = self._response.read1(65_536)
             except (urllib3.exceptions.HTTPError, OSError):
                 return
-            if not piece:
+            if not data:
                 return
-            self._rest += piece
+            self._buffer += data
 
-    def _take(self, event: bytes) -> None:
+    def _parse_event(self, event: bytes) -> None:
         if not event.startswith(DATA_PREFIX):
             return
         data = event[len(DATA_PREFIX) :]
@@ -111,10 +111,10 @@
 
 
 class Caller:
-    """One team's caller at one node.
+    """A client of one team, connected to one node.
 
     :param address: the node's ``ip:port``.
-    :param key: the team's key.
+    :param key: the team's API key.
     """
 
     def __init__(self, address: str, key: str) -> None:
@@ -131,20 +131,20 @@
         body: bytes | None = None,
         headers: collections.abc.Mapping[str, str] | None = None,
     ) -> Reply:
-        """Send one request and read its whole answer."""
+        """Send one request and read the complete response."""
         try:
             response = self._http.request(
                 method, self._base + path, body=body, headers=self._headers | dict(headers or {})
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
             return Reply(0, {}, str(error).encode())
-        fields = {name.lower(): value for name, value in response.headers.items()}
-        return Reply(response.status, fields, response.data)
+        headers_by_name = {name.lower(): value for name, value in response.headers.items()}
+        return Reply(response.status, headers_by_name, response.data)
 
     def generate(
         self, prompt: str, tokens: int, key: str | None = None, **members: typing.Any
     ) -> Reply:
-        """Ask for a whole chat answer of ``tokens`` tokens.
+        """Request a chat completion of ``tokens`` tokens without streaming.
 
         :param key: the ``Idempotency-Key``, if any.
         """
@@ -155,7 +155,7 @@
     def stream(
         self, prompt: str, tokens: int, key: str | None = None, **members: typing.Any
     ) -> StreamReply:
-        """Ask for a streamed chat answer of ``tokens`` tokens."""
+        """Request a streamed chat completion of ``tokens`` tokens."""
         headers = self._headers | ({"Idempotency-Key": key} if key else {})
         response = self._http.request(
             "POST",
--- a/hornbeamglade/localsite/localsite.py
+++ b/hornbeamglade/localsite/localsite.py
@@ -1,4 +1,4 @@
-"""Start, watch and hurt the processes of a small site."""
+"""Start and observe the processes of a small site, and inject faults into them."""
 
 import collections.abc
 import contextlib
@@ -30,22 +30,22 @@
 
 
 def direct(_name: str, address: str) -> str:
-    """Leave a link as it is."""
+    """Return the address unchanged."""
     return address
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shape:
-    """What a local site is made of.
+    """Size and settings of a local site.
 
-    :param nodes: entry nodes.
-    :param engines: stand-in engines, serving ``draft``.
-    :param services: stand-in plain services, serving ``holds``.
+    :param nodes: number of entry nodes.
+    :param engines: number of stand-in engines, serving ``draft``.
+    :param services: number of stand-in plain services, serving ``holds``.
     :param engine_options: further command line options of the engines.
-    :param node_settings: members that replace those of the nodes' settings.
-    :param base: members that replace those of the base file.
-    :param route: gives the address under which the nodes reach a backend server or
-        the platform, by its name; a test puts a link of its own in between.
+    :param node_settings: fields that override those of the nodes' settings.
+    :param base: fields that override those of the base file.
+    :param route: returns the address under which the nodes reach a backend server or
+        the platform, by its name; a test can put a proxy in between.
     """
 
     nodes: int = 3
@@ -58,10 +58,10 @@
 
 
 class LocalSite:
-    """A running site; to be used as a context manager.
+    """A running site; use it as a context manager.
 
-    :param shape: what it is made of.
-    :param folder: for settings files and logs.
+    :param shape: its size and settings.
+    :param folder: directory for settings files and logs.
     """
 
     def __init__(self, shape: Shape, folder: pathlib.Path) -> None:
@@ -74,7 +74,7 @@
         self._http = urllib3.PoolManager(retries=False, timeout=10.0)
 
     def __enter__(self) -> typing.Self:
-        """Start everything and wait until the nodes are ready."""
+        """Start all processes and wait until the nodes are ready."""
         try:
             self._start_backends()
             self.apply(self.base())
@@ -83,14 +83,14 @@
             self.list_nodes()
             for number in range(self.shape.nodes):
                 self.await_ready(f"entry-{number}")
-            self.wait_until(self._is_agreed, "the nodes to agree on owners")
+            self.wait_until(self._owners_agree, "the nodes to agree on owners")
         except BaseException:
             self._stack.close()
             raise
         return self
 
     def __exit__(self, *exception: object) -> None:
-        """Stop everything that was started, nodes first."""
+        """Stop all processes, nodes first."""
         for name in tuple(self.child_by_name):
             self.signal(name, signal.SIGCONT)
         for name in tuple(self.child_by_name):
@@ -99,11 +99,11 @@
         self._stack.close()
 
     def caller(self, number: int = 0, key: str = TEAM_KEY) -> localcaller.Caller:
-        """Return a caller at one node."""
+        """Return a client of one node."""
         return localcaller.Caller(self.address_by_name[f"entry-{number}"], key)
 
     def caller_at(self, address: str, key: str = TEAM_KEY) -> localcaller.Caller:
-        """Return a caller at an address that the site named."""
+        """Return a client of the node at an address that the site announced."""
         return localcaller.Caller(address, key)
 
     @property
@@ -112,26 +112,26 @@
         return tuple(self._exchange_by_node)
 
     def is_in_force(self, revision: int) -> bool:
-        """Tell whether every node holds a revision."""
+        """Return whether every node has a revision in force."""
         pages = (self.status(name) for name in self.node_names)
         return all(page.get("config_revision") == revision for page in pages)
 
     def start_node(self, number: int) -> None:
-        """Start an entry node, also one that was stopped before."""
+        """Start an entry node, or restart one that was stopped."""
         name = f"entry-{number}"
         if name in self.child_by_name:
-            # Its address is free only once the former process has ended.
+            # Its address is free only after the previous process has ended.
             self.wait_until(self.child_by_name[name].ended, f"{name} to end")
         path = self._folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(self._node_settings(name)), encoding="utf-8")
-        told = self.start(name, "node", "--settings", str(path))
-        self.address_by_name[name], self._exchange_by_node[name] = told.split()
+        addresses = self.start(name, "node", "--settings", str(path))
+        self.address_by_name[name], self._exchange_by_node[name] = addresses.split()
 
     def start(self, name: str, *arguments: str) -> str:
         """Start one process of the ``hornbeamglade`` command.
 
-        Each binds a free port of its own and prints it, so that no two processes
-        can be given the same one.
+        Each process binds a free port itself and prints it, so that no two processes
+        can get the same one.
         """
         child = loadprocesses.Child(name, ("hornbeamglade", *arguments), self._folder)
         self.child_by_name[name] = child
@@ -139,23 +139,23 @@
         return child.first_line()
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a process; nothing when it has ended."""
+        """Send a signal to a process; does nothing when it has ended."""
         self.child_by_name[name].send(number)
 
     def status(self, name: str) -> dict[str, typing.Any]:
-        """Return a node's status page, or nothing when it does not answer."""
+        """Return a node's status page; empty when the node does not respond."""
         return self._get(name, "/status") or {}
 
     def ledger(self, name: str) -> dict[str, typing.Any]:
-        """Return what a stand-in backend server has run."""
+        """Return the ledger of a stand-in backend server: the requests that it ran."""
         return self._get(name, "/standin/ledger") or {}
 
     def orders(self, engine: str) -> dict[str, typing.Any]:
-        """Return what a stand-in engine was ordered to have, and has."""
+        """Return the placement orders of a stand-in engine and the models that it has."""
         return self._get(engine, "/orders") or {}
 
     def faults(self, name: str, **faults: typing.Any) -> None:
-        """Set a stand-in's faults; those that are not named are off."""
+        """Set a stand-in's faults; all others are switched off."""
         self._put(name, "/standin/faults", faults)
 
     def await_ready(self, name: str) -> None:
@@ -168,7 +168,7 @@
         what: str,
         timeout_s: float = READY_TIMEOUT_S,
     ) -> None:
-        """Wait for a state; the generous bound only ends a wait in vain."""
+        """Wait for a condition; the generous timeout only ends a wait that would never end."""
         loadprocesses.wait_until(condition, what, (), timeout_s)
 
     def platform(self) -> storeclient.StoreClient:
@@ -189,7 +189,7 @@
         return outcome.revision
 
     def list_nodes(self, leaving: frozenset[str] = frozenset()) -> None:
-        """Put the nodes on the platform's instance list."""
+        """Write the nodes to the platform's instance list."""
         instances = [
             {
                 "name": name,
@@ -203,7 +203,7 @@
         self._put(PLATFORM, "/standin/instances", {"instances": instances})
 
     def base(self) -> dict[str, typing.Any]:
-        """Return the base file as plain values."""
+        """Return the content of the base file as plain values."""
         return {
             "sites": [SITE],
             "addresses": {"ttl_s": 1},
@@ -249,7 +249,7 @@
         self.address_by_name[name] = self.start(name, "standin", kind, "--bind", bind, *options)
 
     def restart_engine(self, number: int) -> None:
-        """Start an engine anew at its old address, its memory empty."""
+        """Restart an engine at its previous address, with empty memory."""
         self._start_engine(number)
 
     def _start_engine(self, number: int) -> None:
@@ -273,7 +273,7 @@
         } | self.shape.node_settings
 
     def _is_ready(self, name: str) -> bool:
-        """Tell whether a node is ready and sees every node and every owned replica."""
+        """Return whether a node is ready and sees all nodes and a serving, owned replica each."""
         page = self.status(name)
         if page.get("state") != "ready":
             return False
@@ -281,22 +281,22 @@
         states = {each["state"] for each in page["replicas"]}
         return states == {"serving"} and owners <= self._exchange_by_node.keys()
 
-    def _is_agreed(self) -> bool:
-        """Tell whether all nodes name the same owners, as they do once they know all."""
+    def _owners_agree(self) -> bool:
+        """Return whether all nodes agree on the replicas' owners, once they know each other."""
         pages = [self.status(name) for name in self._exchange_by_node]
         owners = [{each["name"]: each["owner"] for each in page["replicas"]} for page in pages]
         return all(each == owners[0] for each in owners)
 
     def _get(self, name: str, path: str) -> typing.Any | None:
         try:
-            answer = self._http.request("GET", f"http://{self.address_by_name[name]}{path}")
+            response = self._http.request("GET", f"http://{self.address_by_name[name]}{path}")
         except (urllib3.exceptions.HTTPError, OSError):
             return None
-        return answer.json() if answer.status == 200 else None
+        return response.json() if response.status == 200 else None
 
     def _put(self, name: str, path: str, body: dict[str, typing.Any]) -> None:
         url = f"http://{self.address_by_name[name]}{path}"
-        answer = self._http.request("PUT", url, body=json.dumps(body))
-        if answer.status >= 300:
-            detail = f"{name}{path}: {answer.status} {answer.data[:200]!r}"
+        response = self._http.request("PUT", url, body=json.dumps(body))
+        if response.status >= 300:
+            detail = f"{name}{path}: {response.status} {response.data[:200]!r}"
             raise codederrors.CodedError("local_standin", detail)
--- a/hornbeamglade/localsite/routedsite.py
+++ b/hornbeamglade/localsite/routedsite.py
@@ -1,11 +1,11 @@
-"""Start, watch and hurt the processes of a small site of entry instances.
+"""Start and observe a small site of entry instances, and inject faults into it.
 
 Explanation
 ===========
 
 The counterpart of :mod:`hornbeamglade.localsite.localsite` for routed requests: a store,
-engines, plain servers and entry instances as processes on loopback. A server's entry in the
-list is written here, as servers write their own on the platform.
+engines, plain servers and entry instances as processes on loopback. Entries in the replica
+list are written here; on the platform, servers write their own.
 """
 
 import collections.abc
@@ -35,31 +35,31 @@
 RETRY_SLACK = 50
 DOMAINS = ("a", "b")
 FATAL_BODY = "fatal-request"
-"""A request with this body crashes each server that runs it."""
+"""A request with this body crashes every server that runs it."""
 
 PORT_RANGE = (20_000, 30_000)
-"""Below those that systems hand out to outgoing connections, which begin at 32,768."""
+"""Below the ephemeral ports of outgoing connections, which begin at 32,768."""
 
 Route = collections.abc.Callable[[str, str], str]
 """Returns the address under which a process is reached, by its name and its own address."""
 
 
 def direct(_name: str, address: str) -> str:
-    """Leave a link as it is."""
+    """Return the address unchanged."""
     return address
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shape:
-    """What a site is made of.
+    """Size and settings of a site.
 
-    :param instances: entry instances.
-    :param engines: stand-in engines.
-    :param services: stand-in plain servers.
+    :param instances: number of entry instances.
+    :param engines: number of stand-in engines.
+    :param services: number of stand-in plain servers.
     :param events: events of each stream.
     :param gap_s: seconds between events.
-    :param route: gives the address under which the store and servers are reached.
-    :param entry_module: what runs an instance, after ``python -m``.
+    :param route: returns the address under which the store and the servers are reached.
+    :param entry_module: the module that runs an instance, after ``python -m``.
     """
 
     instances: int = 3
@@ -73,13 +73,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Server:
-    """One run of a backend server.
+    """One incarnation of a backend server.
 
-    :param replica_id: its name in the list.
-    :param service: what it serves.
-    :param failure_domain: where it is said to stand.
-    :param address: under which instances reach it.
-    :param born: Unix milliseconds of its start.
+    :param replica_id: its name in the replica list.
+    :param service: the service that it serves.
+    :param failure_domain: the failure domain in its entry.
+    :param address: the address under which instances reach it.
+    :param born: its start time, in Unix milliseconds.
     """
 
     replica_id: str
@@ -98,10 +98,10 @@
 
 
 class RoutedSite:
-    """A running site; to be used as a context manager.
+    """A running site; use it as a context manager.
 
-    :param shape: what it is made of.
-    :param folder: for settings files, logs and ledgers.
+    :param shape: its size and settings.
+    :param folder: directory for settings files, logs and ledgers.
     """
 
     def __init__(self, shape: Shape, folder: pathlib.Path) -> None:
@@ -111,14 +111,14 @@
         self.server_by_place: dict[str, Server] = {}
         self.address_by_name: dict[str, str] = {}
         self._settings_by_instance: dict[str, dict[str, typing.Any]] = {}
-        self._runs_by_place: dict[str, int] = {}
+        self._incarnation_by_place: dict[str, int] = {}
         self._version = 0
         self._ports = PortAllocator()
         self._stack = contextlib.ExitStack()
         self._http = urllib3.PoolManager(retries=False, timeout=5.0, maxsize=8)
 
     def __enter__(self) -> typing.Self:
-        """Start everything and wait until the instances take callers."""
+        """Start the store and the backend servers."""
         try:
             address = self.start(STORE, "hornbeamglade", "standin", "platform", "--bind", FREE)
             self.address_by_name[STORE] = address
@@ -132,14 +132,14 @@
         return self
 
     def __exit__(self, *exception: object) -> None:
-        """Stop everything that was started; nothing else is ever signalled."""
+        """Stop the processes that were started; no other process is signalled."""
         for child in self.child_by_name.values():
             child.send(signal.SIGCONT)
             child.send(signal.SIGKILL)
         self._stack.close()
 
     def start_instances(self) -> None:
-        """Start all instances and wait until each takes callers."""
+        """Start all instances and wait until each accepts callers."""
         for number in range(self.shape.instances):
             self.start_instance(f"entry-{number}")
         for name in self.instance_names:
@@ -156,48 +156,48 @@
         return self.shape.route(STORE, self.address_by_name[STORE])
 
     def start(self, name: str, *arguments: str) -> str:
-        """Start a process that prints its address once it listens; return that."""
+        """Start a process that prints its address once it listens; return the address."""
         child = loadprocesses.Child(name, arguments, self.folder)
-        self._keep(name, child)
+        self._register_child(name, child)
         return child.first_line()
 
     def start_instance(self, name: str) -> None:
-        """Start an entry instance, also one that has run before."""
+        """Start an entry instance, or restart one that has run before."""
         settings = self._settings_by_instance.setdefault(name, self._settings(name))
         path = self.write_settings(name, settings)
         log = (self.folder / f"{name}.out").open("ab")
         self._stack.callback(log.close)
         arguments = (*self.shape.entry_module, "entry", "--settings", str(path))
-        self._keep(name, loadprocesses.Child(name, arguments, self.folder, output=log))
+        self._register_child(name, loadprocesses.Child(name, arguments, self.folder, output=log))
 
     def write_settings(self, name: str, settings: dict[str, typing.Any]) -> pathlib.Path:
-        """Write an instance's settings file, also while it runs."""
+        """Write an instance's settings file, possibly while it runs."""
         self._settings_by_instance[name] = settings
         path = self.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings), encoding="utf-8")
         return path
 
     def settings(self, name: str) -> dict[str, typing.Any]:
-        """Return an instance's settings as they are."""
+        """Return an instance's current settings."""
         return self._settings_by_instance[name]
 
     def callers_address(self, name: str) -> str:
-        """Return where an instance takes callers."""
+        """Return the address on which an instance accepts callers."""
         return self._settings_by_instance[name]["listen"]["callers"]
 
     def directory_address(self, name: str) -> str:
-        """Return where an instance says where to connect."""
+        """Return the address of an instance's directory."""
         return self._settings_by_instance[name]["listen"]["directory"]
 
     def start_server(self, place: str, *, keeps_name: bool = False) -> Server:
-        """Start a backend server and list it.
+        """Start a backend server and write its entry to the replica list.
 
         :param place: ``engine-N`` or ``service-N``.
-        :param keeps_name: whether it is listed under the name of the one before it.
+        :param keeps_name: whether it keeps the replica id of the previous incarnation.
         """
-        run = self._runs_by_place.get(place, 0) + (0 if keeps_name else 1)
-        self._runs_by_place[place] = run
-        replica_id = f"{place}.{run}"
+        incarnation = self._incarnation_by_place.get(place, 0) + (0 if keeps_name else 1)
+        self._incarnation_by_place[place] = incarnation
+        replica_id = f"{place}.{incarnation}"
         born = time.time_ns() // 1_000_000
         is_engine = place.startswith("engine")
         events = str(self.shape.events if is_engine else 0)
@@ -222,43 +222,43 @@
         return server
 
     def list_server(self, server: Server, *, is_leaving: bool = False) -> bool:
-        """Write a server's entry; return whether the store took it."""
-        told = operatordocuments.entry(
+        """Write a server's entry; return whether the store accepted it."""
+        entry = operatordocuments.entry(
             server.service,
             server.address,
             server.failure_domain,
             is_leaving=is_leaving,
             born=server.born,
         )
-        return self.write((contract.Put(f"{tables.REPLICAS}/{server.replica_id}", told),))
+        return self.write((contract.Put(f"{tables.REPLICAS}/{server.replica_id}", entry),))
 
     def write_entry(self, name: str, value: str) -> bool:
-        """Write an entry as another program might; return whether the store took it."""
+        """Write an arbitrary entry, as another program might; return whether it was accepted."""
         return self.write((contract.Put(f"{tables.REPLICAS}/{name}", value),))
 
     def unlist_server(self, server: Server) -> bool:
-        """Take a server's entry away; return whether the store took it."""
+        """Remove a server's entry; return whether the store accepted it."""
         return self.write((contract.Delete(f"{tables.REPLICAS}/{server.replica_id}"),))
 
     def configure(
         self, keys_by_team: collections.abc.Mapping[str, collections.abc.Sequence[str]]
     ) -> bool:
-        """Write the next version of the manifest; return whether the store took it."""
+        """Write the next version of the manifest; return whether the store accepted it."""
         self._version += 1
         document = operatordocuments.manifest(self._version, keys_by_team)
         return self.write((contract.Put(tables.CONFIGURATION_KEY, document),))
 
     def write(self, writes: tuple[contract.Put | contract.Delete, ...]) -> bool:
-        """Write to the store, past whatever stands between it and the instances."""
+        """Write to the store directly, past any proxy between it and the instances."""
         client = storeclient.StoreClient(self.address_by_name[STORE])
         return isinstance(client.transact((), writes), contract.Committed)
 
     def evacuate(self, domain: str) -> bool:
-        """Evacuate a failure domain; return whether the store took it."""
+        """Evacuate a failure domain; return whether the store accepted it."""
         return self.write((contract.Put(tables.evacuation_key(domain), "{}"),))
 
     def rewrite_servers(self) -> bool:
-        """Write the list of servers as it is; return whether the store took it."""
+        """Write the current replica list again; return whether the store accepted it."""
         client = storeclient.StoreClient(self.address_by_name[STORE])
         rows = client.scan(f"{tables.REPLICAS}/")
         if isinstance(rows, contract.Unavailable):
@@ -270,29 +270,29 @@
         return is_rewritten and (not stale or self.write(stale))
 
     def end_evacuation(self, domain: str) -> bool:
-        """End a failure domain's evacuation; return whether the store took it."""
+        """End a failure domain's evacuation; return whether the store accepted it."""
         return self.write((contract.Delete(tables.evacuation_key(domain)),))
 
     def faults(self, name: str, **faults: typing.Any) -> None:
-        """Set a stand-in's faults; those that are not named are off."""
+        """Set a stand-in's faults; all others are switched off."""
         self.put_json(name, "/standin/faults", faults)
 
     def put_json(self, name: str, path: str, body: dict[str, typing.Any]) -> None:
-        """Put something to a stand-in.
+        """Send a PUT request with a JSON body to a stand-in.
 
-        :raises CodedError: ``local_standin``, when it does not take it.
+        :raises CodedError: ``local_standin``, when it does not accept the request.
         """
         url = f"http://{self.address_by_name[name]}{path}"
         try:
-            answer = self._http.request("PUT", url, body=json.dumps(body))
+            response = self._http.request("PUT", url, body=json.dumps(body))
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise codederrors.CodedError("local_standin", f"{name}{path}: {error}") from error
-        if answer.status >= 300:
-            detail = f"{name}{path}: {answer.status} {answer.data[:200]!r}"
+        if response.status >= 300:
+            detail = f"{name}{path}: {response.status} {response.data[:200]!r}"
             raise codederrors.CodedError("local_standin", detail)
 
     def is_ready(self, name: str) -> bool:
-        """Tell whether an instance says that it takes callers."""
+        """Return whether an instance reports that it accepts callers."""
         address = self._settings_by_instance[name]["listen"]["readiness"]
         url = f"http://{address}{routedcaller.READY_PATH}"
         try:
@@ -301,30 +301,30 @@
             return False
 
     def await_ready(self, name: str) -> None:
-        """Wait until an instance takes callers; the bound only ends a wait in vain."""
+        """Wait until an instance accepts callers; the timeout only ends an endless wait."""
         child = self.child_by_name[name]
         loadprocesses.wait_until(
             lambda: self.is_ready(name), f"{name} to be ready", (child,), READY_TIMEOUT_S
         )
 
     def ledger(self) -> tuple[dict[str, typing.Any], ...]:
-        """Return all that backend servers have run, those that are gone included."""
+        """Return all requests that backend servers have run, stopped servers included."""
         path = self.folder / "ledger.jsonl"
         lines = path.read_text(encoding="utf-8").splitlines() if path.exists() else ()
         return tuple(json.loads(line) for line in lines)
 
     def copies(self, place: str) -> tuple[str, ...]:
-        """Return the copies of runs that an engine holds; none when it does not answer."""
+        """Return the KV cache copies that an engine holds; none when it does not respond."""
         url = f"http://{self.address_by_name[place]}/standin/copies"
         try:
             return tuple(self._http.request("GET", url, timeout=1.0).json())
         except (urllib3.exceptions.HTTPError, OSError):
             return ()
 
-    def _keep(self, name: str, child: loadprocesses.Child) -> None:
-        former = self.child_by_name.get(name)
-        if former is not None:
-            former.stop()
+    def _register_child(self, name: str, child: loadprocesses.Child) -> None:
+        previous = self.child_by_name.get(name)
+        if previous is not None:
+            previous.stop()
         self.child_by_name[name] = child
         self._stack.callback(child.stop)
 
@@ -354,23 +354,23 @@
 
 
 class PortAllocator:
-    """Free ports that no outgoing connection is given by chance, each given out once.
+    """Allocates free ports outside the ephemeral range, each only once.
 
-    Guards an instance that is started again: were its port one of those that the system
-    hands out, a caller's connection might hold it by then. And an instance against another
-    one that was given the same port before either listened.
+    An instance that restarts needs its port again: if it were ephemeral, an outgoing
+    connection might occupy it by then. Allocating each port once keeps two instances from
+    getting the same one before either of them listens.
     """
 
     def __init__(self) -> None:
-        self._given: set[int] = set()
+        self._allocated: set[int] = set()
 
     def allocate(self, kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-        """Return a port for sockets of a kind."""
+        """Return a free port for sockets of the given kind."""
         while True:
             port = random.randrange(*PORT_RANGE)
-            if port in self._given or not _is_free(port, kind):
+            if port in self._allocated or not _is_free(port, kind):
                 continue
-            self._given.add(port)
+            self._allocated.add(port)
             return port
 
 
--- a/hornbeamglade/localsite/tcpproxy.py
+++ b/hornbeamglade/localsite/tcpproxy.py
@@ -1,10 +1,10 @@
-"""TCP pass-throughs whose links can be held, stalled or cut without being closed.
+"""TCP proxies that can delay, hold, stall or reset the connections through them.
 
 Explanation
 ===========
 
-A link that stalls shows no error at either end. No signal to a process gives
-that, so benches and tests put one of these between a node and what it calls.
+A stalled connection shows no error at either end, and no signal to a process can
+cause that. Benches and tests therefore put a proxy between a node and its peers.
 """
 
 import contextlib
@@ -13,12 +13,12 @@
 import threading
 import time
 
-_PIECE_BYTES = 65_536
-_LINGER_NONE = struct.pack("ii", 1, 0)
+_READ_BYTES = 65_536
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class TcpProxy:
-    """Pass bytes between clients and one server.
+    """Relays bytes between clients and one server.
 
     :param target: the server's ``ip:port``.
     """
@@ -28,10 +28,10 @@
         self._target = (host, int(port))
         self.delay_s = 0.0
         self._listener = socket.create_server(("127.0.0.1", 0))
-        self._open = threading.Event()
-        self._open.set()
-        self._requests_open = threading.Event()
-        self._requests_open.set()
+        self._responses_released = threading.Event()
+        self._responses_released.set()
+        self._requests_released = threading.Event()
+        self._requests_released.set()
         self._unstalled = threading.Event()
         self._stalled: frozenset[socket.socket] = frozenset()
         self._sockets: set[socket.socket] = set()
@@ -42,46 +42,46 @@
 
     @property
     def address(self) -> str:
-        """The ``ip:port`` on which clients are taken."""
+        """The ``ip:port`` that clients connect to."""
         return f"127.0.0.1:{self._listener.getsockname()[1]}"
 
     def hold_responses(self) -> None:
-        """Keep back what the server sends, on new connections too."""
-        self._open.clear()
+        """Hold back the data that the server sends, also on new connections."""
+        self._responses_released.clear()
 
     def hold_requests(self) -> None:
-        """Keep back what clients send, on new connections too."""
-        self._requests_open.clear()
+        """Hold back the data that clients send, also on new connections."""
+        self._requests_released.clear()
 
     def retarget(self, target: str) -> None:
-        """Pass new connections on to another server; those that stand are reset."""
+        """Send new connections to another server and reset the open ones."""
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
         self.reset_connections()
 
     def stall(self) -> None:
-        """Keep back both directions of the connections that stand; new ones pass."""
+        """Hold back both directions of the open connections; new ones work."""
         with self._lock:
             self._stalled = frozenset(self._sockets)
 
     def release(self) -> None:
-        """Pass on what was kept back."""
+        """Send the held data on and remove all delays."""
         self.delay_s = 0.0
-        self._open.set()
-        self._requests_open.set()
+        self._responses_released.set()
+        self._requests_released.set()
         unstalled, self._unstalled = self._unstalled, threading.Event()
         self._stalled = frozenset()
         unstalled.set()
 
     def reset_connections(self) -> None:
-        """Reset the connections that stand; new ones pass unless ``refuse`` is set."""
+        """Reset the open connections; new ones work unless ``refuse`` is set."""
         with self._lock:
             sockets, self._sockets = self._sockets, set()
-        for each in sockets:
-            _reset(each)
+        for connection in sockets:
+            _reset(connection)
 
     def close(self) -> None:
-        """End all connections and take no more."""
+        """Reset all connections and accept no more."""
         self.release()
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
@@ -104,38 +104,38 @@
                 continue
             with self._lock:
                 self._sockets |= {client, server}
-            threading.Thread(target=self._pass, args=(client, server, False), daemon=True).start()
-            threading.Thread(target=self._pass, args=(server, client, True), daemon=True).start()
+            threading.Thread(target=self._relay, args=(client, server, False), daemon=True).start()
+            threading.Thread(target=self._relay, args=(server, client, True), daemon=True).start()
 
-    def _pass(self, source: socket.socket, sink: socket.socket, is_answer: bool) -> None:
+    def _relay(self, source: socket.socket, sink: socket.socket, is_response: bool) -> None:
         try:
-            while piece := source.recv(_PIECE_BYTES):
+            while data := source.recv(_READ_BYTES):
                 unstalled = self._unstalled
                 if source in self._stalled:
                     unstalled.wait()
-                if is_answer and not self._open.is_set():
+                if is_response and not self._responses_released.is_set():
                     self.responses_held += 1
-                    self._open.wait()
-                if not is_answer:
-                    self._requests_open.wait()
+                    self._responses_released.wait()
+                if not is_response:
+                    self._requests_released.wait()
                 if self.delay_s:
                     time.sleep(self.delay_s)
-                sink.sendall(piece)
+                sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
             _reset(sink)
 
 
 class TcpProxies:
-    """The pass-throughs of one site, made when the site asks for a route.
+    """The proxies of one site, created when the site asks for a route.
 
-    :param names: the processes before which one is put.
+    :param names: the processes that get a proxy.
     """
 
     def __init__(self, *names: str) -> None:
         self._names = frozenset(names)
         self.link_by_name: dict[str, TcpProxy] = {}
-        self._moved: set[str] = set()
+        self._retargeted: set[str] = set()
 
     def route(self, name: str, address: str) -> str:
         """Return the address under which a process is reached."""
@@ -143,28 +143,28 @@
             return address
         if name not in self.link_by_name:
             self.link_by_name[name] = TcpProxy(address)
-        elif name in self._moved:
-            self._moved.discard(name)
+        elif name in self._retargeted:
+            self._retargeted.discard(name)
             self.link_by_name[name].retarget(address)
         return self.link_by_name[name].address
 
     def retarget(self, name: str) -> None:
-        """Have the next route to a process lead to its new address."""
-        self._moved.add(name)
+        """Make the next call of :meth:`route` for a process use its new address."""
+        self._retargeted.add(name)
 
     def __getitem__(self, name: str) -> TcpProxy:
-        """Return the link before a process."""
+        """Return the proxy of a process."""
         return self.link_by_name[name]
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all proxies."""
         for link in self.link_by_name.values():
             link.close()
 
 
 def _reset(connection: socket.socket) -> None:
     with contextlib.suppress(OSError):
-        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NONE)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     with contextlib.suppress(OSError):
         connection.shutdown(socket.SHUT_RDWR)
     connection.close()
--- a/tests/localsite/test_routedsite.py
+++ b/tests/localsite/test_routedsite.py
@@ -1,12 +1,12 @@
-"""What a local site gives to its processes."""
+"""Ports that a local site allocates to its processes."""
 
 import random
 
 from hornbeamglade.localsite import routedsite
 
 
-def test_no_port_is_given_out_twice(monkeypatch):
-    """Two instances were told the same port, and the second one ended at its start."""
+def test_no_port_is_allocated_twice(monkeypatch):
+    """Two instances got the same port, and the second one failed to start."""
     drawn = iter([21_001, 21_001, 21_002, 21_001, 21_003])
     monkeypatch.setattr(random, "randrange", lambda *_: next(drawn))
     monkeypatch.setattr(routedsite, "_is_free", lambda *_: True)
