--- a/hornbeamglade/standins/engine.py
+++ b/hornbeamglade/standins/engine.py
@@ -3,13 +3,13 @@
 Explanation
 ===========
 
-It speaks the protocol of ``docs/PROTOCOLS.md`` and steps the model of
-:mod:`hornbeamglade.emulator.enginemodel` in real time. Besides, it has
+It implements the protocol of ``docs/PROTOCOLS.md`` and steps the model of
+:mod:`hornbeamglade.emulator.enginemodel` in real time. In addition it serves
 ``GET /standin/ledger`` (every generation that was run) and ``PUT /standin/faults``
 (:class:`hornbeamglade.standins.enginesettings.EngineFaults`).
 
-A connection that its peer closed in order cancels the generation; one that was
-reset, or that a fault of this stand-in closed, may be resumed.
+When the peer closes its connection cleanly, the generation is cancelled. After a reset,
+or after a fault of this stand-in closed the connection, the stream may be resumed.
 """
 
 import collections.abc
@@ -34,7 +34,7 @@
 
 
 def serve(settings: EngineSettings) -> httpserver.Server:
-    """Make a server; it accepts requests after its ``start()``."""
+    """Create a server; it accepts requests after its ``start()``."""
     generations = enginegenerations.Generations(settings)
     return httpserver.Server(
         settings.bind,
@@ -66,7 +66,7 @@
 
 
 class _Engine:
-    """The engine's routes."""
+    """The HTTP routes of the engine."""
 
     def __init__(
         self, settings: EngineSettings, generations: enginegenerations.Generations
@@ -80,19 +80,19 @@
             ("GET", "/health"): lambda _: httpserver.json_response(200, {"ok": True}),
             ("GET", "/load"): self._load,
             ("GET", "/cache-events"): self._cache_events,
-            ("GET", "/orders"): lambda _: self._orders_answer(),
+            ("GET", "/orders"): lambda _: self._orders_response(),
             ("POST", "/orders"): self._order,
             ("GET", "/standin/ledger"): self._ledger,
             ("PUT", "/standin/faults"): self._set_faults,
         }
 
     def handle(self, request: httpserver.Request) -> httpserver.Response | None:
-        """Answer one request."""
+        """Handle one request."""
         if request.method == "POST" and request.path in _GENERATION_PATHS:
             return self._echo_id(request, self._generate(request))
         if request.path.startswith(_STREAMS):
-            answer = self._stream(request, request.path.removeprefix(_STREAMS))
-            return self._echo_id(request, answer)
+            response = self._stream(request, request.path.removeprefix(_STREAMS))
+            return self._echo_id(request, response)
         handler = self._handler_by_route.get((request.method, request.path))
         if handler is None:
             return _error(404, "not_found", f"there is no {request.method} {request.path}")
@@ -102,30 +102,30 @@
         faults = self._generations.faults
         if faults.refuse:
             self._generations.refused += 1
-            answer = {"error": {"code": "engine_refuses", "message": "not run"}}
-            return httpserver.json_response(503, answer, (("X-Not-Run", "true"),))
+            response = {"error": {"code": "engine_refuses", "message": "not run"}}
+            return httpserver.json_response(503, response, (("X-Not-Run", "true"),))
         if self._settings.crash_on and self._settings.crash_on.encode() in request.body:
             os._exit(CRASHED)
         request_id = request.headers.get("x-request-id", "")
         try:
-            asked = engineresponses.parse(request.path, request.body, self._settings.seed)
-            if asked.model not in (*self._present.models, *self._present.adapters):
-                return _error(404, "model_not_found", f"{asked.model} isn't loaded")
-            mark = engineresponses.marker(request_id, asked.prompt, self._settings.seed)
+            generation = engineresponses.parse(request.path, request.body, self._settings.seed)
+            if generation.model not in (*self._present.models, *self._present.adapters):
+                return _error(404, "model_not_found", f"{generation.model} isn't loaded")
+            mark = engineresponses.marker(request_id, generation.prompt, self._settings.seed)
             key = request.headers.get("idempotency-key")
-            run = enginegenerations.Run(request_id, key, request.path, asked, mark)
+            run = enginegenerations.Run(request_id, key, request.path, generation, mark)
             self._generations.submit(run, int(request.headers.get("x-priority", "0")))
         except codederrors.CodedError as error:
             return _error(400, error.code, error.detail)
         return self._stream_answer(request, run, 0)
 
     def _echo_id(
-        self, request: httpserver.Request, answer: httpserver.Response
+        self, request: httpserver.Request, response: httpserver.Response
     ) -> httpserver.Response:
         request_id = request.headers.get("x-request-id", "")
         crossed = self._generations.faults.wrong_request_id
         echoed = f"crossed-{request_id}" if crossed else request_id
-        return dataclasses.replace(answer, headers=(*answer.headers, ("X-Request-Id", echoed)))
+        return dataclasses.replace(response, headers=(*response.headers, ("X-Request-Id", echoed)))
 
     def _stream(self, request: httpserver.Request, request_id: str) -> httpserver.Response:
         if request.method == "DELETE":
@@ -152,7 +152,7 @@
             return None
         sample, age_s = self._generations.lagging_load()
         load = sample.load
-        answer = {
+        response = {
             "sequence": sample.sequence,
             "age_s": age_s,
             "capacity_tokens": load.capacity_tokens,
@@ -163,16 +163,16 @@
             "leaving": faults.leaving,
             "models": self._present.models,
         }
-        return httpserver.json_response(200, answer)
+        return httpserver.json_response(200, response)
 
     def _cache_events(self, request: httpserver.Request) -> httpserver.Response:
         after = int(request.query_by_name.get("after", "0"))
         events = self._generations.cache_events(after)
-        answer = {
+        response = {
             "events": [{"sequence": e.sequence, "kind": e.kind, "block": e.block} for e in events],
             "next": events[-1].sequence if events else after,
         }
-        return httpserver.json_response(200, answer)
+        return httpserver.json_response(200, response)
 
     def _order(self, request: httpserver.Request) -> httpserver.Response:
         try:
@@ -184,9 +184,9 @@
         self._newest_fencing = max(self._newest_fencing, order.fencing)
         self._present = order.wanted
         self._orders.append(order)
-        return self._orders_answer()
+        return self._orders_response()
 
-    def _orders_answer(self) -> httpserver.Response:
+    def _orders_response(self) -> httpserver.Response:
         return httpserver.json_response(200, {"present": self._present.model_dump()})
 
     def _set_faults(self, request: httpserver.Request) -> httpserver.Response:
@@ -210,12 +210,12 @@
             }
             for entry in self._generations.ledger()
         ]
-        answer = {
+        response = {
             "runs": runs,
             "refused": self._generations.refused,
             "orders": [order.model_dump() for order in self._orders],
         }
-        return httpserver.json_response(200, answer)
+        return httpserver.json_response(200, response)
 
 
 def _events(
@@ -225,13 +225,13 @@
     connection: socket.socket,
     keep_alive_s: float,
 ) -> collections.abc.Iterator[bytes]:
-    """Write a generation's events to one connection until either ends."""
+    """Yield a generation's events for one connection until either of them ends."""
     wake = generations.attach(run)
     encoder = engineresponses.EventEncoder(run.generation, run.request_id, run.mark)
     watcher = select.poll()
     watcher.register(connection, select.POLLRDHUP)
     sent = first_offset
-    hold = True
+    is_resumable = True
     try:
         if not generations.faults.stall:
             yield engineresponses.KEEP_ALIVE
@@ -240,7 +240,7 @@
             if run.wake is not wake or generations.stopping:
                 break
             if watcher.poll(0):
-                hold = _was_reset(connection)
+                is_resumable = _was_reset(connection)
                 break
             if generations.faults.stall:
                 continue
@@ -261,7 +261,7 @@
                 return
         httpserver.close_connection(connection)
     finally:
-        generations.detach(run, wake, hold)
+        generations.detach(run, wake, is_resumable)
 
 
 def _wait(wake: queue.SimpleQueue[None], timeout_s: float) -> bool:
@@ -273,9 +273,9 @@
 
 
 def _was_reset(connection: socket.socket) -> bool:
-    """Tell a connection that was reset from one that was closed in order.
+    """Return whether a connection was reset rather than closed cleanly.
 
-    A peer that closes while a token is on its way to it answers that with a reset.
-    Linux tells the two apart: a reset after an end in order is EPIPE.
+    A peer that closes while a token is in flight replies to the token with a reset.
+    Linux distinguishes the two cases: a reset after a clean close is EPIPE.
     """
     return connection.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == errno.ECONNRESET
--- a/hornbeamglade/standins/enginegenerations.py
+++ b/hornbeamglade/standins/enginegenerations.py
@@ -1,4 +1,4 @@
-"""The generations of a stand-in engine: the modelled engine stepped in real time."""
+"""The generations of a stand-in engine: the engine model, stepped in real time."""
 
 import collections
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 class RunState(enum.Enum):
-    """Where a generation stands."""
+    """The state of a generation."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -26,10 +26,10 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Run:
-    """One generation that the engine took on; a line of the ledger.
+    """One generation that the engine accepted; an entry of the ledger.
 
-    :param wake: gets an item whenever there is something new for the connection
-        that the stream is attached to; another queue after a resume.
+    :param wake: receives an item whenever there is something to send on the connection
+        that the stream is attached to; replaced by a new queue on a resume.
     :param lost_at: when the connection was lost, or None while there is one.
     """
 
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadSample:
-    """The load at one time."""
+    """The engine's load at one time."""
 
     sequence: int
     taken_at: float
@@ -55,9 +55,9 @@
 
 
 class Generations:
-    """Runs generations and tells their connections of new tokens.
+    """Runs generations and notifies their connections of new tokens.
 
-    :param settings: how the engine behaves.
+    :param settings: the engine's settings.
     """
 
     def __init__(self, settings: enginesettings.EngineSettings) -> None:
@@ -83,15 +83,15 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether connections are to be closed."""
+        """Whether the engine is stopping and connections have to be closed."""
         return self._stopping.is_set()
 
     def start(self) -> None:
-        """Start to step."""
+        """Start to step the model."""
         self._ticker.start()
 
     def stop(self) -> None:
-        """Stop to step and wake every connection, which then closes."""
+        """Stop the model and wake all connections, which then close."""
         self._stopping.set()
         if self._ticker.is_alive():
             self._ticker.join()
@@ -99,21 +99,21 @@
             self._wake_all()
 
     def set_faults(self, faults: enginesettings.EngineFaults) -> None:
-        """Replace the faults."""
+        """Set the active faults."""
         with self._lock:
             self.faults = faults
             self._model.slow_factor = faults.slow
             self._wake_all()
 
     def submit(self, run: Run, priority: int) -> None:
-        """Take on a generation.
+        """Accept a generation.
 
-        :raises CodedError: when the engine can't hold it or has its id already.
+        :raises CodedError: when it doesn't fit into the memory or its id is in use.
         """
-        asked = run.generation
-        prefix = self._settings.prefix_hashes(asked.prompt)
+        generation = run.generation
+        prefix = self._settings.prefix_hashes(generation.prompt)
         sequence = enginemodel.Sequence(
-            run.request_id, asked.prompt_tokens, asked.answer_tokens, priority, prefix
+            run.request_id, generation.prompt_tokens, generation.answer_tokens, priority, prefix
         )
         with self._lock:
             self._model.submit(sequence)
@@ -121,7 +121,7 @@
             self._ledger.append(run)
 
     def attach(self, run: Run) -> queue.SimpleQueue[None]:
-        """Attach a new connection; the one before closes."""
+        """Attach a new connection; the previous one closes."""
         with self._lock:
             previous = run.wake
             run.wake = queue.SimpleQueue()
@@ -130,25 +130,25 @@
             previous.put(None)
             return run.wake
 
-    def detach(self, run: Run, wake: queue.SimpleQueue[None], hold: bool) -> None:
-        """Note that an attached connection is gone.
+    def detach(self, run: Run, wake: queue.SimpleQueue[None], is_resumable: bool) -> None:
+        """Record that an attached connection was lost.
 
-        :param hold: whether the stream may be resumed; else it is cancelled.
+        :param is_resumable: whether the stream may be resumed; otherwise it is cancelled.
         """
         with self._lock:
             if run.wake is not wake:
                 return
             run.lost_at = time.monotonic()
-            if not hold or not self._settings.resume:
+            if not is_resumable or not self._settings.resume:
                 self._drop(run)
 
     def find(self, request_id: str) -> Run | None:
-        """Return a generation that is attached or may be resumed."""
+        """Return a generation that has a connection or may be resumed."""
         with self._lock:
             return self._run_by_id.get(request_id)
 
     def cancel(self, request_id: str) -> bool:
-        """Cancel a generation; False when there is none."""
+        """Cancel a generation; return False when there is none with this id."""
         with self._lock:
             run = self._run_by_id.get(request_id)
             if run is None:
@@ -158,12 +158,12 @@
             return True
 
     def ledger(self) -> tuple[Run, ...]:
-        """Return every generation that was ever taken on, oldest first."""
+        """Return all accepted generations, oldest first."""
         with self._lock:
             return tuple(self._ledger)
 
     def lagging_load(self) -> tuple[LoadSample, float]:
-        """Return the load as it was the set lag ago, and its age in seconds."""
+        """Return the load of ``load_lag_s`` ago, and its age in seconds."""
         with self._lock:
             self._sample()
             now = time.monotonic()
@@ -176,8 +176,8 @@
             return chosen, now - chosen.taken_at
 
     def cache_events(self, after: int) -> tuple[prefixcache.CacheEvent, ...]:
-        """Return events with a larger sequence number, late and with gaps."""
-        every = self._settings.event_drop_every
+        """Return the events after a sequence number, with the configured delay and gaps."""
+        drop_every = self._settings.event_drop_every
         with self._lock:
             self._collect_events()
             newest_allowed = time.monotonic() - self._settings.event_lag_s
@@ -186,7 +186,7 @@
                 for at, event in self._events
                 if event.sequence > after
                 and at <= newest_allowed
-                and not (every and event.sequence % every == 0)
+                and not (drop_every and event.sequence % drop_every == 0)
             )
 
     def _drop(self, run: Run) -> None:
@@ -204,8 +204,8 @@
         due = time.monotonic()
         while not self._stopping.is_set():
             step_s = self._tick()
-            # A tick that is late by more than a step isn't made up for: an engine
-            # that was paused doesn't decode faster afterwards.
+            # Lost time is not caught up: an engine that was paused doesn't decode
+            # faster afterwards.
             due = max(due + step_s, time.monotonic())
             self._stopping.wait(due - time.monotonic())
 
@@ -215,12 +215,12 @@
             if not self._samples or time.monotonic() - self._samples[-1].taken_at > _IDLE_TICK_S:
                 self._sample()
                 self._collect_events()
-                self._forget_lost()
+                self._drop_expired()
             if not load.running and not load.waiting:
                 return min(_IDLE_TICK_S, self._settings.step_s)
             result = self._model.step()
-            # The end of a generation is noted before its connection is woken: woken
-            # first, it could miss the end and sleep until the next keep-alive.
+            # Record the end of a generation before its connection is woken: otherwise
+            # it could miss the end and sleep until the next keep-alive.
             for request_id in result.finished:
                 run = self._run_by_id[request_id]
                 run.state = RunState.FINISHED
@@ -241,7 +241,7 @@
         now = time.monotonic()
         self._events.extend((now, event) for event in self._model.drain_cache_events())
 
-    def _forget_lost(self) -> None:
+    def _drop_expired(self) -> None:
         oldest_kept = time.monotonic() - self._settings.resume_s
         for run in tuple(self._run_by_id.values()):
             if run.lost_at is not None and run.lost_at < oldest_kept:
--- a/hornbeamglade/standins/engineresponses.py
+++ b/hornbeamglade/standins/engineresponses.py
@@ -1,10 +1,10 @@
-"""What a stand-in engine answers: lengths, tokens and the bytes of events.
+"""Responses of a stand-in engine: their lengths, tokens and encoded events.
 
 Explanation
 ===========
 
-A token's text names the attempt that produced it and the token's offset, so that
-a caller's text shows a splice of two generations, a gap and a repetition.
+The text of a token contains the attempt that produced it and the token's offset, so that
+a splice of two generations, a gap or a repetition is visible in the text that a caller gets.
 """
 
 import dataclasses
@@ -20,7 +20,7 @@
 CHAT_PATH = "/v1/chat/completions"
 _MEDIAN_TOKENS = 100
 _SIGMA = 1.0
-_LONGEST_ANSWER = 4_000
+_MAX_TOKENS = 4_000
 _BYTES_PER_TOKEN = 4
 
 
@@ -39,12 +39,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Generation:
-    """What was asked for, and the answer's true length.
+    """A parsed generation request and the true length of its response.
 
-    :param chat: whether chunks have the shape of chat completions.
+    :param chat: whether chunks have the format of chat completions.
     :param prompt: the text of the prompt.
-    :param answer_tokens: tokens that the engine is going to produce.
-    :param finish_reason: ``stop``, or ``length`` when ``max_tokens`` cuts the answer.
+    :param answer_tokens: number of tokens that the engine will produce.
+    :param finish_reason: ``stop``, or ``length`` when ``max_tokens`` truncates the response.
     """
 
     model: str
@@ -56,31 +56,31 @@
 
 
 def parse(path: str, body: bytes, seed: int) -> Generation:
-    """Read a request's body.
+    """Parse the body of a request.
 
-    :raises CodedError: when the body isn't valid or doesn't ask for a stream.
+    :raises CodedError: when the body isn't valid or doesn't request a stream.
     """
     try:
-        asked = _Body.model_validate_json(body)
+        body_fields = _Body.model_validate_json(body)
     except pydantic.ValidationError as error:
         raise codederrors.CodedError("body_invalid", str(error)) from error
-    if not asked.stream:
+    if not body_fields.stream:
         raise codederrors.CodedError("stream_required", "only streams are served")
-    prompt = asked.prompt or "\n".join(m.content for m in asked.messages)
-    true_length = asked.x_answer_tokens or true_answer_tokens(prompt, seed)
-    bound = asked.max_tokens or true_length
+    prompt = body_fields.prompt or "\n".join(m.content for m in body_fields.messages)
+    true_length = body_fields.x_answer_tokens or true_answer_tokens(prompt, seed)
+    limit = body_fields.max_tokens or true_length
     return Generation(
-        asked.model,
+        body_fields.model,
         path == CHAT_PATH,
         prompt,
         max(1, -(-len(prompt.encode()) // _BYTES_PER_TOKEN)),
-        min(true_length, bound),
-        "length" if bound < true_length else "stop",
+        min(true_length, limit),
+        "length" if limit < true_length else "stop",
     )
 
 
 def true_answer_tokens(prompt: str, seed: int) -> int:
-    """Draw the true length of the answer to a prompt, always the same one.
+    """Return the true length of the response to a prompt: random, but fixed per prompt and seed.
 
     Examples
     ========
@@ -90,11 +90,11 @@
     """
     generator = random.Random(f"{seed}/{prompt}")
     length = int(_MEDIAN_TOKENS * generator.lognormvariate(0.0, _SIGMA))
-    return max(1, min(length, _LONGEST_ANSWER))
+    return max(1, min(length, _MAX_TOKENS))
 
 
 def marker(request_id: str, prompt: str, seed: int) -> str:
-    """Return the short id of an attempt that its tokens carry."""
+    """Return the short attempt id that is part of each token's text."""
     text = f"{seed}/{request_id}/{prompt}"
     return hashlib.blake2s(text.encode(), digest_size=4).hexdigest()
 
@@ -112,10 +112,10 @@
 
 
 class EventEncoder:
-    """Encodes the events of one stream; everything but the offset is encoded once.
+    """Encodes the events of one stream; everything but the offset is encoded only once.
 
-    :param request_id: becomes the chunks' ``id``.
-    :param mark: what :func:`marker` gave.
+    :param request_id: the ``id`` of the chunks.
+    :param mark: the result of :func:`marker`.
     """
 
     __slots__ = ("_generation", "_request_id", "_token_template")
@@ -163,5 +163,5 @@
 
 
 def error_event(code: str, message: str) -> bytes:
-    """Encode the event of an engine that fails midway."""
+    """Encode the event that reports an error in the middle of a stream."""
     return f"data: {json.dumps({'error': {'code': code, 'message': message}})}\n\n".encode()
--- a/hornbeamglade/standins/enginesettings.py
+++ b/hornbeamglade/standins/enginesettings.py
@@ -12,26 +12,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """How a stand-in engine behaves.
+    """Settings of a stand-in engine.
 
-    :param bind: ``ip:port``; port 0 takes any free one.
+    :param bind: ``ip:port``; port 0 selects a free port.
     :param capacity_tokens: memory, in tokens.
     :param step_s: seconds between the tokens of a stream.
-    :param max_running: bound on sequences that hold memory.
-    :param prefill_tokens_per_step: prompt tokens computed a step.
+    :param max_running: maximum number of sequences that hold memory.
+    :param prefill_tokens_per_step: prompt tokens computed per step.
     :param load_lag_s: age of the state that ``GET /load`` reports, in seconds.
-    :param event_lag_s: age from which cache events are reported, in seconds.
-    :param event_drop_every: leaves out each cache event whose sequence number this
-        divides; 0 leaves out none.
+    :param event_lag_s: delay with which cache events are reported, in seconds.
+    :param event_drop_every: omits every cache event whose sequence number is a multiple
+        of this; 0 omits none.
     :param checks_fencing: whether an order with an old fencing number is refused.
-    :param resume: whether a stream outlives a lost connection.
-    :param resume_s: for how long, in seconds.
-    :param keep_alive_s: seconds without a token until a comment is sent.
-    :param models: names of the models present at the start.
-    :param seed: enters the true lengths of answers and the markers of tokens.
-    :param threads: bound on requests at once.
-    :param prefix_hashes: hashes of a prompt's leading blocks.
-    :param crash_on: a request whose body holds this text ends the process; empty for none.
+    :param resume: whether a stream survives a lost connection.
+    :param resume_s: how long it can be resumed, in seconds.
+    :param keep_alive_s: seconds without a token until a keep-alive comment is sent.
+    :param models: names of the models loaded at the start.
+    :param seed: determines the true lengths of responses and the marks of tokens.
+    :param threads: maximum number of concurrent requests.
+    :param prefix_hashes: returns the hashes of a prompt's leading blocks.
+    :param crash_on: a request whose body contains this text ends the process; empty for none.
     """
 
     bind: str = "127.0.0.1:0"
@@ -54,14 +54,14 @@
 
 
 class EngineFaults(pydantic.BaseModel):
-    """The body of ``PUT /standin/faults``; a fault that is left out is off.
+    """The body of ``PUT /standin/faults``; omitted faults are off.
 
-    :param refuse: answer 503 with ``X-Not-Run`` without running the request.
-    :param die_after_tokens: close a stream's connection after so many tokens.
-    :param stall: write nothing, not even keep-alives, and keep connections open.
+    :param refuse: respond 503 with ``X-Not-Run`` without running the request.
+    :param die_after_tokens: close a stream's connection after this many tokens.
+    :param stall: send nothing, not even keep-alives, and keep connections open.
     :param slow: multiplies the duration of steps.
-    :param wrong_request_id: answer with another request's id.
-    :param mute_load: close the connection of ``GET /load`` unanswered.
+    :param wrong_request_id: respond with another request's id.
+    :param mute_load: close the connection of ``GET /load`` without a response.
     :param leaving: report that the engine is leaving.
     """
 
--- a/hornbeamglade/standins/httpserver.py
+++ b/hornbeamglade/standins/httpserver.py
@@ -1,4 +1,4 @@
-"""The small HTTP server that the backend stand-ins share."""
+"""Small HTTP server shared by the backend stand-ins."""
 
 import collections.abc
 import dataclasses
@@ -20,10 +20,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One request.
+    """One HTTP request.
 
-    :param headers: by lower-case name.
-    :param connection: the socket, for faults that break it.
+    :param headers: header values by lower-case name.
+    :param connection: the socket, for faults that break the connection.
     """
 
     method: str
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """One answer; a body that is no ``bytes`` is sent in chunks as it comes."""
+    """One response; an iterator as body is sent in chunks as it yields."""
 
     status: int
     body: bytes | collections.abc.Iterator[bytes]
@@ -50,12 +50,12 @@
 def json_response(
     status: int, value: object, headers: tuple[tuple[str, str], ...] = ()
 ) -> Response:
-    """Make an answer with a JSON body."""
+    """Create a response with a JSON body."""
     return Response(status, json.dumps(value).encode(), headers)
 
 
 def close_connection(connection: socket.socket) -> None:
-    """Break a connection at once; the peer sees an early end."""
+    """Close a connection immediately; the peer sees an early end."""
     try:
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
@@ -63,13 +63,13 @@
 
 
 class Server:
-    """Serve a handler on a thread for each connection in use.
+    """Serves a handler with one thread per active connection.
 
-    :param bind: ``ip:port``; port 0 takes any free one.
-    :param handler: answers requests; None closes the connection unanswered.
-    :param threads: bound on requests at once.
+    :param bind: ``ip:port``; port 0 selects a free port.
+    :param handler: handles requests; None closes the connection without a response.
+    :param threads: maximum number of concurrent requests.
     :param on_start: called before the first request is accepted.
-    :param on_stop: called before the threads are joined; ends long answers.
+    :param on_stop: called before the threads are joined; must end long responses.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         self._thread = threading.Thread(target=self._server.serve, daemon=True)
 
     def start(self) -> None:
-        """Accept requests, on threads of its own."""
+        """Start to accept requests in background threads."""
         self._on_start()
         self._thread.start()
 
@@ -116,7 +116,7 @@
 
 
 def run_until_terminated(server: Server) -> None:
-    """Serve until SIGTERM or SIGINT; for the main thread only."""
+    """Serve until SIGTERM or SIGINT; call it from the main thread only."""
     terminated = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: terminated.set())
@@ -127,7 +127,7 @@
 
 
 class _Gateway(cheroot.wsgi.Gateway_10):
-    """Hands the connection to the application."""
+    """Passes the connection's socket to the application."""
 
     def get_environ(self) -> dict[str, typing.Any]:
         environ = super().get_environ()
@@ -136,7 +136,7 @@
 
 
 class _Application:
-    """Turns WSGI calls into :class:`Request` and :class:`Response`."""
+    """WSGI application that maps to :class:`Request` and :class:`Response`."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
@@ -145,17 +145,17 @@
         self, environ: dict[str, typing.Any], start_response: typing.Any
     ) -> collections.abc.Iterable[bytes]:
         request = _request(environ)
-        answer = self._handler(request)
-        if answer is None:
+        response = self._handler(request)
+        if response is None:
             close_connection(request.connection)
-            answer = Response(500, b"")
-        headers = [("Content-Type", answer.content_type), *answer.headers]
-        body = answer.body
+            response = Response(500, b"")
+        headers = [("Content-Type", response.content_type), *response.headers]
+        body = response.body
         if isinstance(body, bytes):
             headers.append(("Content-Length", str(len(body))))
             body = [body]
-        phrase = http.HTTPStatus(answer.status).phrase
-        start_response(f"{answer.status} {phrase}", headers)
+        phrase = http.HTTPStatus(response.status).phrase
+        start_response(f"{response.status} {phrase}", headers)
         return body
 
 
--- a/hornbeamglade/standins/operatordocuments.py
+++ b/hornbeamglade/standins/operatordocuments.py
@@ -1,4 +1,4 @@
-"""What an operator writes to the platform: the manifest, and servers' entries in the list."""
+"""Documents that an operator writes to the platform: the manifest and replica list entries."""
 
 import collections.abc
 import dataclasses
@@ -15,13 +15,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteSettings:
-    """What the manifest says of one route.
+    """The settings of one route in the manifest.
 
-    :param kind: the platform's word for what may be repeated.
-    :param service: where its requests go.
-    :param max_attempts: replicas that one request may be sent to.
-    :param is_resumable: whether a stream may go on in another run.
-    :param timeout_ms: the longest that a request is kept waiting.
+    :param kind: the platform's route kind, which says what may be retried.
+    :param service: the service that its requests are routed to.
+    :param max_attempts: maximum number of replicas that one request may be sent to.
+    :param is_resumable: whether a stream may be continued by another run.
+    :param timeout_ms: the longest time that a request may wait.
     """
 
     kind: str
@@ -46,8 +46,8 @@
 ) -> str:
     """Return a manifest as JSON.
 
-    :param version: larger than that of all before.
-    :param keys_by_team: the keys that each team holds.
+    :param version: must be larger than those of earlier manifests.
+    :param keys_by_team: the API keys of each team.
     :param terms_by_route: routes by name; a route's prefix is its name.
     """
     engine = {
@@ -62,7 +62,7 @@
     }
     document = {
         "version": version,
-        "routes": [_route(name, terms) for name, terms in settings_by_route.items()],
+        "routes": [_route(name, settings) for name, settings in settings_by_route.items()],
         "services": [
             _service(ENGINE_SERVICE) | {"engine": engine},
             _service(PLAIN_SERVICE),
@@ -86,11 +86,11 @@
     is_leaving: bool = False,
     born: int | None = None,
 ) -> str:
-    """Return a server's entry in the platform's list as JSON.
+    """Return a server's entry in the platform's replica list as JSON.
 
-    :param born: Unix milliseconds of its start, or None where the platform tells none.
+    :param born: its start time in Unix milliseconds, or None when the platform gives none.
     """
-    told = {
+    fields = {
         "service": service,
         "address": address,
         "zone": failure_domain,
@@ -100,21 +100,21 @@
         "cold_remaining_ms": 0,
         "sequence": 1,
     }
-    return json.dumps(told if born is None else told | {"born": born})
+    return json.dumps(fields if born is None else fields | {"born": born})
 
 
-def _route(name: str, terms: RouteSettings) -> dict[str, object]:
+def _route(name: str, settings: RouteSettings) -> dict[str, object]:
     return {
         "name": name,
         "host": HOST,
         "prefix": f"/{name}/",
-        "route_kind": terms.kind,
-        "timeout_ms": terms.timeout_ms,
+        "route_kind": settings.kind,
+        "timeout_ms": settings.timeout_ms,
         "goal_ms": 5000,
         "priority": 1,
-        "service": terms.service,
-        "max_attempts": terms.max_attempts,
-        "resumable": terms.is_resumable,
+        "service": settings.service,
+        "max_attempts": settings.max_attempts,
+        "resumable": settings.is_resumable,
     }
 
 
--- a/hornbeamglade/standins/plainservice.py
+++ b/hornbeamglade/standins/plainservice.py
@@ -3,8 +3,8 @@
 Explanation
 ===========
 
-Any method under any path is run and counted by idempotency key and request id;
-``GET /standin/ledger`` shows every run, ``PUT /standin/faults`` takes
+Requests with any method and path are run and counted by idempotency key and request id;
+``GET /standin/ledger`` returns every run, ``PUT /standin/faults`` sets
 :class:`PlainFaults`.
 """
 
@@ -22,10 +22,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainSettings:
-    """How a stand-in service behaves.
+    """Settings of a stand-in service.
 
-    :param bind: ``ip:port``; port 0 takes any free one.
-    :param threads: bound on requests at once.
+    :param bind: ``ip:port``; port 0 selects a free port.
+    :param threads: maximum number of concurrent requests.
     """
 
     bind: str = "127.0.0.1:0"
@@ -33,12 +33,12 @@
 
 
 class PlainFaults(pydantic.BaseModel):
-    """The body of ``PUT /standin/faults``; a fault that is left out is off.
+    """The body of ``PUT /standin/faults``; omitted faults are off.
 
-    :param delay_s: seconds between running a request and answering it.
-    :param lose_answers: run the request, then close the connection unanswered.
-    :param refuse: answer 503 with ``X-Not-Run`` without running the request.
-    :param wrong_request_id: answer with another request's id.
+    :param delay_s: seconds between running a request and the response.
+    :param lose_answers: run the request, then close the connection without a response.
+    :param refuse: respond 503 with ``X-Not-Run`` without running the request.
+    :param wrong_request_id: respond with another request's id.
     :param leaving: report that the service is leaving.
     """
 
@@ -52,7 +52,7 @@
 
 
 def serve(settings: PlainSettings) -> httpserver.Server:
-    """Make a server; it accepts requests after its ``start()``."""
+    """Create a server; it accepts requests after its ``start()``."""
     return httpserver.Server(settings.bind, _Service().handle, settings.threads)
 
 
@@ -62,7 +62,7 @@
 
 
 class _Service:
-    """The service's routes and its ledger."""
+    """The HTTP routes and the ledger of the service."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -81,7 +81,7 @@
         }
 
     def handle(self, request: httpserver.Request) -> httpserver.Response | None:
-        """Answer one request."""
+        """Handle one request."""
         handler = self._handler_by_route.get((request.method, request.path), self._call)
         return handler(request)
 
@@ -94,14 +94,14 @@
                 self._refused += 1
             headers = (("X-Not-Run", "true"), ("X-Request-Id", echoed))
             return httpserver.json_response(503, {"error": {"code": "refused"}}, headers)
-        answer = self._count(request, request_id)
+        response = self._count(request, request_id)
         if faults.delay_s:
             time.sleep(faults.delay_s)
         with self._lock:
             self._running -= 1
         if faults.lose_answers:
             return None
-        return httpserver.json_response(200, answer, (("X-Request-Id", echoed),))
+        return httpserver.json_response(200, response, (("X-Request-Id", echoed),))
 
     def _count(self, request: httpserver.Request, request_id: str) -> dict[str, object]:
         key = request.headers.get("idempotency-key")
@@ -128,23 +128,23 @@
     def _load(self, _: httpserver.Request) -> httpserver.Response:
         with self._lock:
             self._load_sequence += 1
-            answer = {
+            response = {
                 "sequence": self._load_sequence,
                 "age_s": 0.0,
                 "running": self._running,
                 "leaving": self._faults.leaving,
             }
-        return httpserver.json_response(200, answer)
+        return httpserver.json_response(200, response)
 
     def _ledger(self, _: httpserver.Request) -> httpserver.Response:
         with self._lock:
-            answer = {
+            response = {
                 "runs": list(self._runs),
                 "count_by_key": dict(self._count_by_key),
                 "count_by_request_id": dict(self._count_by_request_id),
                 "refused": self._refused,
             }
-        return httpserver.json_response(200, answer)
+        return httpserver.json_response(200, response)
 
     def _set_faults(self, request: httpserver.Request) -> httpserver.Response:
         try:
--- a/hornbeamglade/standins/platform.py
+++ b/hornbeamglade/standins/platform.py
@@ -3,10 +3,10 @@
 Explanation
 ===========
 
-It speaks the protocol of the platform's metadata store. Beside it, tests and the demo
-have ``PUT /standin/instances`` and ``PUT /standin/faults``, which work also while it is
-told to be down. A write whose answer is to be lost takes effect, then the connection is
-closed without a byte.
+It implements the protocol of the platform's metadata store. For tests and the demo it also
+has ``PUT /standin/instances`` and ``PUT /standin/faults``, which work even while the platform
+is set to be down. A write with the fault ``lose_answers`` takes effect, then the connection
+is closed without a response.
 """
 
 import collections.abc
@@ -25,14 +25,14 @@
 from hornbeamglade.store import contract, memory, positions
 
 THREADS = 32
-KEPT_CONNECTIONS = 1000
+MAX_IDLE_CONNECTIONS = 1000
 MAX_ROWS = 500
 STOP_TIMEOUT_S = 1.0
 STOP_POLL_S = 0.05
 
 
 class InstanceBody(pydantic.BaseModel):
-    """One node that the stand-in is told to list."""
+    """One node of the instance list."""
 
     name: str
     failure_domain: str
@@ -42,13 +42,13 @@
 
 
 class InstancesBody(pydantic.BaseModel):
-    """The nodes that the stand-in is told to list, in place of the former ones."""
+    """The nodes that replace the current instance list."""
 
     instances: list[InstanceBody]
 
 
 class FaultsBody(pydantic.BaseModel):
-    """The faults that the stand-in may be told to show; absent ones are off."""
+    """The body of ``PUT /standin/faults``; omitted faults are off."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -60,37 +60,37 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Answer:
+class _Response:
     status: http.HTTPStatus
     body: bytes = b""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _NoAnswer:
-    """The connection is closed without a byte."""
+class _NoResponse:
+    """The connection is closed without a response."""
 
 
-_Reply = _Answer | _NoAnswer
+_Reply = _Response | _NoResponse
 _Call = collections.abc.Callable[[str, dict[str, str], bytes], _Reply]
 
 
-def _json(body: pydantic.BaseModel, status: http.HTTPStatus = http.HTTPStatus.OK) -> _Answer:
-    return _Answer(status, body.model_dump_json().encode())
+def _json(body: pydantic.BaseModel, status: http.HTTPStatus = http.HTTPStatus.OK) -> _Response:
+    return _Response(status, body.model_dump_json().encode())
 
 
-_UNAVAILABLE = _Answer(http.HTTPStatus.SERVICE_UNAVAILABLE)
-_NOT_FOUND = _Answer(http.HTTPStatus.NOT_FOUND)
-_BAD_REQUEST = _Answer(http.HTTPStatus.BAD_REQUEST)
-_GONE = _Answer(http.HTTPStatus.GONE)
-_OK = _Answer(http.HTTPStatus.OK)
+_UNAVAILABLE = _Response(http.HTTPStatus.SERVICE_UNAVAILABLE)
+_NOT_FOUND = _Response(http.HTTPStatus.NOT_FOUND)
+_BAD_REQUEST = _Response(http.HTTPStatus.BAD_REQUEST)
+_GONE = _Response(http.HTTPStatus.GONE)
+_OK = _Response(http.HTTPStatus.OK)
 
 
 class _Calls:
-    """The protocol's calls over one ``MemoryPlatform``."""
+    """The protocol's calls, executed on one ``MemoryPlatform``."""
 
     def __init__(self, platform: memory.MemoryPlatform) -> None:
         self._platform = platform
-        self._copied = platform.backup()
+        self._backup = platform.backup()
         self._call_by_route: dict[tuple[str, str], _Call] = {
             ("GET", "/v1/rows-get"): self._rows,
             ("GET", "/v1/rows-feed"): self._feed,
@@ -105,11 +105,11 @@
 
     @property
     def era(self) -> int:
-        """How often the platform has come back from an older copy."""
+        """How often the platform was restored from an older copy."""
         return self._platform.era
 
-    def answer(self, method: str, target: str, body: bytes) -> _Reply:
-        """Return the reply to one request."""
+    def handle(self, method: str, target: str, body: bytes) -> _Reply:
+        """Return the response to one request."""
         path, _, query = target.partition("?")
         pieces = path.split("/", 3)
         call = self._call_by_route.get((method, "/".join(pieces[:3])))
@@ -118,28 +118,30 @@
         value_by_name = dict(urllib.parse.parse_qsl(query, keep_blank_values=True))
         try:
             return call(pieces[3] if len(pieces) > 3 else "", value_by_name, body)
-        except (ValueError, KeyError):  # pydantic's and unicode's errors included
+        except (ValueError, KeyError):  # includes validation and Unicode errors
             return _BAD_REQUEST
 
-    def _rows(self, _rest: str, asked: dict[str, str], _body: bytes) -> _Reply:
-        table = self._platform.snapshot(asked["table"])
+    def _rows(self, _rest: str, parameters: dict[str, str], _body: bytes) -> _Reply:
+        table = self._platform.snapshot(parameters["table"])
         if isinstance(table, contract.Unavailable):
             return _UNAVAILABLE
-        limit = min(int(asked.get("limit", MAX_ROWS)), MAX_ROWS)
-        first, end = asked.get("from", ""), asked.get("to")
+        limit = min(int(parameters.get("limit", MAX_ROWS)), MAX_ROWS)
+        first, end = parameters.get("from", ""), parameters.get("to")
         rows = [
             row
             for row in map(storebodies.Row.from_row, table.rows)
-            if row.part == asked["part"] and row.key >= first and (end is None or row.key < end)
+            if row.part == parameters["part"]
+            and row.key >= first
+            and (end is None or row.key < end)
         ]
-        shown = tuple(rows[:limit])
+        page = tuple(rows[:limit])
         version = positions.version(table.version)
-        return _json(storebodies.Rows(rows=shown, ver=version, truncated=len(rows) > limit))
+        return _json(storebodies.Rows(rows=page, ver=version, truncated=len(rows) > limit))
 
-    def _feed(self, _rest: str, asked: dict[str, str], _body: bytes) -> _Reply:
-        after, wait_s = int(asked["after_revision"]), int(asked["wait_ms"]) / 1000
+    def _feed(self, _rest: str, parameters: dict[str, str], _body: bytes) -> _Reply:
+        after, wait_s = int(parameters["after_revision"]), int(parameters["wait_ms"]) / 1000
         at = positions.position(self._platform.era, after)
-        changes = self._platform.changes(asked["table"], at, wait_s)
+        changes = self._platform.changes(parameters["table"], at, wait_s)
         if isinstance(changes, contract.Unavailable):
             return _UNAVAILABLE
         if isinstance(changes, contract.HistoryLost):
@@ -156,7 +158,7 @@
         version = positions.version(changes.version)
         return _json(storebodies.Rows(rows=present + gone, ver=version))
 
-    def _transact(self, _rest: str, _asked: dict[str, str], body: bytes) -> _Reply:
+    def _transact(self, _rest: str, _parameters: dict[str, str], body: bytes) -> _Reply:
         transaction = storebodies.Transaction.model_validate_json(body)
         conditions = tuple(
             contract.Condition(
@@ -178,7 +180,7 @@
             case contract.Unavailable():
                 return _UNAVAILABLE
             case contract.Unknown():
-                return _NoAnswer()
+                return _NoResponse()
 
     def _conflict(self, conditions: tuple[contract.Condition, ...]) -> _Reply:
         found = [self._platform.read(condition.key) for condition in conditions]
@@ -189,38 +191,40 @@
         )
         return _json(storebodies.Conflict(rows=rows), http.HTTPStatus.PRECONDITION_FAILED)
 
-    def _get_object(self, name: str, _asked: dict[str, str], _body: bytes) -> _Reply:
+    def _get_object(self, name: str, _parameters: dict[str, str], _body: bytes) -> _Reply:
         match self._platform.get(urllib.parse.unquote(name)):
             case contract.Found(row):
-                return _Answer(http.HTTPStatus.OK, row.value.encode())
+                return _Response(http.HTTPStatus.OK, row.value.encode())
             case contract.Missing():
                 return _NOT_FOUND
             case contract.Unavailable():
                 return _UNAVAILABLE
 
-    def _put_object(self, name: str, _asked: dict[str, str], body: bytes) -> _Reply:
+    def _put_object(self, name: str, _parameters: dict[str, str], body: bytes) -> _Reply:
         match self._platform.put(urllib.parse.unquote(name), body.decode()):
             case contract.Committed():
                 return _OK
             case contract.Unavailable():
                 return _UNAVAILABLE
             case contract.Unknown():
-                return _NoAnswer()
+                return _NoResponse()
 
-    def _set_instances(self, _rest: str, _asked: dict[str, str], body: bytes) -> _Reply:
-        told = InstancesBody.model_validate_json(body).instances
-        set_instances(self._platform, [contract.Instance(**each.model_dump()) for each in told])
+    def _set_instances(self, _rest: str, _parameters: dict[str, str], body: bytes) -> _Reply:
+        new_instances = InstancesBody.model_validate_json(body).instances
+        set_instances(
+            self._platform, [contract.Instance(**each.model_dump()) for each in new_instances]
+        )
         return _OK
 
-    def _copy(self, _rest: str, _asked: dict[str, str], _body: bytes) -> _Reply:
-        self._copied = self._platform.backup()
+    def _copy(self, _rest: str, _parameters: dict[str, str], _body: bytes) -> _Reply:
+        self._backup = self._platform.backup()
         return _OK
 
-    def _restore(self, _rest: str, _asked: dict[str, str], _body: bytes) -> _Reply:
-        self._platform.restore(self._copied)
+    def _restore(self, _rest: str, _parameters: dict[str, str], _body: bytes) -> _Reply:
+        self._platform.restore(self._backup)
         return _OK
 
-    def _set_faults(self, _rest: str, _asked: dict[str, str], body: bytes) -> _Reply:
+    def _set_faults(self, _rest: str, _parameters: dict[str, str], body: bytes) -> _Reply:
         faults = FaultsBody.model_validate_json(body)
         self._platform.set_faults(memory.Faults(**faults.model_dump()))
         return _OK
@@ -229,14 +233,14 @@
 def set_instances(
     platform: memory.MemoryPlatform, instances: collections.abc.Iterable[contract.Instance]
 ) -> None:
-    """Have a platform list these nodes in place of the former ones."""
+    """Replace the instance list of a platform."""
     nodes = registry.Registry(platform)
-    told = tuple(instances)
+    new_instances = tuple(instances)
     listed = nodes.list()
-    former = listed if not isinstance(listed, contract.Unavailable) else ()
-    for name in {each.name for each in former} - {each.name for each in told}:
+    previous = listed if not isinstance(listed, contract.Unavailable) else ()
+    for name in {each.name for each in previous} - {each.name for each in new_instances}:
         nodes.deregister(name)
-    for each in told:
+    for each in new_instances:
         nodes.register(each)
 
 
@@ -244,11 +248,11 @@
     def respond(self) -> None:
         request = self.req
         body = request.rfile.read()
-        # The raw target: keys hold quoted slashes, which cheroot's path mixes up.
+        # Use the raw target: keys contain quoted slashes, which cheroot's path decodes.
         target = request.uri.decode("ascii")
-        reply = self.req.server.calls.answer(request.method.decode(), target, body)
-        if isinstance(reply, _NoAnswer):
-            request.sent_headers = True  # cheroot then adds none of its own
+        reply = self.req.server.calls.handle(request.method.decode(), target, body)
+        if isinstance(reply, _NoResponse):
+            request.sent_headers = True  # keeps cheroot from sending its own response head
             request.close_connection = True
             return
         request.status = f"{reply.status.value} {reply.status.phrase}".encode()
@@ -262,8 +266,8 @@
 class Server:
     """A stand-in platform on one address.
 
-    :param bind: ``ip:port``; port 0 takes a free one.
-    :param platform: what it serves; a new one by default.
+    :param bind: ``ip:port``; port 0 selects a free port.
+    :param platform: the platform to serve; a new one by default.
     """
 
     def __init__(self, bind: str, platform: memory.MemoryPlatform | None = None) -> None:
@@ -273,7 +277,7 @@
         host, _, port = bind.rpartition(":")
         self._http = cheroot.server.HTTPServer((host, int(port)), _Gateway, minthreads=THREADS)
         self._http.calls = _Calls(self.platform)
-        self._http.keep_alive_conn_limit = KEPT_CONNECTIONS
+        self._http.keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
         self._http.shutdown_timeout = STOP_TIMEOUT_S
         self._http.expiration_interval = STOP_POLL_S
         self._http.prepare()
@@ -286,7 +290,7 @@
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Serve on a thread of its own."""
+        """Start to serve in a background thread."""
         self._thread.start()
 
     def stop(self) -> None:
@@ -299,14 +303,14 @@
 def serve(bind: str, platform: memory.MemoryPlatform | None = None) -> Server:
     """Return a bound server that is not yet started.
 
-    :param bind: ``ip:port``; port 0 takes a free one.
-    :param platform: what it serves; a new one by default.
+    :param bind: ``ip:port``; port 0 selects a free port.
+    :param platform: the platform to serve; a new one by default.
     """
     return Server(bind, platform)
 
 
 def run(bind: str) -> None:
-    """Serve until SIGTERM or SIGINT; to be called on the main thread.
+    """Serve until SIGTERM or SIGINT; call it from the main thread only.
 
     :param bind: ``ip:port``.
     """
--- a/hornbeamglade/standins/routed.py
+++ b/hornbeamglade/standins/routed.py
@@ -3,13 +3,13 @@
 Explanation
 ===========
 
-It speaks the platform's protocol towards replicas, its refusals, proofs, reports and
-copies included, and does wrong what it is told (:class:`RoutedFaults
-<hornbeamglade.standins.routedfaults.RoutedFaults>`, by ``PUT /standin/faults``). What it
-ran is in its ledger (``GET /standin/ledger``).
+It implements the platform's protocol for replicas, including refusals, proofs, reports and
+KV cache copies, and injects the faults that ``PUT /standin/faults`` sets
+(:class:`RoutedFaults <hornbeamglade.standins.routedfaults.RoutedFaults>`). The requests that
+it record are in its ledger (``GET /standin/ledger``).
 
-Answers are written as raw bytes: what a well-made server library would not send is what
-most of its tests are about.
+Responses are written as raw bytes, because most tests need responses that a correct server
+library would not send.
 """
 
 import asyncio
@@ -35,13 +35,13 @@
 class RunRecord:
     """A request that was run.
 
-    :param request_id: the caller's id of it.
+    :param request_id: the request's id, as given by the caller.
     :param target: path and query.
-    :param team: the team that it was said to come from, or an empty text.
-    :param names: of all its headers, in lower case.
+    :param team: the team in its header, or an empty text.
+    :param names: names of all its headers, in lower case.
     :param body: its body.
-    :param at: seconds of the machine's steady clock at which it came.
-    :param replica_id: where it ran.
+    :param at: arrival time, in seconds of the machine's monotonic clock.
+    :param replica_id: the server that ran it.
     """
 
     request_id: str
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Asked:
+class _Request:
     method: str
     target: str
     value_by_name: dict[str, str]
@@ -71,9 +71,9 @@
     :param replica_id: its id.
     :param events: events of each stream; 0 makes it a plain service.
     :param gap_s: seconds between events.
-    :param ledger_path: a file to which each run is added before it begins, so that what a
-        killed server ran is known; None for none.
-    :param crash_on: a request whose body holds this text ends the server; empty for none.
+    :param ledger_path: a file to which each run is appended before it begins, so that the
+        runs of a killed server are known; None for none.
+    :param crash_on: a request whose body contains this text ends the server; empty for none.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, bind: str = "127.0.0.1:0") -> None:
-        """Begin to accept."""
+        """Start to accept connections."""
         host, _, port = bind.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
         bound_host, bound_port = self._server.sockets[0].getsockname()[:2]
@@ -117,11 +117,11 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self._writers.add(writer)
-        rest = b""
+        buffered = b""
         try:
             while True:
-                asked, rest = await self._read(reader, rest, writer)
-                if asked is None or not await self._answer(asked, reader, writer):
+                request, buffered = await self._read(reader, buffered, writer)
+                if request is None or not await self._respond(request, reader, writer):
                     break
         except (ConnectionError, asyncio.CancelledError, h11.RemoteProtocolError):
             pass
@@ -130,11 +130,11 @@
             writer.close()
 
     async def _read(
-        self, reader: asyncio.StreamReader, rest: bytes, writer: asyncio.StreamWriter
-    ) -> tuple[_Asked | None, bytes]:
+        self, reader: asyncio.StreamReader, buffered: bytes, writer: asyncio.StreamWriter
+    ) -> tuple[_Request | None, bytes]:
         state = h11.Connection(h11.SERVER)
-        if rest:
-            state.receive_data(rest)
+        if buffered:
+            state.receive_data(buffered)
         head: h11.Request | None = None
         body = b""
         while True:
@@ -147,70 +147,72 @@
             elif isinstance(event, h11.Request):
                 head = event
                 if self.faults.early:
-                    asked = _asked(head, b"")
-                    writer.write(_whole(asked, 413, self._proof(asked), b"too long"))
+                    request = _parse_request(head, b"")
+                    writer.write(
+                        _response(request, 413, self._proof_headers(request), b"too long")
+                    )
                     await writer.drain()
             elif isinstance(event, h11.Data):
                 body += event.data
             elif isinstance(event, h11.EndOfMessage):
-                return _asked(head, body), state.trailing_data[0]
+                return _parse_request(head, body), state.trailing_data[0]
             else:
                 return None, b""
 
-    async def _answer(
-        self, asked: _Asked, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _respond(
+        self, request: _Request, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answer one request; return whether the connection stays open."""
-        own = await self._own(asked)
-        if own is not None:
-            status, body = own
-            writer.write(_whole(asked, status, {}, json.dumps(body).encode()))
+        """Respond to one request; return whether the connection stays open."""
+        control_response = await self._control_call(request)
+        if control_response is not None:
+            status, body = control_response
+            writer.write(_response(request, status, {}, json.dumps(body).encode()))
             return True
         if self.faults.early:
             return True
-        expected = asked.value_by_name.get("expect-instance")
+        expected = request.value_by_name.get("expect-instance")
         if expected not in (None, self.replica_id):
-            writer.write(_whole(asked, 421, {"Replica-Id": self.replica_id}, b""))
+            writer.write(_response(request, 421, {"Replica-Id": self.replica_id}, b""))
             return True
         if self.faults.refuse:
-            writer.write(_whole(asked, 503, {"Not-Executed": "1"}, b""))
+            writer.write(_response(request, 503, {"Not-Executed": "1"}, b""))
             return True
         if self._events:
-            return await self._stream(asked, reader, writer)
-        return await self._plain(asked, reader, writer)
+            return await self._stream(request, reader, writer)
+        return await self._plain(request, reader, writer)
 
-    async def _own(self, asked: _Asked) -> tuple[int, object] | None:
-        """Answer the calls beside requests; None for a request."""
-        path = asked.target.partition("?")[0]
+    async def _control_call(self, request: _Request) -> tuple[int, object] | None:
+        """Respond to control calls of the stand-in; return None for a caller's request."""
+        path = request.target.partition("?")[0]
         if path == "/standin/faults":
-            self.faults = routedfaults.RoutedFaults.model_validate_json(asked.body)
+            self.faults = routedfaults.RoutedFaults.model_validate_json(request.body)
             return 200, {}
         if path == "/standin/ledger":
-            return 200, [dataclasses.asdict(ran) for ran in self.ledger]
+            return 200, [dataclasses.asdict(record) for record in self.ledger]
         if path == "/standin/leave":
             self.is_leaving = True
             return 200, {}
         if path == "/standin/copies":
             return 200, sorted(self.copy_by_name)
         if path == "/standin/copy":
-            return self._take_copy(json.loads(asked.body))
+            return self._take_copy(json.loads(request.body))
         if path == "/standin/drop":
-            self.copy_by_name.pop(json.loads(asked.body)["name"], None)
+            self.copy_by_name.pop(json.loads(request.body)["name"], None)
             return 200, {}
         if path == "/v1/report":
             return 200, self._report()
         if path == "/v1/kv-move":
-            return await self._move(json.loads(asked.body))
+            return await self._move(json.loads(request.body))
         if path.startswith("/v1/kv-handle/"):
             return await self._drop_copy(path.rpartition("/")[2])
         return None
 
     async def _plain(
-        self, asked: _Asked, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, request: _Request, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         faults = self.faults
-        self._note(asked)
-        if self._is_fatal(asked):
+        self._record_run(request)
+        if self._is_fatal(request):
             await self.stop()
             return False
         if faults.hang:
@@ -218,10 +220,12 @@
             return False
         await asyncio.sleep(faults.delay_s)
         status = 500 if faults.fail else 200
-        body = f"{self.replica_id}:{asked.request_id}".encode()
+        body = f"{self.replica_id}:{request.request_id}".encode()
         if faults.stray:
-            writer.write(_whole(asked, 200, {"Attempt-Id": "another"}, b"not yours"))
-        data = _whole(asked, status, self._proof(asked), body, framed=not faults.unframed)
+            writer.write(_response(request, 200, {"Attempt-Id": "another"}, b"not yours"))
+        data = _response(
+            request, status, self._proof_headers(request), body, framed=not faults.unframed
+        )
         if faults.torn or faults.reset:
             writer.write(data[:-3])
             await writer.drain()
@@ -230,31 +234,31 @@
             return False
         writer.write(data)
         if faults.extra:
-            writer.write(_whole(asked, 200, self._proof(asked), b"once more"))
+            writer.write(_response(request, 200, self._proof_headers(request), b"once more"))
         return not faults.unframed
 
     async def _stream(
-        self, asked: _Asked, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, request: _Request, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        run = self._begin(asked)
+        run = self._begin(request)
         if run is None:
-            writer.write(_whole(asked, 503, {"Not-Executed": "1"}, b""))
+            writer.write(_response(request, 503, {"Not-Executed": "1"}, b""))
             return True
-        if self._is_fatal(asked):
+        if self._is_fatal(request):
             await self.stop()
             return False
         if self.faults.hang:
             await reader.read(1)
             return False
-        proof = self._proof(asked) | {"Content-Type": "text/event-stream"}
-        writer.write(_head(asked, 200, proof | {"Transfer-Encoding": "chunked"}))
-        # A caller that leaves is seen here, and its run ends.
-        gone = asyncio.ensure_future(reader.read(1))
+        proof = self._proof_headers(request) | {"Content-Type": "text/event-stream"}
+        writer.write(_response_head(request, 200, proof | {"Transfer-Encoding": "chunked"}))
+        # Detects a caller that closes its connection, which ends its run.
+        caller_left = asyncio.ensure_future(reader.read(1))
         sent = run.made
         try:
-            while run.made < run.events and not run.is_stopped and not gone.done():
+            while run.made < run.events and not run.is_stopped and not caller_left.done():
                 await asyncio.sleep(self._gap_s)
-                if run.is_stopped or gone.done():
+                if run.is_stopped or caller_left.done():
                     break
                 run.made += 1
                 writer.write(_chunk(routedruns.event(run.request_id, run.made)))
@@ -266,30 +270,30 @@
             is_whole = run.made >= run.events
             if is_whole:
                 writer.write(b"0\r\n\r\n")
-            return is_whole and not gone.done()
+            return is_whole and not caller_left.done()
         finally:
-            gone.cancel()
-            # A second reader is refused while the first one still waits.
-            await asyncio.wait((gone,))
+            caller_left.cancel()
+            # A stream reader allows only one pending read at a time.
+            await asyncio.wait((caller_left,))
             run.is_alive = False
 
-    def _is_fatal(self, asked: _Asked) -> bool:
-        """Tell whether a request crashes the server."""
+    def _is_fatal(self, request: _Request) -> bool:
+        """Return whether a request crashes the server."""
         text = self.faults.crash_on or self._crash_on
-        return bool(text) and text in asked.body.decode("latin-1")
+        return bool(text) and text in request.body.decode("latin-1")
 
-    def _begin(self, asked: _Asked) -> routedruns.StandinRun | None:
-        """Begin a run, or go on with one from a copy; None when there is no such copy."""
-        run = routedruns.StandinRun(asked.request_id, self._events)
-        source = asked.value_by_name.get("kv-from")
+    def _begin(self, request: _Request) -> routedruns.StandinRun | None:
+        """Begin a run or continue one from a copy; None when there is no such copy."""
+        run = routedruns.StandinRun(request.request_id, self._events)
+        source = request.value_by_name.get("kv-from")
         if source is None:
-            self._note(asked)
+            self._record_run(request)
         else:
             copy = self.copy_by_name.pop(source.rpartition("/")[2], None)
-            if copy is None or copy.request_id != asked.request_id:
+            if copy is None or copy.request_id != request.request_id:
                 return None
-        run.made = int(asked.value_by_name.get("last-event-id", "0"))
-        self.run_by_id[asked.request_id] = run
+        run.made = int(request.value_by_name.get("last-event-id", "0"))
+        self.run_by_id[request.request_id] = run
         return run
 
     async def _move(self, order: dict) -> tuple[int, object]:
@@ -301,7 +305,7 @@
         await asyncio.sleep(COPY_S)
         name = f"copy-{run.request_id}"
         body = {"name": name, "id": run.request_id, "made": run.made}
-        if not await _tell(order["to"], "/standin/copy", body):
+        if not await _post(order["to"], "/standin/copy", body):
             if order["last"]:
                 self.copy_by_name[name] = routedruns.StandinCopy(name, run.request_id, run.made)
                 return 503, {"handle": name}
@@ -317,11 +321,11 @@
         return 200, {}
 
     async def _drop_copy(self, name: str) -> tuple[int, object]:
-        """Free a copy here, and where it was sent."""
+        """Free a copy here and at the engine that it was sent to."""
         self.copy_by_name.pop(name, None)
         sent_to = self._sent_to_by_copy.pop(name, None)
         if sent_to is not None:
-            await _tell(sent_to, "/standin/drop", {"name": name})
+            await _post(sent_to, "/standin/drop", {"name": name})
         return 200, {}
 
     def _report(self) -> dict[str, object]:
@@ -341,45 +345,45 @@
             report["born"] = self.born
         return report | ({"leaves_ms": 1500.0} if self.is_leaving else {})
 
-    def _note(self, asked: _Asked) -> None:
-        ran = RunRecord(
-            asked.request_id,
-            asked.target,
-            asked.value_by_name.get("tenant", ""),
-            tuple(asked.value_by_name),
-            asked.body.decode("latin-1"),
+    def _record_run(self, request: _Request) -> None:
+        record = RunRecord(
+            request.request_id,
+            request.target,
+            request.value_by_name.get("tenant", ""),
+            tuple(request.value_by_name),
+            request.body.decode("latin-1"),
             time.monotonic(),
             self.replica_id,
         )
-        self.ledger.append(ran)
+        self.ledger.append(record)
         if self._ledger_path is not None:
             with self._ledger_path.open("a", encoding="utf-8") as ledger:
-                ledger.write(json.dumps(dataclasses.asdict(ran)) + "\n")
+                ledger.write(json.dumps(dataclasses.asdict(record)) + "\n")
 
-    def _proof(self, asked: _Asked) -> dict[str, str]:
-        told = {"Attempt-Id": asked.request_id, "Replica-Load": "1,0,8"}
+    def _proof_headers(self, request: _Request) -> dict[str, str]:
+        headers = {"Attempt-Id": request.request_id, "Replica-Load": "1,0,8"}
         if not self.faults.unproved:
-            told["Response-Seal"] = f"{self.replica_id}.{asked.request_id}"
+            headers["Response-Seal"] = f"{self.replica_id}.{request.request_id}"
         if self.faults.limit:
-            told["Server-Limit"] = self.faults.limit
-        return told
+            headers["Server-Limit"] = self.faults.limit
+        return headers
 
 
-def _asked(head: h11.Request, body: bytes) -> _Asked:
+def _parse_request(head: h11.Request, body: bytes) -> _Request:
     values = {name.decode().lower(): value.decode("latin-1") for name, value in head.headers}
-    return _Asked(head.method.decode(), head.target.decode(), values, body)
+    return _Request(head.method.decode(), head.target.decode(), values, body)
 
 
-def _head(asked: _Asked, status: int, told: dict[str, str]) -> bytes:
-    lines = [f"HTTP/1.1 {status} Status", *(f"{name}: {value}" for name, value in told.items())]
+def _response_head(request: _Request, status: int, headers: dict[str, str]) -> bytes:
+    lines = [f"HTTP/1.1 {status} Status", *(f"{name}: {value}" for name, value in headers.items())]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-def _whole(
-    asked: _Asked, status: int, told: dict[str, str], body: bytes, *, framed: bool = True
+def _response(
+    request: _Request, status: int, headers: dict[str, str], body: bytes, *, framed: bool = True
 ) -> bytes:
     length = {"Content-Length": str(len(body))} if framed else {"Connection": "close"}
-    return _head(asked, status, told | length) + body
+    return _response_head(request, status, headers | length) + body
 
 
 def _chunk(data: bytes) -> bytes:
@@ -393,8 +397,8 @@
     writer.transport.abort()
 
 
-async def _tell(address: str, path: str, body: dict) -> bool:
-    """Post to another stand-in; return whether it took it."""
+async def _post(address: str, path: str, body: dict) -> bool:
+    """Send a POST request to another stand-in; return whether it was accepted."""
     host, _, port = address.rpartition(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -430,13 +434,13 @@
 ) -> None:
     """Serve until SIGTERM or SIGINT.
 
-    :param bind: ``ip:port``; port 0 takes a free one.
+    :param bind: ``ip:port``; port 0 selects a free port.
     :param replica_id: the server's id.
     :param events: events of each stream; 0 makes it a plain service.
     :param gap_s: seconds between events.
-    :param born: Unix milliseconds of its start, or 0 to tell none.
-    :param ledger_path: a file that keeps what was run, or None.
-    :param crash_on: a request whose body holds this text ends the server; empty for none.
+    :param born: its start time in Unix milliseconds, or 0 to report none.
+    :param ledger_path: a file that records the runs, or None.
+    :param crash_on: a request whose body contains this text ends the server; empty for none.
     """
     standin = RoutedStandin(replica_id, events, gap_s, ledger_path, crash_on)
     standin.born = born
--- a/hornbeamglade/standins/routedcaller.py
+++ b/hornbeamglade/standins/routedcaller.py
@@ -1,12 +1,12 @@
-"""A stand-in for a caller behind routes, on connections that it keeps open.
+"""A stand-in for a caller of routed requests, with persistent connections.
 
 Explanation
 ===========
 
-It sends the platform's headers, reads plain answers and event streams, and tells what it
-saw as it is: whether an answer came to its proper end, which events came, what a refusal
-promised. It asks a directory where to connect and keeps using a connection until the other
-side is gone, as callers do that hold an old answer.
+It sends the platform's headers, reads plain responses and event streams, and records exactly
+what it received: whether a response was complete, which events it had, what a refusal
+promised. It asks a directory where to connect and keeps using a connection until the peer
+closes it, like callers with an outdated directory response.
 """
 
 import dataclasses
@@ -20,7 +20,7 @@
 from hornbeamglade.standins import operatordocuments
 
 RESERVED = frozenset(("authorization", "hold", "pin-ms", "kv-backup"))
-"""Fields in lower case that a caller's request never brings to a replica."""
+"""Header fields, in lower case, that must never pass from a caller to a replica."""
 
 READY_PATH = "/v1/readyz"
 CONNECT_S = 2.0
@@ -34,21 +34,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerResult:
-    """What a caller saw of one request.
+    """The result of one request as the caller received it.
 
     :param request_id: its id.
     :param route: the route's name.
-    :param key: the caller's key.
+    :param key: the caller's API key.
     :param address: the instance that it was sent to.
-    :param sent_at: seconds of the machine's steady clock.
-    :param ended_at: the same.
-    :param status: the answer's status, or None when none came.
-    :param is_whole: whether the answer came to its proper end.
-    :param is_sealed: whether it bore a replica's proof.
-    :param body: a plain answer's body.
-    :param events: number and text of each event, in the order in which they came.
-    :param retry_after_s: what a refusal said, or None.
-    :param error: what ended a request without an answer, or an empty text.
+    :param sent_at: send time, in seconds of the machine's monotonic clock.
+    :param ended_at: end time, by the same clock.
+    :param status: the status of the response, or None without a response.
+    :param is_whole: whether the response was complete.
+    :param is_sealed: whether it had a replica's proof.
+    :param body: the body of a plain response.
+    :param events: number and text of each event, in order of arrival.
+    :param retry_after_s: the delay that a refusal asked for, or None.
+    :param error: the error that ended the request, or an empty text.
     """
 
     request_id: str
@@ -72,37 +72,37 @@
 
 
 class RoutedCaller:
-    """One caller; to be used from one thread.
+    """One caller; use it from one thread only.
 
     :param keep: whether connections are kept for further requests.
     """
 
     def __init__(self, *, keep: bool = True) -> None:
         timeout = urllib3.Timeout(connect=CONNECT_S, read=READ_S)
-        self._keep = keep
+        self._keep_alive = keep
         self._http = urllib3.PoolManager(retries=False, timeout=timeout, maxsize=1)
 
     def addresses(self, directory: str, failure_domain: str) -> tuple[str, ...]:
-        """Return where an instance says to connect; empty when it says nothing."""
+        """Return the addresses that an instance's directory gives; empty on failure."""
         query = {"name": operatordocuments.HOST, "region": "r", "zone": failure_domain}
         url = f"http://{directory}/v1/resolve"
         try:
-            answer = self._http.request("GET", url, fields=query)
-            return tuple(answer.json()["addresses"]) if answer.status == 200 else ()
+            response = self._http.request("GET", url, fields=query)
+            return tuple(response.json()["addresses"]) if response.status == 200 else ()
         except (urllib3.exceptions.HTTPError, OSError, ValueError, KeyError):
             return ()
 
     def send(
         self, address: str, route: str, request_id: str, key: str, body: bytes | None = None
     ) -> CallerResult:
-        """Send one request and read what comes of it.
+        """Send one request and read its response.
 
-        :param body: by default its id.
+        :param body: the request's id by default.
         """
         sent_at = time.monotonic()
         result = CallerResult(request_id, route, key, address, sent_at, sent_at)
         try:
-            answer = self._http.request(
+            response = self._http.request(
                 "POST",
                 f"http://{address}/{route}/1?q=2",
                 body=request_id.encode() if body is None else body,
@@ -110,27 +110,27 @@
                 preload_content=False,
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            return _ended(result, error=type(error).__name__)
-        return self._read(result, answer)
+            return _finished(result, error=type(error).__name__)
+        return self._read(result, response)
 
-    def _read(self, result: CallerResult, answer: urllib3.BaseHTTPResponse) -> CallerResult:
+    def _read(self, result: CallerResult, response: urllib3.BaseHTTPResponse) -> CallerResult:
         body = b""
         error = ""
         try:
-            for piece in answer.stream(decode_content=False):
-                body += piece
-        except (urllib3.exceptions.HTTPError, OSError) as raised:
-            error = type(raised).__name__
-        answer.release_conn() if not error else answer.close()
+            for data in response.stream(decode_content=False):
+                body += data
+        except (urllib3.exceptions.HTTPError, OSError) as exception:
+            error = type(exception).__name__
+        response.release_conn() if not error else response.close()
         events = tuple((int(n), text.decode()) for n, text in _EVENT.findall(body))
-        return _ended(
+        return _finished(
             result,
-            status=answer.status,
+            status=response.status,
             is_whole=not error,
-            is_sealed="Response-Seal" in answer.headers,
+            is_sealed="Response-Seal" in response.headers,
             body=b"" if events else body,
             events=events,
-            retry_after_s=_seconds(answer.headers.get("Retry-After")),
+            retry_after_s=_seconds(response.headers.get("Retry-After")),
             error=error,
         )
 
@@ -141,26 +141,26 @@
             "Deadline-Ms": str(DEADLINE_MS),
             "Authorization": f"Bearer {key}",
         }
-        if not self._keep:
+        if not self._keep_alive:
             headers["Connection"] = "close"
         if operatordocuments.SETTINGS_BY_ROUTE[route].kind == "streaming":
             headers |= {"Model": "m", "Token-Usage": f"{PROMPT_TOKENS},{MAX_TOKENS}"}
         return headers
 
 
-def _ended(result: CallerResult, **changes: typing.Any) -> CallerResult:
+def _finished(result: CallerResult, **changes: typing.Any) -> CallerResult:
     return dataclasses.replace(result, ended_at=time.monotonic(), **changes)
 
 
-def _seconds(told: str | None) -> float | None:
+def _seconds(value: str | None) -> float | None:
     try:
-        return None if told is None else float(told)
+        return None if value is None else float(value)
     except ValueError:
         return None
 
 
 def refusal_code(result: CallerResult) -> str:
-    """Return the code of an instance's own refusal, or an empty text."""
+    """Return the code of a refusal by an instance, or an empty text."""
     try:
         return str(json.loads(result.body)["code"])
     except (ValueError, KeyError, TypeError):
--- a/hornbeamglade/standins/routedfaults.py
+++ b/hornbeamglade/standins/routedfaults.py
@@ -1,26 +1,26 @@
-"""What a routed stand-in is told to do wrong."""
+"""Faults of a routed stand-in."""
 
 import pydantic
 
 
 class RoutedFaults(pydantic.BaseModel):
-    """Faults of a backend server; absent ones are off.
+    """Faults of a backend server; omitted faults are off.
 
     :param refuse: requests are refused as not run.
-    :param fail: requests are run, and answered with the server's own failure.
-    :param hang: requests are taken and never answered.
-    :param delay_s: seconds before an answer.
-    :param unproved: answers bear no proof that they are the server's.
-    :param stray: an answer to another request comes first.
-    :param extra: another answer follows each.
-    :param unframed: answers have no length and end with the connection.
-    :param torn: answers are broken off in the middle, in order.
-    :param reset: answers are broken off in the middle, by a reset.
-    :param early: an answer comes before the request's body is read.
-    :param die_after_events: a stream is broken off after so many events.
-    :param no_room: copies from other engines are refused.
-    :param limit: requests a second that answers name as the most that the server takes.
-    :param crash_on: a request whose body holds this text ends the server as it begins to run.
+    :param fail: requests are run and get a response with status 500.
+    :param hang: requests are accepted and never get a response.
+    :param delay_s: seconds before a response.
+    :param unproved: responses have no proof that they are the server's.
+    :param stray: a response to another request is sent first.
+    :param extra: each response is followed by another one.
+    :param unframed: responses have no length and end with the connection.
+    :param torn: responses are truncated by a clean close of the connection.
+    :param reset: responses are truncated by a connection reset.
+    :param early: a response is sent before the request's body is read.
+    :param die_after_events: a stream is cut off after this many events.
+    :param no_room: KV cache copies from other engines are refused.
+    :param limit: limit in requests per second that responses announce for the server.
+    :param crash_on: a request whose body contains this text ends the server when it starts.
     """
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
--- a/hornbeamglade/standins/routedruns.py
+++ b/hornbeamglade/standins/routedruns.py
@@ -1,4 +1,4 @@
-"""Generations of a routed stand-in engine, and copies of their memory."""
+"""Generations of a routed stand-in engine, and copies of their KV cache."""
 
 import dataclasses
 
@@ -7,11 +7,11 @@
 class StandinRun:
     """One generation.
 
-    :param request_id: the request that it answers.
-    :param events: events of the whole answer.
-    :param made: events made so far.
-    :param is_stopped: whether it was stopped to go on elsewhere.
-    :param is_alive: whether anyone reads it.
+    :param request_id: the request that it belongs to.
+    :param events: number of events of the complete response.
+    :param made: number of events produced so far.
+    :param is_stopped: whether it was stopped to migrate to another engine.
+    :param is_alive: whether its response is still being read.
     """
 
     request_id: str
@@ -23,11 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StandinCopy:
-    """A run's memory at another engine.
+    """A copy of a run's KV cache at another engine.
 
-    :param name: what it is called.
-    :param request_id: the run.
-    :param made: events made when it was copied.
+    :param name: the name of the copy.
+    :param request_id: the run's request.
+    :param made: number of events produced when it was copied.
     """
 
     name: str
@@ -36,7 +36,7 @@
 
 
 def event(request_id: str, number: int) -> bytes:
-    r"""Return one event of a run; the same for every engine that makes it.
+    r"""Return one event of a run; it is the same at every engine.
 
     Examples
     ========
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine speaks the protocol and commits the faults it is told to."""
+"""The stand-in engine implements the protocol and injects the faults that are set."""
 
 import json
 import socket
@@ -34,8 +34,8 @@
         self.pool = urllib3.HTTPConnectionPool(server.address, retries=False, timeout=WAIT_S)
 
     def json(self, method, path, body=None):
-        answer = self.pool.request(method, path, json=body)
-        return answer.status, answer.json()
+        response = self.pool.request(method, path, json=body)
+        return response.status, response.json()
 
     def faults(self, **faults):
         assert self.json("PUT", "/standin/faults", faults)[0] == 200
@@ -61,10 +61,10 @@
         return entry
 
 
-def chunks(answer):
+def chunks(response):
     found = []
     try:
-        for line in answer:
+        for line in response:
             if line.startswith(b"data: {"):
                 found.append(json.loads(line[6:]))
     except urllib3.exceptions.ProtocolError:
@@ -76,30 +76,30 @@
     return [c["choices"][0].get("text", "") for c in found if c != "lost"]
 
 
-def test_a_stream_is_whole_and_ends_with_usage(start):
+def test_a_stream_is_complete_and_ends_with_usage(start):
     client = start()
-    answer = client.open("r1", tokens=5)
-    found = chunks(answer)
-    assert answer.headers["X-Request-Id"] == "r1"
+    response = client.open("r1", tokens=5)
+    found = chunks(response)
+    assert response.headers["X-Request-Id"] == "r1"
     mark = client.run("r1")["mark"]
     assert texts(found) == [f"{mark}.{n} " for n in range(5)] + [""]
     assert found[-1]["choices"][0]["finish_reason"] == "stop"
     assert found[-1]["usage"]["completion_tokens"] == 5
 
 
-def test_chat_chunks_and_the_callers_bound(start):
-    answer = start().open(
+def test_chat_chunks_and_the_callers_token_limit(start):
+    response = start().open(
         "r1", 9, "/v1/chat/completions", max_tokens=2, messages=[{"role": "user", "content": "x"}]
     )
-    found = chunks(answer)
+    found = chunks(response)
     assert [c["choices"][0]["delta"].get("content", "")[-3:] for c in found] == [".0 ", ".1 ", ""]
     assert found[-1]["choices"][0]["finish_reason"] == "length"
 
 
-def test_a_full_engine_preempts_keeps_the_link_alive_and_still_delivers_all(start):
+def test_a_full_engine_preempts_sends_keep_alives_and_still_delivers_all(start):
     client = start(capacity_tokens=160, keep_alive_s=0.02)
     answers = [client.open(f"r{n}", tokens=100, priority=n) for n in range(2)]
-    found = [chunks(answer) for answer in reversed(answers)]
+    found = [chunks(response) for response in reversed(answers)]
     assert [len(f) for f in found] == [101, 101]
     assert client.json("GET", "/load")[1]["preemptions"] >= 1
 
@@ -112,17 +112,17 @@
 
 def test_closing_cancels_and_frees_the_memory(start):
     client = start()
-    answer = client.open("r1", tokens=4000)
-    answer.connection.sock.shutdown(socket.SHUT_RDWR)
+    response = client.open("r1", tokens=4000)
+    response.connection.sock.shutdown(socket.SHUT_RDWR)
     assert client.wait("r1", "cancelled")["tokens"] < 4000
     assert client.json("GET", "/load")[1]["used_tokens"] == 0
 
 
 def test_delete_cancels(start):
     client = start()
-    answer = client.open("r1", tokens=4000)
+    response = client.open("r1", tokens=4000)
     assert client.json("DELETE", "/v1/streams/r1") == (200, {"cancelled": True})
-    assert chunks(answer)[-2]["error"]["code"] == "cancelled"
+    assert chunks(response)[-2]["error"]["code"] == "cancelled"
     assert client.json("DELETE", "/v1/streams/r1")[0] == 404
 
 
@@ -131,13 +131,13 @@
     client.faults(die_after_tokens=4)
     first = chunks(client.open("r1", tokens=10))
     client.faults()
-    answer = client.pool.request(
+    response = client.pool.request(
         "GET",
         "/v1/streams/r1",
         headers={"Last-Event-ID": "3", "X-Request-Id": "r1"},
         preload_content=False,
     )
-    whole = texts(first) + texts(chunks(answer))
+    whole = texts(first) + texts(chunks(response))
     mark = client.run("r1")["mark"]
     assert first[-1] == "lost"
     assert whole == [f"{mark}.{n} " for n in range(10)] + [""]
@@ -154,18 +154,18 @@
 def test_refused_requests_are_not_run(start):
     client = start()
     client.faults(refuse=True)
-    answer = client.open("r1")
-    assert (answer.status, answer.headers["X-Not-Run"]) == (503, "true")
+    response = client.open("r1")
+    assert (response.status, response.headers["X-Not-Run"]) == (503, "true")
     ledger = client.json("GET", "/standin/ledger")[1]
     assert (ledger["runs"], ledger["refused"]) == ([], 1)
 
 
 @pytest.mark.parametrize("body", [{"model": "other"}, {"stream": False}, {"prompt": "x" * 9**6}])
-def test_bad_requests_get_an_error(start, body):
+def test_invalid_requests_get_an_error(start, body):
     assert start().open("r1", **body).status in (400, 404)
 
 
-def test_load_lags_and_can_be_mute(start):
+def test_load_reports_lag_and_can_be_disabled(start):
     client = start(load_lag_s=30.0)
     client.open("r1", tokens=4000)
     load = client.json("GET", "/load")[1]
@@ -178,8 +178,8 @@
 def test_cache_events_have_gaps(start):
     client = start(event_drop_every=2, prefix_hashes=lambda prompt: (11, 12, 13))
     chunks(client.open("r1", prompt="x" * 400))
-    answer = client.json("GET", "/cache-events?after=1")[1]
-    assert answer == {"events": [{"sequence": 3, "kind": "stored", "block": 13}], "next": 3}
+    response = client.json("GET", "/cache-events?after=1")[1]
+    assert response == {"events": [{"sequence": 3, "kind": "stored", "block": 13}], "next": 3}
 
 
 @pytest.mark.parametrize(("checks", "status"), [(True, 409), (False, 200)])
@@ -194,10 +194,10 @@
 
 def test_stopping_frees_the_port_while_streams_run(start):
     client = start()
-    answer = client.open("r1", tokens=4000)
+    response = client.open("r1", tokens=4000)
     stopper = threading.Thread(target=client.server.stop)
     stopper.start()
-    assert chunks(answer)[-1] == "lost"
+    assert chunks(response)[-1] == "lost"
     stopper.join()
     host, _, port = client.server.address.partition(":")
     with pytest.raises(ConnectionRefusedError):
--- a/tests/standins/test_plainservice.py
+++ b/tests/standins/test_plainservice.py
@@ -1,4 +1,4 @@
-"""The stand-in service counts what it ran and commits the faults it is told to."""
+"""The stand-in service counts its runs and injects the faults that are set."""
 
 import pytest
 import urllib3
@@ -39,7 +39,7 @@
     assert (found["runs"][0]["body"], found["runs"][0]["query"]) == ("x", {"a": "b"})
 
 
-def test_a_lost_answer_was_run(pool):
+def test_a_request_whose_response_is_lost_was_run(pool):
     faults(pool, lose_answers=True, delay_s=0.01)
     with pytest.raises(urllib3.exceptions.ProtocolError):
         call(pool)
@@ -48,8 +48,8 @@
 
 def test_a_refused_call_was_not_run(pool):
     faults(pool, refuse=True)
-    answer = call(pool)
-    assert (answer.status, answer.headers["X-Not-Run"]) == (503, "true")
+    response = call(pool)
+    assert (response.status, response.headers["X-Not-Run"]) == (503, "true")
     assert (ledger(pool)["runs"], ledger(pool)["refused"]) == ([], 1)
 
 
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -1,4 +1,4 @@
-"""The stand-in platform and the HTTP adapter, against each other."""
+"""The stand-in platform and the HTTP store client, tested against each other."""
 
 import pytest
 import urllib3
@@ -28,7 +28,7 @@
     return client.transact((contract.Condition(key, 0),), (contract.Put(key, "v"),))
 
 
-def test_rows_go_there_and_back(client):
+def test_rows_are_written_and_read_back(client):
     assert put_new(client) == contract.Committed({KEY: 1})
     row = contract.Row(KEY, "v", 1)
     assert client.read(KEY) == contract.Found(row)
@@ -50,7 +50,7 @@
     )
 
 
-def test_history_that_is_gone_is_said_to_be(server, client):
+def test_lost_history_is_reported(server, client):
     put_new(client, "nodes/a")
     server.platform.forget_history()
     assert client.changes("nodes", 0, 0.0) == contract.HistoryLost()
@@ -69,7 +69,7 @@
     assert put_new(client) == contract.Conflict(KEY)
 
 
-def test_objects_go_there_and_back(client):
+def test_objects_are_written_and_read_back(client):
     assert client.put("o/1", "zażółć") == contract.Committed({})
     assert client.get("o/1") == contract.Found(contract.Row("o/1", "zażółć", 0))
     assert client.get("o/2") == contract.Missing("o/2")
@@ -95,7 +95,7 @@
     assert client.read(KEY) == contract.Missing(KEY)
 
 
-def test_lost_answer_is_unknown_and_took_effect(server, client):
+def test_write_with_a_lost_response_is_unknown_and_took_effect(server, client):
     server.platform.set_faults(memory.Faults(lose_answers=True))
     assert isinstance(put_new(client), contract.Unknown)
     assert isinstance(client.put("o", "x"), contract.Unknown)
