--- a/hornbeamglade/bench/load.py
+++ b/hornbeamglade/bench/load.py
@@ -107,7 +107,7 @@
 ) -> LoadResult:
     """Run the load against nodes that are already running.
 
-    :param addresses: ``ip:port`` of the nodes; each team prefers another first address.
+    :param addresses: ``ip:port`` of the nodes; teams start with different addresses.
     """
     addresses_by_team = {}
     for number, team in enumerate(sorted(key_by_team)):
@@ -147,7 +147,7 @@
     """Compute the result from the requests that were due after the warm-up."""
     results = [result for result in report.results if result.at_s >= shape.warmup_s]
     started = [result for result in results if result.tokens]
-    whole = [result for result in started if result.ending == "complete"]
+    complete = [result for result in started if result.ending == "complete"]
     refused = [result for result in results if result.ending == "refused"]
     tokens = sum(result.tokens for result in started)
     stalls_s = sorted(result.stall_s for result in started)
@@ -158,7 +158,7 @@
         count_by_ending=dict(collections.Counter(result.ending for result in results)),
         refusals_by_code=dict(collections.Counter(result.code for result in refused)),
         refused_share_by_team=_share_by_team(results, refused),
-        goodput=sum(result.tokens for result in whole) / (shape.seconds - shape.warmup_s),
+        goodput=sum(result.tokens for result in complete) / (shape.seconds - shape.warmup_s),
         stalled=_share(sum(stall_s > 0 for stall_s in stalls_s), len(started)),
         stall_s_per_1000_tokens=_share(1000 * sum(stalls_s), tokens),
         stall_p99_s=quantile(stalls_s, 0.99),
@@ -185,8 +185,8 @@
     return ascending[max(rank, 1) - 1]
 
 
-def _share(part: float, whole: float) -> float:
-    return part / whole if whole else 0.0
+def _share(part: float, total: float) -> float:
+    return part / total if total else 0.0
 
 
 def _share_by_team(
--- a/hornbeamglade/bench/loadresponses.py
+++ b/hornbeamglade/bench/loadresponses.py
@@ -123,8 +123,8 @@
         return True
 
     def _take_raw(self) -> bytes:
-        taken, self._raw = self._raw, b""
-        return taken
+        data, self._raw = self._raw, b""
+        return data
 
     def _dechunked(self) -> bytes:
         parts = []
--- a/hornbeamglade/bench/loadtraffic.py
+++ b/hornbeamglade/bench/loadtraffic.py
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lengths:
-    """Truncated log-normal distribution of response lengths.
+    """Log-normal distribution of response lengths, clamped to a maximum.
 
     :param median: median in tokens.
     :param sigma: standard deviation of the logarithm.
--- a/hornbeamglade/bench/recoveryanalysis.py
+++ b/hornbeamglade/bench/recoveryanalysis.py
@@ -18,7 +18,7 @@
 from hornbeamglade.bench import recoverycallers
 
 SLOW_FACTOR = 3.0
-_USUAL_PERCENT = 95
+_BASELINE_PERCENT = 95
 
 Records = collections.abc.Sequence[recoverycallers.Record]
 
@@ -98,9 +98,9 @@
     texts = [record for record in requests if not record.call.is_hold]
     holds = [record.first_s for record in requests if record.call.is_hold]
     return Baseline(
-        percentile([record.first_s for record in texts], _USUAL_PERCENT),
-        percentile([record.gap_s for record in texts], _USUAL_PERCENT),
-        percentile(holds, _USUAL_PERCENT),
+        percentile([record.first_s for record in texts], _BASELINE_PERCENT),
+        percentile([record.gap_s for record in texts], _BASELINE_PERCENT),
+        percentile(holds, _BASELINE_PERCENT),
     )
 
 
@@ -120,7 +120,7 @@
     last_sent = max((record.call.due_at for _, record in affected), default=observation.fault_at)
     ended = collections.Counter(record.ending for _, record in affected)
     failed = [record for _, record in affected if not _is_complete(record)]
-    calm = _baseline_records(observation)
+    baseline_records = _baseline_records(observation)
     return Trial(
         victim=observation.victim,
         recovery_s=last - observation.fault_at if observation.has_recovered else math.inf,
@@ -130,8 +130,10 @@
         cut=ended[recoverycallers.Ending.CUT],
         unknown=ended[recoverycallers.Ending.UNKNOWN],
         slow=ended[recoverycallers.Ending.WHOLE],
-        calm_requests=len(calm),
-        calm_affected=sum(affected_at(record, reference) is not None for record in calm),
+        calm_requests=len(baseline_records),
+        calm_affected=sum(
+            affected_at(record, reference) is not None for record in baseline_records
+        ),
         count_by_code=dict(collections.Counter(map(_failure_label, failed))),
         broken=observation.broken,
     )
--- a/hornbeamglade/bench/recoverycallers.py
+++ b/hornbeamglade/bench/recoverycallers.py
@@ -122,10 +122,10 @@
                 self.mark_failed(address)
                 continue
             if parser.status == 200 and parser.complete:
-                answer = json.loads(parser.body)
+                document = json.loads(parser.body)
                 with self._lock:
-                    self._listed = tuple(answer["addresses"])
-                return float(answer["ttl_s"])
+                    self._listed = tuple(document["addresses"])
+                return float(document["ttl_s"])
         return ADDRESSES_TIMEOUT_S
 
 
@@ -162,11 +162,11 @@
 
     def _attempt(self, address: str, request_bytes: bytes, record: Record) -> bool:
         """Try one address; return whether the request has ended."""
-        answer = _ResponseRecorder(record)
+        recorder = _ResponseRecorder(record)
         try:
-            return answer.conclude(
+            return recorder.conclude(
                 recoveryexchange.send_request(
-                    address, request_bytes, READ_TIMEOUT_S, answer.record_event
+                    address, request_bytes, READ_TIMEOUT_S, recorder.record_event
                 )
             )
         except TimeoutError as error:
--- a/hornbeamglade/capacity/dutyvalues.py
+++ b/hornbeamglade/capacity/dutyvalues.py
@@ -6,7 +6,7 @@
 from hornbeamglade.membership import dissemination
 from hornbeamglade.node import upkeep
 
-PLACE_NODES = 360
+PLACEMENT_NODES = 360
 """Number of nodes in the measurement of team placement."""
 
 MICROSECOND = 1e-6
@@ -88,8 +88,8 @@
 
 def placement_pass_s(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> float:
     """Return the CPU seconds of placing every team on its nodes once."""
-    whole = measured.at("teams.place_us", size.teams) * MICROSECOND
-    return whole * size.nodes / PLACE_NODES
+    total_s = measured.at("teams.place_us", size.teams) * MICROSECOND
+    return total_s * size.nodes / PLACEMENT_NODES
 
 
 def placement_passes_per_day(size: targetsize.SiteSize) -> float:
--- a/hornbeamglade/capacity/measuringprocesses.py
+++ b/hornbeamglade/capacity/measuringprocesses.py
@@ -62,7 +62,7 @@
 
 
 def measure() -> collections.abc.Iterator[slopes.Slope]:
-    """Measure the group; takes some minutes."""
+    """Measure the group; this takes several minutes."""
     yield from _by_nodes()
     yield from _by_teams()
     yield from _by_owned()
--- a/hornbeamglade/capacity/measuringrelay.py
+++ b/hornbeamglade/capacity/measuringrelay.py
@@ -16,7 +16,7 @@
 
 
 def measure() -> collections.abc.Iterator[slopes.Slope]:
-    """Measure the group; takes two minutes."""
+    """Measure the group; this takes two minutes."""
     with tempfile.TemporaryDirectory() as folder:
         results = relay.run(_SHAPE, pathlib.Path(folder))
     for way, carrier in _CARRIER_BY_WAY.items():
--- a/hornbeamglade/capacity/measuringrouting.py
+++ b/hornbeamglade/capacity/measuringrouting.py
@@ -66,7 +66,7 @@
         digest = messages.ReplicaDigest(name, 100_000 + number, number % 3, 0)
         digests.record(samplesite.node_name(number // 5), (digest,))
     for name in catalog.known_by_name:
-        # Each choice looks at other random replicas, so over time all are looked up.
+        # Each choice samples other replicas, so over time the prefixes of all are looked up.
         catalog.prefix_sequence(name)
     clock.advance(0.5)
     return catalog
--- a/tests/bench/test_load.py
+++ b/tests/bench/test_load.py
@@ -171,8 +171,8 @@
     head = (
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     )
-    whole = loadresponses.ResponseParser()
-    expected = whole.feed(head + framed)
+    expected_parser = loadresponses.ResponseParser()
+    expected = expected_parser.feed(head + framed)
     reader = loadresponses.ResponseParser()
     rest = head + framed
     events = []
@@ -202,7 +202,7 @@
     assert 0.7 < share < 0.8
 
 
-def test_lengths_are_truncated():
+def test_lengths_are_clamped():
     lengths = loadtraffic.Lengths(median=100, sigma=2.0, longest=300)
     drawn = [lengths.draw(random.Random(seed)) for seed in range(300)]
     assert (min(drawn) >= 1, max(drawn)) == (True, 300)
--- a/tests/bench/test_recovery.py
+++ b/tests/bench/test_recovery.py
@@ -127,9 +127,9 @@
 
 
 def test_baseline_is_taken_from_complete_requests_before_the_fault():
-    calm = [_record(6.0, first_at=6.0 + n / 100, gap_s=n / 1000) for n in range(1, 21)]
+    before_fault = [_record(6.0, first_at=6.0 + n / 100, gap_s=n / 1000) for n in range(1, 21)]
     observation = _observation(
-        *calm, _record(6.0, "cut", first_at=8.0), _record(10.5, first_at=19.0)
+        *before_fault, _record(6.0, "cut", first_at=8.0), _record(10.5, first_at=19.0)
     )
     baseline = recoveryanalysis.baseline([observation])
     assert (round(baseline.first_s, 3), baseline.gap_s) == (0.19, 0.019)
@@ -187,8 +187,8 @@
 
 def test_caller_tries_the_next_address_when_a_connection_fails(serve):
     closing = serve()
-    whole = serve(_HEAD, *(_token("aaaaaaaa", n) for n in range(3)), _DONE)
-    record = _send("127.0.0.1:1", closing, whole)
+    complete = serve(_HEAD, *(_token("aaaaaaaa", n) for n in range(3)), _DONE)
+    record = _send("127.0.0.1:1", closing, complete)
     assert (record.ending, record.attempts) == (recoverycallers.Ending.WHOLE, 3)
 
 
--- a/tests/capacity/test_fits.py
+++ b/tests/capacity/test_fits.py
@@ -9,7 +9,7 @@
 
 @given(numbers, numbers)
 @settings(derandomize=True, database=None, deadline=None, max_examples=50)
-def test_a_straight_line_is_found_and_carried_on(intercept, slope):
+def test_a_straight_line_is_found_and_extrapolated(intercept, slope):
     fit = fits.fit([fits.Point(size, intercept + slope * size) for size in (1, 2, 4, 8)])
     assert fit.power == fits.LINEAR
     assert fit.at(80) == pytest.approx(intercept + 80 * slope, rel=1e-6)
