--- a/hornbeamglade/cli/soak.py
+++ b/hornbeamglade/cli/soak.py
@@ -1,4 +1,4 @@
-"""``hornbeamglade soak``: hurt a small site at random and hold it to its promises."""
+"""``hornbeamglade soak``: inject random faults into a small site and check its guarantees."""
 
 import collections.abc
 import pathlib
@@ -15,12 +15,12 @@
 @click.command()
 @click.option("--seeds", "told", default="1", show_default=True, help="Such as 3 or 1-50 or 2,9.")
 @click.option("--seconds", default=12.0, show_default=True, help="How long faults begin.")
-@click.option("--kept", is_flag=True, help="Play the seeds that have failed before, too.")
+@click.option("--kept", is_flag=True, help="Also run the seeds that have failed before.")
 @click.option(
     "--folder", type=click.Path(path_type=pathlib.Path), help="Keeps each seed's logs here."
 )
 def soak(told: str, seconds: float, kept: bool, folder: pathlib.Path | None) -> None:
-    """Play seeds, one after the other; the exit code is 1 when a promise was broken."""
+    """Run seeds one after the other; the exit code is 1 when a guarantee was violated."""
     chosen = _seeds(told)
     if kept:
         chosen += [seed for seed in seeds.CAUSE_BY_SEED if seed not in chosen]
@@ -30,7 +30,7 @@
 
 
 def _is_kept(seed: int, seconds: float, folder: pathlib.Path | None) -> bool:
-    """Play a seed and tell what came of it; return whether all promises were kept."""
+    """Run a seed and print its result; return whether all guarantees held."""
     with tempfile.TemporaryDirectory(prefix="hornbeamglade-soak-") as scratch:
         place = pathlib.Path(scratch) if folder is None else folder / f"seed-{seed}"
         place.mkdir(parents=True, exist_ok=True)
@@ -47,9 +47,9 @@
 
 
 def _seeds(told: str) -> list[int]:
-    """Read numbers and ranges of them.
+    """Parse a list of numbers and ranges.
 
-    :raises BadParameter: when they cannot be read.
+    :raises BadParameter: when it cannot be parsed.
 
     Examples
     ========
--- a/hornbeamglade/soak/__init__.py
+++ b/hornbeamglade/soak/__init__.py
@@ -1,18 +1,19 @@
-"""A randomized soak: real processes, faults from outside, promises checked by what is seen.
+"""Randomized soak test with real processes, injected faults and checks of the guarantees.
 
 Explanation
 ===========
 
-A seed names a plan of faults on a site of separate processes on loopback. Callers go on all
-the while, with connections that they keep; what they saw and what backend servers ran is
-then held against what the system promises. A seed that ever failed is kept.
+A seed determines a plan of faults for a site of separate processes on loopback. Callers send
+requests throughout, on persistent connections. Afterwards, the responses that they received
+and the requests that backend servers ran are checked against the system's guarantees. Every
+seed that ever failed is kept.
 
-- :mod:`hornbeamglade.soak.soaksite`: the site, the links before its servers, and what was done
+- :mod:`hornbeamglade.soak.soaksite`: the site, the proxies of its servers, the fault history
 - :mod:`hornbeamglade.soak.faults`: the kinds of faults
-- :mod:`hornbeamglade.soak.plan`: which faults a seed brings, when and for how long
-- :mod:`hornbeamglade.soak.callerpool`: callers
-- :mod:`hornbeamglade.soak.checks`: the promises
-- :mod:`hornbeamglade.soak.running`: one seed from start to verdict
-- :mod:`hornbeamglade.soak.skewedentry`: an instance whose wall clock can be moved
+- :mod:`hornbeamglade.soak.plan`: the faults of a seed, their times and durations
+- :mod:`hornbeamglade.soak.callerpool`: the callers
+- :mod:`hornbeamglade.soak.checks`: the checks of the guarantees
+- :mod:`hornbeamglade.soak.running`: runs one seed from start to verdict
+- :mod:`hornbeamglade.soak.skewedentry`: an instance whose wall clock can be shifted
 - :mod:`hornbeamglade.soak.seeds`: seeds that have failed, with the cause of each
 """
--- a/hornbeamglade/soak/checks.py
+++ b/hornbeamglade/soak/checks.py
@@ -1,4 +1,4 @@
-"""The promises, held against what callers saw and what backend servers ran."""
+"""Checks of the guarantees against callers' results and backend servers' ledgers."""
 
 import collections
 import collections.abc
@@ -10,23 +10,23 @@
 from hornbeamglade.standins import operatordocuments, routedcaller
 
 NOT_RUN = frozenset((408, 421, 429, 503))
-"""Statuses that promise that the request has not run and never will."""
+"""Statuses that guarantee that the request has not run and never will."""
 
 CLIENT_ERRORS = frozenset((400, 401, 403, 404, 413, 431))
 
-LEAST_SERVED = 0.2
-"""Share of requests that are served in a run of many faults; below it the run shows little,
-and something keeps the instances from serving."""
+MIN_SERVED_SHARE = 0.2
+"""Least share of requests that must be served in a run with many faults. Below it the run shows
+little, and something keeps the instances from serving."""
 
 KEY_BOUND_S = 5.0
-"""A key that was taken away is refused by then, where the store could be reached."""
+"""A revoked key is refused after this time, if the store could be reached."""
 
 EVACUATED_BOUND_S = 5.0
-"""Nothing new runs in an evacuated failure domain after this, where the store and instances
-were well."""
+"""No new request runs in an evacuated failure domain after this time, if the store and the
+instances were healthy."""
 
 PROPAGATION_S = 3.0
-"""All instances in touch know by then what one of them has learned."""
+"""Within this time, all connected instances know what one of them has learned."""
 
 CRASHES = 3
 LIMIT_WINDOW_S = 4.0
@@ -37,11 +37,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was not kept.
+    """A violated guarantee.
 
-    :param promise: its name.
-    :param request_id: the request that shows it, or an empty text.
-    :param detail: what was seen.
+    :param promise: the name of the guarantee.
+    :param request_id: the request that shows the violation, or an empty text.
+    :param detail: what was observed.
     """
 
     promise: str
@@ -51,19 +51,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Evidence:
-    """All that a run left behind.
-
-    :param seen: what callers saw.
-    :param ran: what backend servers ran.
-    :param done: what was done to the site.
-    :param taken_at_by_key: when the store took the word that a key is no longer valid.
-    :param given_at_by_key: when it took the word of a new one.
-    :param evacuated: which failure domains were evacuated, and when.
-    :param limited: which servers named limits, and when.
-    :param events: events of a whole stream.
+    """All observations of one run.
+
+    :param results: the results that callers received.
+    :param runs: the requests that backend servers ran.
+    :param fault_records: the faults that were injected.
+    :param revoked_at_by_key: when the store accepted the revocation of a key.
+    :param issued_at_by_key: when the store accepted a new key.
+    :param evacuated: the failure domains that were evacuated, and when.
+    :param limited: the servers that announced rate limits, and when.
+    :param events: number of events of a complete stream.
     """
 
-    seen: tuple[routedcaller.CallerResult, ...]
+    results: tuple[routedcaller.CallerResult, ...]
     runs: tuple[RunRecord, ...]
     fault_records: tuple[soaksite.FaultRecord, ...]
     revoked_at_by_key: dict[str, float]
@@ -81,133 +81,139 @@
 
 
 def violations(evidence: Evidence) -> tuple[Violation, ...]:
-    """Return every promise that was not kept."""
+    """Return all violations of guarantees."""
     runs_by_id = evidence.runs_by_id()
     found: list[Violation] = []
-    for seen in evidence.seen:
-        found += _of_answer(seen, evidence.events)
-        found += _of_runs(seen, runs_by_id.get(seen.request_id, []))
-        found += _of_key(seen, evidence)
-    found += _of_keys_that_come_back(evidence)
-    found += _of_strangers(evidence)
-    found += _of_evacuations(evidence)
-    found += _of_fatal_requests(evidence)
-    found += _of_limits(evidence)
-    found += _of_service(evidence)
+    for result in evidence.results:
+        found += _check_response(result, evidence.events)
+        found += _check_runs(result, runs_by_id.get(result.request_id, []))
+        found += _check_key(result, evidence)
+    found += _check_key_regressions(evidence)
+    found += _check_unknown_requests(evidence)
+    found += _check_evacuations(evidence)
+    found += _check_crashing_requests(evidence)
+    found += _check_limits(evidence)
+    found += _check_served_share(evidence)
     return tuple(found)
 
 
-def _of_answer(
-    seen: routedcaller.CallerResult, whole_events: int
+def _check_response(
+    result: routedcaller.CallerResult, whole_events: int
 ) -> collections.abc.Iterator[Violation]:
-    """Return what is wrong with an answer by itself."""
-    if seen.status is None:
+    """Return the violations that a single response shows."""
+    if result.status is None:
         return
-    if seen.is_sealed and seen.status == 200 and seen.is_stream:
-        yield from _of_stream(seen, whole_events)
-    elif seen.is_sealed and seen.is_whole:
-        _, _, request_id = seen.body.decode("latin-1").rpartition(":")
-        if request_id != seen.request_id:
-            yield Violation("own_answer", seen.request_id, f"got {seen.body[:60]!r}")
-    elif seen.status == 200 and not seen.is_sealed:
-        yield Violation("proved_answer", seen.request_id, "a success without its replica's proof")
-    if seen.status == 404 or (seen.status in CLIENT_ERRORS - {401} and seen.is_whole):
-        yield Violation("not_denied", seen.request_id, f"status {seen.status}")
-
-
-def _of_stream(
-    seen: routedcaller.CallerResult, whole_events: int
+    if result.is_sealed and result.status == 200 and result.is_stream:
+        yield from _check_stream(result, whole_events)
+    elif result.is_sealed and result.is_whole:
+        _, _, request_id = result.body.decode("latin-1").rpartition(":")
+        if request_id != result.request_id:
+            yield Violation("own_answer", result.request_id, f"got {result.body[:60]!r}")
+    elif result.status == 200 and not result.is_sealed:
+        yield Violation(
+            "proved_answer", result.request_id, "a success without its replica's proof"
+        )
+    if result.status == 404 or (result.status in CLIENT_ERRORS - {401} and result.is_whole):
+        yield Violation("not_denied", result.request_id, f"status {result.status}")
+
+
+def _check_stream(
+    result: routedcaller.CallerResult, whole_events: int
 ) -> collections.abc.Iterator[Violation]:
-    expected = [(number, f"{seen.request_id}.{number}") for number in range(1, whole_events + 1)]
-    if list(seen.events) != expected[: len(seen.events)]:
-        yield Violation("events_in_order", seen.request_id, f"{len(seen.events)} events")
-    if seen.is_whole and len(seen.events) != whole_events:
-        yield Violation("whole_only_when_whole", seen.request_id, f"{len(seen.events)} events")
+    expected = [(number, f"{result.request_id}.{number}") for number in range(1, whole_events + 1)]
+    if list(result.events) != expected[: len(result.events)]:
+        yield Violation("events_in_order", result.request_id, f"{len(result.events)} events")
+    if result.is_whole and len(result.events) != whole_events:
+        yield Violation("whole_only_when_whole", result.request_id, f"{len(result.events)} events")
 
 
-def _of_runs(
-    seen: routedcaller.CallerResult, runs: list[RunRecord]
+def _check_runs(
+    result: routedcaller.CallerResult, runs: list[RunRecord]
 ) -> collections.abc.Iterator[Violation]:
-    """Return what is wrong with how often and how a request was run."""
-    terms = operatordocuments.SETTINGS_BY_ROUTE[seen.route]
-    is_single = terms.kind == "non_idempotent" or (seen.is_stream and not terms.is_resumable)
-    if len(runs) > (1 if is_single else terms.max_attempts):
-        yield Violation("run_as_often_as_allowed", seen.request_id, f"{len(runs)} runs")
-    if seen.status in NOT_RUN and not seen.is_sealed and runs:
-        yield Violation("not_run_is_true", seen.request_id, f"status {seen.status}, but it ran")
+    """Return violations in how often and in what form a request was run."""
+    settings = operatordocuments.SETTINGS_BY_ROUTE[result.route]
+    is_single = settings.kind == "non_idempotent" or (
+        result.is_stream and not settings.is_resumable
+    )
+    if len(runs) > (1 if is_single else settings.max_attempts):
+        yield Violation("run_as_often_as_allowed", result.request_id, f"{len(runs)} runs")
+    if result.status in NOT_RUN and not result.is_sealed and runs:
+        yield Violation(
+            "not_run_is_true", result.request_id, f"status {result.status}, but it ran"
+        )
     for each in runs:
-        if each["team"] != soaksite.team_of(seen.key):
-            yield Violation("own_team", seen.request_id, f"ran for {each['team']!r}")
+        if each["team"] != soaksite.team_of(result.key):
+            yield Violation("own_team", result.request_id, f"ran for {each['team']!r}")
         if routedcaller.RESERVED & set(each["names"]):
-            yield Violation("nothing_reserved_passes", seen.request_id, str(each["names"]))
-        if each["body"] != seen.request_id or each["target"] != f"/{seen.route}/1?q=2":
+            yield Violation("nothing_reserved_passes", result.request_id, str(each["names"]))
+        if each["body"] != result.request_id or each["target"] != f"/{result.route}/1?q=2":
             yield Violation(
-                "passes_unchanged", seen.request_id, f"{each['target']} {each['body']}"
+                "passes_unchanged", result.request_id, f"{each['target']} {each['body']}"
             )
 
 
-def _of_key(
-    seen: routedcaller.CallerResult, evidence: Evidence
+def _check_key(
+    result: routedcaller.CallerResult, evidence: Evidence
 ) -> collections.abc.Iterator[Violation]:
-    """Return whether a key was refused that is valid, or the other way round."""
-    revoked_at = evidence.revoked_at_by_key.get(seen.key)
-    issued_at = evidence.issued_at_by_key.get(seen.key)
+    """Return whether a valid key was refused or a revoked key accepted."""
+    revoked_at = evidence.revoked_at_by_key.get(result.key)
+    issued_at = evidence.issued_at_by_key.get(result.key)
     was_always_valid = revoked_at is None and issued_at is None
-    if seen.status == 401 and was_always_valid:
-        yield Violation("valid_key_is_let_in", seen.request_id, seen.key)
-    if revoked_at is None or seen.status != 200:
+    if result.status == 401 and was_always_valid:
+        yield Violation("valid_key_is_let_in", result.request_id, result.key)
+    if revoked_at is None or result.status != 200:
         return
     since = revoked_at + KEY_BOUND_S
-    if seen.sent_at > since and not _was_disturbed(
-        evidence.fault_records, revoked_at, seen.sent_at
+    if result.sent_at > since and not _was_disturbed(
+        evidence.fault_records, revoked_at, result.sent_at
     ):
-        yield Violation("taken_key_is_refused", seen.request_id, seen.key)
+        yield Violation("taken_key_is_refused", result.request_id, result.key)
 
 
 def _was_disturbed(
     fault_records: collections.abc.Iterable[soaksite.FaultRecord], began_at: float, ended_at: float
 ) -> bool:
-    """Tell whether the store, an instance or the links between were hurt meanwhile."""
+    """Return whether a fault hit the store, an instance or its link in the given period."""
     return any(
-        (each.where == "store" or each.where.startswith("entry-"))
+        (each.component == "store" or each.component.startswith("entry-"))
         and each.began_at < ended_at
         and each.ended_at > began_at
         for each in fault_records
     )
 
 
-def _of_keys_that_come_back(evidence: Evidence) -> collections.abc.Iterator[Violation]:
-    """Return whether an instance let a key in that it had refused before, in one life."""
-    by_place: dict[tuple[str, str], list[routedcaller.CallerResult]] = collections.defaultdict(
-        list
+def _check_key_regressions(evidence: Evidence) -> collections.abc.Iterator[Violation]:
+    """Return whether one incarnation accepted a key that it had refused before."""
+    results_by_place: dict[tuple[str, str], list[routedcaller.CallerResult]] = (
+        collections.defaultdict(list)
     )
-    for seen in evidence.seen:
-        if seen.key in evidence.revoked_at_by_key:
-            by_place[seen.address, seen.key].append(seen)
-    starts = [each.began_at for each in evidence.fault_records if _ends_a_life(each)]
-    for (_, key), all_seen in by_place.items():
-        refused = [each for each in all_seen if each.status == 401]
+    for result in evidence.results:
+        if result.key in evidence.revoked_at_by_key:
+            results_by_place[result.address, result.key].append(result)
+    starts = [each.began_at for each in evidence.fault_records if _ends_incarnation(each)]
+    for (_, key), key_results in results_by_place.items():
+        refused = [each for each in key_results if each.status == 401]
         for first in sorted(refused, key=lambda each: each.ended_at)[:1]:
-            for later in all_seen:
+            for later in key_results:
                 was_restarted = any(first.sent_at < at < later.ended_at for at in starts)
                 if later.sent_at > first.ended_at and later.status == 200 and not was_restarted:
                     yield Violation("configuration_never_goes_back", later.request_id, key)
 
 
-def _ends_a_life(fault_records: soaksite.FaultRecord) -> bool:
-    return fault_records.what in ("InstanceKilled", "InstanceStopped")
+def _ends_incarnation(fault_record: soaksite.FaultRecord) -> bool:
+    return fault_record.name in ("InstanceKilled", "InstanceStopped")
 
 
-def _of_strangers(evidence: Evidence) -> collections.abc.Iterator[Violation]:
-    """Return runs of requests that no caller sent."""
-    asked = {seen.request_id for seen in evidence.seen}
+def _check_unknown_requests(evidence: Evidence) -> collections.abc.Iterator[Violation]:
+    """Return runs of requests that no caller sent, as violations."""
+    sent_ids = {result.request_id for result in evidence.results}
     for each in evidence.runs:
-        if each["request_id"] not in asked and each["body"] != routedsite.FATAL_BODY:
+        if each["request_id"] not in sent_ids and each["body"] != routedsite.FATAL_BODY:
             yield Violation("nothing_unasked_runs", each["request_id"], each["replica_id"])
 
 
-def _of_evacuations(evidence: Evidence) -> collections.abc.Iterator[Violation]:
-    """Return runs that began in a failure domain when it had been evacuated for long."""
+def _check_evacuations(evidence: Evidence) -> collections.abc.Iterator[Violation]:
+    """Return runs that began in a failure domain too long after its evacuation."""
     for evacuated in evidence.evacuated:
         since = evacuated.accepted_at + EVACUATED_BOUND_S
         for each in evidence.runs:
@@ -221,8 +227,8 @@
                 )
 
 
-def _of_fatal_requests(evidence: Evidence) -> collections.abc.Iterator[Violation]:
-    """Return whether a request that crashes servers was sent on when all had to know."""
+def _check_crashing_requests(evidence: Evidence) -> collections.abc.Iterator[Violation]:
+    """Return whether a request that crashes servers was routed after all instances had to know."""
     runs = sorted(
         (each for each in evidence.runs if each["body"] == routedsite.FATAL_BODY),
         key=lambda each: each["at"],
@@ -240,8 +246,8 @@
         yield Violation("fatal_request_is_refused", late[-1]["request_id"], f"{len(runs)} crashes")
 
 
-def _of_limits(evidence: Evidence) -> collections.abc.Iterator[Violation]:
-    """Return whether a server that had named a limit got more than that."""
+def _check_limits(evidence: Evidence) -> collections.abc.Iterator[Violation]:
+    """Return whether a server got more requests than the limit that it announced."""
     for limited in evidence.limited:
         since = limited.began_at + PROPAGATION_S
         times = sorted(
@@ -252,16 +258,16 @@
         allowed = 1.5 * limited.requests_per_s * LIMIT_WINDOW_S + LIMIT_SLACK
         for begin in times:
             count = sum(begin <= at < begin + LIMIT_WINDOW_S for at in times)
-            was_hurt = _was_disturbed(
+            was_disturbed = _was_disturbed(
                 evidence.fault_records, limited.began_at, begin + LIMIT_WINDOW_S
             )
-            if count > allowed and not was_hurt:
+            if count > allowed and not was_disturbed:
                 yield Violation("limit_is_kept_to", "", f"{limited.replica_id}: {count} requests")
                 break
 
 
-def _of_service(evidence: Evidence) -> collections.abc.Iterator[Violation]:
-    """Return whether the instances served next to nothing."""
-    served = sum(seen.status == 200 and seen.is_whole for seen in evidence.seen)
-    if served < LEAST_SERVED * len(evidence.seen):
-        yield Violation("serves", "", f"{served} of {len(evidence.seen)} requests")
+def _check_served_share(evidence: Evidence) -> collections.abc.Iterator[Violation]:
+    """Return whether the instances served too few requests."""
+    served = sum(result.status == 200 and result.is_whole for result in evidence.results)
+    if served < MIN_SERVED_SHARE * len(evidence.results):
+        yield Violation("serves", "", f"{served} of {len(evidence.results)} requests")
--- a/hornbeamglade/soak/faults.py
+++ b/hornbeamglade/soak/faults.py
@@ -1,4 +1,4 @@
-"""The kinds of faults, each inflicted from outside the process that it hits."""
+"""The kinds of faults, each injected from outside the affected process."""
 
 import abc
 import dataclasses
@@ -13,372 +13,374 @@
 from hornbeamglade.standins import routedcaller
 
 EXIT_S = 12.0
-"""An instance that is told to stop has eight seconds; the platform would kill it then."""
+"""A stopping instance has eight seconds, after which the platform would kill it."""
 
 NOTICE_S = 1.5
-"""How long an engine serves on that was told to stop, as on the operators' platform."""
+"""How long a leaving engine continues to serve, as on the operators' platform."""
 
 POLL_S = 0.05
 REWRITTEN_S = 1.0
-"""Operators and servers write again what a store has lost after about this."""
+"""Time after which operators and servers write lost rows to the store again."""
 
 LIMIT_PER_S = 1.5
 FATAL_PAUSE_S = 0.4
 
 
 class Fault(abc.ABC):
-    """One thing that goes wrong, or one piece of planned work.
+    """A failure, or a planned operation.
 
-    :param where: the part of the site that it hits.
+    :param component: the affected component of the site.
     """
 
-    lasts_more_s = 0.0
-    """What it lasts longer than the others."""
+    extra_duration_s = 0.0
+    """Time added to the random duration."""
 
-    def __init__(self, where: str) -> None:
-        self.where = where
+    def __init__(self, component: str) -> None:
+        self.component = component
 
     @property
-    def what(self) -> str:
-        """The fault's name."""
+    def name(self) -> str:
+        """The name of the fault."""
         return type(self).__name__
 
     @abc.abstractmethod
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Let it begin."""
+        """Start the fault."""
 
     @abc.abstractmethod
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Let it be over; the part works as before afterwards."""
+        """End the fault; afterwards the component works as before."""
 
 
 class InstanceKilled(Fault):
-    """An instance is killed and started again."""
+    """An instance is killed and restarted."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
         """Kill it."""
-        soak_site.site.child_by_name[self.where].send(signal.SIGKILL)
+        soak_site.site.child_by_name[self.component].send(signal.SIGKILL)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Start it again."""
-        soak_site.site.start_instance(self.where)
+        """Restart it."""
+        soak_site.site.start_instance(self.component)
 
 
 class InstanceStopped(Fault):
-    """An instance is told to stop, and started again once it has."""
+    """An instance is stopped with SIGTERM, and restarted once it has ended."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Tell it to stop."""
-        soak_site.site.child_by_name[self.where].send(signal.SIGTERM)
+        """Send SIGTERM."""
+        soak_site.site.child_by_name[self.component].send(signal.SIGTERM)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Wait for its end, as the platform does, and start it again."""
-        child = soak_site.site.child_by_name[self.where]
+        """Wait for its end, as the platform does, and restart it."""
+        child = soak_site.site.child_by_name[self.component]
         until = time.monotonic() + EXIT_S
         while not child.ended() and time.monotonic() < until:
             time.sleep(POLL_S)
-        soak_site.site.start_instance(self.where)
+        soak_site.site.start_instance(self.component)
 
 
 class InstancePaused(Fault):
-    """An instance stands still for a while."""
+    """An instance is paused for a while."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Halt it."""
-        soak_site.site.child_by_name[self.where].send(signal.SIGSTOP)
+        """Pause it."""
+        soak_site.site.child_by_name[self.component].send(signal.SIGSTOP)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Let it go on."""
-        soak_site.site.child_by_name[self.where].send(signal.SIGCONT)
+        """Resume it."""
+        soak_site.site.child_by_name[self.component].send(signal.SIGCONT)
 
 
 class InstanceReloaded(Fault):
-    """An instance's settings change, and it is told so."""
+    """An instance's settings file changes, and it gets SIGHUP."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Change its settings."""
-        settings = soak_site.site.settings(self.where)
+        """Change its settings file and send SIGHUP."""
+        settings = soak_site.site.settings(self.component)
         slack = settings["budget"]["slack"] + 1
         soak_site.site.write_settings(
-            self.where, settings | {"budget": settings["budget"] | {"slack": slack}}
+            self.component, settings | {"budget": settings["budget"] | {"slack": slack}}
         )
-        soak_site.site.child_by_name[self.where].send(signal.SIGHUP)
+        soak_site.site.child_by_name[self.component].send(signal.SIGHUP)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Tell it once more."""
-        soak_site.site.child_by_name[self.where].send(signal.SIGHUP)
+        """Send SIGHUP once more."""
+        soak_site.site.child_by_name[self.component].send(signal.SIGHUP)
 
 
 @dataclasses.dataclass
 class ClockMoved(Fault):
-    """An instance's wall clock steps, and steps back.
+    """An instance's wall clock jumps, and jumps back.
 
-    :param where: the instance.
-    :param seconds: how far.
+    :param component: the instance.
+    :param seconds: the offset.
     """
 
-    where: str
+    component: str
     seconds: float
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Move it."""
+        """Shift the clock."""
         self._path(soak_site).write_text(str(self.seconds), encoding="ascii")
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Move it back."""
+        """Remove the offset."""
         self._path(soak_site).unlink(missing_ok=True)
 
     def _path(self, soak_site: soaksite.SoakSite):
-        return skewedentry.path_for(soak_site.site.folder / f"{self.where}.yaml")
+        return skewedentry.path_for(soak_site.site.folder / f"{self.component}.yaml")
 
 
 class ServerKilled(Fault):
-    """A backend server dies without a word; its entry goes some seconds later."""
+    """A backend server crashes; its entry is removed some seconds later."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
         """Kill it."""
-        soak_site.site.child_by_name[self.where].send(signal.SIGKILL)
+        soak_site.site.child_by_name[self.component].send(signal.SIGKILL)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Take its entry away, and start another in its place."""
-        _replace(soak_site, self.where)
+        """Remove its entry and start a replacement."""
+        _replace(soak_site, self.component)
 
 
 class ServerStartsAgain(Fault):
-    """A backend server dies and starts again under its name; it holds nothing of before."""
+    """A backend server crashes and restarts with its replica id; its state is lost."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
         """Kill it."""
-        soak_site.site.child_by_name[self.where].send(signal.SIGKILL)
+        soak_site.site.child_by_name[self.component].send(signal.SIGKILL)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Start it again under its name."""
-        soak_site.links.retarget(self.where)
-        soak_site.site.start_server(self.where, keeps_name=True)
+        """Restart it with the same replica id."""
+        soak_site.links.retarget(self.component)
+        soak_site.site.start_server(self.component, keeps_name=True)
 
 
 @dataclasses.dataclass
 class EntryOverwritten(Fault):
-    """Another program writes over a server's entry, and leaves one of its own.
+    """Another program overwrites a server's entry and adds an invalid one.
 
-    :param where: the server.
-    :param value: what it writes.
+    :param component: the server.
+    :param value: the value that it writes.
     """
 
-    where: str
+    component: str
     value: str
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Write both."""
+        """Write both entries."""
         soak_site.site.write_entry(
-            soak_site.site.server_by_place[self.where].replica_id, self.value
+            soak_site.site.server_by_place[self.component].replica_id, self.value
         )
-        soak_site.site.write_entry(f"stray-{self.where}", self.value)
+        soak_site.site.write_entry(f"stray-{self.component}", self.value)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Let the server write its entry again."""
-        soak_site.site.list_server(soak_site.site.server_by_place[self.where])
+        """Write the server's own entry again."""
+        soak_site.site.list_server(soak_site.site.server_by_place[self.component])
 
 
 class ServerLeaves(Fault):
-    """A backend server is told to stop at short notice."""
+    """A backend server is stopped at short notice."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Have it say that it leaves, and be gone after its notice."""
-        server = soak_site.site.server_by_place[self.where]
-        soak_site.site.put_json(self.where, "/standin/leave", {})
+        """Mark it as leaving, and kill it after the notice period."""
+        server = soak_site.site.server_by_place[self.component]
+        soak_site.site.put_json(self.component, "/standin/leave", {})
         soak_site.site.list_server(server, is_leaving=True)
         time.sleep(NOTICE_S)
-        soak_site.site.child_by_name[self.where].send(signal.SIGKILL)
+        soak_site.site.child_by_name[self.component].send(signal.SIGKILL)
         soak_site.site.unlist_server(server)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Start another in its place."""
-        _replace(soak_site, self.where)
+        """Start a replacement."""
+        _replace(soak_site, self.component)
 
 
 class ServerPaused(Fault):
-    """A backend server stands still for a while."""
+    """A backend server is paused for a while."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Halt it."""
-        soak_site.site.child_by_name[self.where].send(signal.SIGSTOP)
+        """Pause it."""
+        soak_site.site.child_by_name[self.component].send(signal.SIGSTOP)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Let it go on."""
-        soak_site.site.child_by_name[self.where].send(signal.SIGCONT)
+        """Resume it."""
+        soak_site.site.child_by_name[self.component].send(signal.SIGCONT)
 
 
 @dataclasses.dataclass
 class ServerMisbehaves(Fault):
-    """A backend server answers wrongly.
+    """A backend server sends wrong responses.
 
-    :param where: the server.
-    :param how: a member of its faults.
+    :param component: the server.
+    :param field: a field of the stand-in's faults.
     """
 
-    where: str
-    how: str
+    component: str
+    field: str
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Have it do wrong."""
-        soak_site.site.faults(self.where, **{self.how: True})
+        """Switch the fault on."""
+        soak_site.site.faults(self.component, **{self.field: True})
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Have it do right."""
-        soak_site.site.faults(self.where)
+        """Switch the fault off."""
+        soak_site.site.faults(self.component)
 
 
 @dataclasses.dataclass
 class StoreFails(Fault):
-    """The store is away, slow, or loses its answers.
+    """The store is down, slow, or loses its responses.
 
-    :param where: the store.
-    :param how: a member of its faults.
-    :param value: what that is set to.
+    :param component: the store.
+    :param field: a field of the stand-in's faults.
+    :param value: the value of this field.
     """
 
-    where: str
-    how: str
+    component: str
+    field: str
     value: bool | float
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Let it fail."""
-        soak_site.site.faults(self.where, **{self.how: self.value})
+        """Switch the fault on at the store."""
+        soak_site.site.faults(self.component, **{self.field: self.value})
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Let it work."""
-        soak_site.site.faults(self.where)
+        """Switch the store's faults off."""
+        soak_site.site.faults(self.component)
 
 
 class LinkFault(Fault):
-    """A fault of the link before the store or a server."""
+    """A fault of the proxy of the store or of a server."""
 
     def link(self, soak_site: soaksite.SoakSite) -> tcpproxy.TcpProxy:
-        """Return the link that it hits."""
-        return soak_site.links[self.where]
+        """Return the affected proxy."""
+        return soak_site.links[self.component]
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Let the link work as before."""
+        """Remove the fault from the proxy."""
         self.link(soak_site).release()
 
 
 class LinkReset(LinkFault):
-    """The connections over a link are reset."""
+    """The connections through a proxy are reset."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Reset them."""
+        """Reset the connections."""
         self.link(soak_site).reset_connections()
 
 
 class LinkDelayed(LinkFault):
-    """All that goes over a link comes later."""
+    """All data on a link is delayed."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Delay it."""
+        """Set the delay."""
         self.link(soak_site).delay_s = 0.15
 
 
 class AnswersHeld(LinkFault):
-    """Only one way of a link works: requests pass, answers do not."""
+    """Only one direction of a link works: requests pass, responses do not."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Hold answers."""
+        """Hold responses back."""
         self.link(soak_site).hold_responses()
 
 
 class RequestsHeld(LinkFault):
-    """Only the other way of a link works."""
+    """Only one direction of a link works: responses pass, requests do not."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Hold requests."""
+        """Hold requests back."""
         self.link(soak_site).hold_requests()
 
 
 class LinkSilent(LinkFault):
-    """The connections that stand go silent without a reset; new ones work."""
+    """Open connections stall without a reset; new ones work."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Silence them."""
+        """Stall the open connections."""
         self.link(soak_site).stall()
 
 
 class KeyTaken(Fault):
-    """A key is taken from its team."""
+    """A team's key is revoked."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Take it."""
-        soak_site.revoke_key(self.where)
+        """Revoke the key."""
+        soak_site.revoke_key(self.component)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Leave it so: no key is given twice."""
+        """Do nothing: no key is issued twice."""
 
 
 class KeyGiven(Fault):
-    """A team gets another key."""
+    """A team gets a new key."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Give it."""
-        soak_site.issue_key(self.where)
+        """Issue the key."""
+        soak_site.issue_key(self.component)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Leave it so."""
+        """Do nothing: the key stays valid."""
 
 
 class StoreComesBack(Fault):
-    """The store comes back from a copy some seconds old; what was lost is written again."""
+    """The store is restored from a backup some seconds old; lost rows are written again."""
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Have it make the copy."""
-        soak_site.site.put_json(self.where, "/standin/copy", {})
+        """Make the backup."""
+        soak_site.site.put_json(self.component, "/standin/copy", {})
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Have it come back from the copy."""
-        soak_site.site.put_json(self.where, "/standin/restore", {})
+        """Restore the backup and write the lost rows again."""
+        soak_site.site.put_json(self.component, "/standin/restore", {})
         time.sleep(REWRITTEN_S)
         soak_site.rewrite()
 
 
 class ServerLimited(Fault):
-    """A backend server names a limit for a while."""
+    """A backend server announces a rate limit for a while."""
 
-    lasts_more_s = 8.0
+    extra_duration_s = 8.0
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Have it name the limit."""
-        soak_site.site.faults(self.where, limit=str(LIMIT_PER_S))
+        """Announce the limit."""
+        soak_site.site.faults(self.component, limit=str(LIMIT_PER_S))
         self._began_at = time.monotonic()
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Have it name none."""
-        replica_id = soak_site.site.server_by_place[self.where].replica_id
+        """Stop announcing the limit."""
+        replica_id = soak_site.site.server_by_place[self.component].replica_id
         soak_site.limited.append(
             soaksite.Limited(replica_id, LIMIT_PER_S, self._began_at, time.monotonic())
         )
-        soak_site.site.faults(self.where)
+        soak_site.site.faults(self.component)
 
 
 class RequestCrashesServers(Fault):
-    """A caller asks again and again for what crashes each plain server that runs it.
+    """A caller repeats a request that crashes every plain server that runs it.
 
-    :param where: ``services``: all of them.
+    :param component: ``services``, which stands for all plain servers.
     """
 
-    lasts_more_s = 8.0
+    extra_duration_s = 8.0
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Let the caller begin."""
-        self._is_over = threading.Event()
-        self._caller = threading.Thread(target=self._ask_again, args=(soak_site,), daemon=True)
+        """Start the caller."""
+        self._stopped = threading.Event()
+        self._caller = threading.Thread(
+            target=self._send_repeatedly, args=(soak_site,), daemon=True
+        )
         self._caller.start()
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Let the caller end, and start the servers that are gone."""
-        self._is_over.set()
+        """Stop the caller and restart the crashed servers."""
+        self._stopped.set()
         self._caller.join()
-        self._revive(soak_site)
+        self._restart_crashed(soak_site)
 
-    def _ask_again(self, soak_site: soaksite.SoakSite) -> None:
+    def _send_repeatedly(self, soak_site: soaksite.SoakSite) -> None:
         caller = routedcaller.RoutedCaller(keep=False)
         names = itertools.cycle(soak_site.site.instance_names)
         key = soak_site.keys_by_team[soaksite.TEAMS[0]][0]
@@ -386,32 +388,32 @@
             address = soak_site.site.callers_address(next(names))
             request_id = f"fatal-{soak_site.seed}-{number}"
             caller.send(address, "hold", request_id, key, routedsite.FATAL_BODY.encode())
-            if self._is_over.wait(FATAL_PAUSE_S):
+            if self._stopped.wait(FATAL_PAUSE_S):
                 return
-            self._revive(soak_site)
+            self._restart_crashed(soak_site)
 
-    def _revive(self, soak_site: soaksite.SoakSite) -> None:
+    def _restart_crashed(self, soak_site: soaksite.SoakSite) -> None:
         for place in soak_site.site.server_by_place:
             if place.startswith("service") and not _listens(soak_site.site.address_by_name[place]):
                 _replace(soak_site, place)
 
 
 class DomainEvacuated(Fault):
-    """The operator keeps new work from a failure domain for a while."""
+    """The operator evacuates a failure domain for a while."""
 
-    lasts_more_s = 5.0
+    extra_duration_s = 5.0
 
     def begin(self, soak_site: soaksite.SoakSite) -> None:
-        """Evacuate it."""
-        soak_site.evacuate(self.where)
+        """Evacuate the failure domain."""
+        soak_site.evacuate(self.component)
 
     def end(self, soak_site: soaksite.SoakSite) -> None:
-        """Take it back."""
-        soak_site.end_evacuation(self.where)
+        """End the evacuation."""
+        soak_site.end_evacuation(self.component)
 
 
 def _replace(soak_site: soaksite.SoakSite, place: str) -> routedsite.Server:
-    """Take a server's entry away, which may be gone already, and start another run of it."""
+    """Remove a server's entry, which may be gone already, and start a new incarnation."""
     soak_site.site.unlist_server(soak_site.site.server_by_place[place])
     soak_site.links.retarget(place)
     return soak_site.site.start_server(place)
--- a/hornbeamglade/soak/running.py
+++ b/hornbeamglade/soak/running.py
@@ -1,4 +1,4 @@
-"""One seed of a soak, from the start of its processes to the verdict."""
+"""Runs one seed of a soak test, from the start of its processes to the verdict."""
 
 import collections
 import dataclasses
@@ -10,25 +10,24 @@
 from hornbeamglade.observability import logs
 from hornbeamglade.soak import callerpool, checks, plan, soaksite
 
-SETTLE_S = 25.0
-"""Callers wait for an answer no longer than this, and the instances' own bounds are
-shorter."""
+CALLER_TIMEOUT_S = 25.0
+"""Callers wait for a response no longer than this; the instances' own timeouts are shorter."""
 
-BACK_S = 30.0
-"""The bound on the wait for all to serve again; it only ends a wait in vain."""
+RECOVERY_TIMEOUT_S = 30.0
+"""Timeout of the wait for all instances to serve again; it only ends an endless wait."""
 
 POLL_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
 class Verdict:
-    """What came of one seed.
+    """The result of one seed.
 
     :param seed: the seed.
-    :param faults: what was done, in order.
-    :param requests: how many requests callers sent.
-    :param count_by_status: answers by status; 0 for none.
-    :param broken: promises that were not kept.
+    :param faults: the injected faults, in order.
+    :param requests: number of requests that callers sent.
+    :param count_by_status: number of responses by status; 0 for no response.
+    :param violations: violated guarantees.
     """
 
     seed: int
@@ -39,41 +38,41 @@
 
 
 def run(seed: int, seconds: float, folder: pathlib.Path) -> Verdict:
-    """Play one seed.
+    """Run one seed.
 
-    :param seconds: how long faults begin.
-    :param folder: for the processes' files; what failed is looked into there.
+    :param seconds: the period in which faults start.
+    :param folder: directory for the processes' files, for analysis of failures.
     """
     soak_site = soaksite.SoakSite(seed, folder)
     try:
         with soak_site.site:
             soak_site.site.configure(soak_site.keys_by_team)
             soak_site.site.start_instances()
-            return _play(soak_site, plan.make(seed, seconds))
+            return _run_plan(soak_site, plan.make(seed, seconds))
     finally:
         soak_site.links.close()
 
 
-def _play(soak_site: soaksite.SoakSite, planned: tuple[plan.Planned, ...]) -> Verdict:
+def _run_plan(soak_site: soaksite.SoakSite, planned: tuple[plan.Planned, ...]) -> Verdict:
     callers = callerpool.CallerPool(soak_site)
     callers.start()
     began_at = time.monotonic()
     tasks = [
-        threading.Thread(target=_inflict, args=(soak_site, each, began_at), daemon=True)
+        threading.Thread(target=_inject, args=(soak_site, each, began_at), daemon=True)
         for each in planned
     ]
     for task in tasks:
         task.start()
     for task in tasks:
         task.join()
-    found = list(_not_back(soak_site))
-    if not callers.stop(SETTLE_S):
+    found = list(_not_recovered(soak_site))
+    if not callers.stop(CALLER_TIMEOUT_S):
         found.append(checks.Violation("every_request_ends", "", "a caller still waits"))
-    found += _ended_by_themselves(soak_site)
-    seen = callers.seen()
+    found += _crashed_instances(soak_site)
+    results = callers.results()
     found += checks.violations(
         checks.Evidence(
-            seen,
+            results,
             soak_site.site.ledger(),
             soak_site.history(),
             soak_site.revoked_at_by_key,
@@ -83,30 +82,32 @@
             soak_site.site.shape.events,
         )
     )
-    count_by_status = collections.Counter(each.status or 0 for each in seen)
-    told = tuple(f"{each.at_s:g} {each.fault.what} {each.fault.where}" for each in planned)
-    return Verdict(soak_site.seed, told, len(seen), dict(count_by_status), tuple(found))
+    count_by_status = collections.Counter(each.status or 0 for each in results)
+    fault_names = tuple(
+        f"{each.at_s:g} {each.fault.name} {each.fault.component}" for each in planned
+    )
+    return Verdict(soak_site.seed, fault_names, len(results), dict(count_by_status), tuple(found))
 
 
-def _inflict(soak_site: soaksite.SoakSite, planned: plan.Planned, began_at: float) -> None:
-    """Let one fault happen at its time, and end."""
+def _inject(soak_site: soaksite.SoakSite, planned: plan.Planned, began_at: float) -> None:
+    """Start one fault at its planned time, and end it."""
     fault = planned.fault
     time.sleep(max(0.0, began_at + planned.at_s - time.monotonic()))
-    soak_site.begin(fault.what, fault.where)
+    soak_site.begin(fault.name, fault.component)
     try:
         fault.begin(soak_site)
         time.sleep(planned.for_s)
         fault.end(soak_site)
     except (codederrors.CodedError, OSError) as error:
-        # A stand-in that another fault has hit cannot be told anything now.
-        logs.log_internal_error(f"soak:{fault.what}", error)
+        # A stand-in with another active fault may be unable to receive commands.
+        logs.log_internal_error(f"soak:{fault.name}", error)
     finally:
-        soak_site.end(fault.what, fault.where)
+        soak_site.end(fault.name, fault.component)
 
 
-def _not_back(soak_site: soaksite.SoakSite):
-    """Return the instances that do not take callers again after the last fault."""
-    until = time.monotonic() + BACK_S
+def _not_recovered(soak_site: soaksite.SoakSite):
+    """Yield the instances that do not accept callers again after the last fault."""
+    until = time.monotonic() + RECOVERY_TIMEOUT_S
     waiting = set(soak_site.site.instance_names)
     while waiting and time.monotonic() < until:
         waiting = {name for name in waiting if not soak_site.site.is_ready(name)}
@@ -115,8 +116,8 @@
         yield checks.Violation("serves_again", "", name)
 
 
-def _ended_by_themselves(soak_site: soaksite.SoakSite):
-    """Return the instances whose process is gone though nobody ended it."""
+def _crashed_instances(soak_site: soaksite.SoakSite):
+    """Yield the instances whose process ended though it was not stopped."""
     for name in soak_site.site.instance_names:
         child = soak_site.site.child_by_name[name]
         if child.ended():
--- a/hornbeamglade/soak/seeds.py
+++ b/hornbeamglade/soak/seeds.py
@@ -1,7 +1,7 @@
 """Seeds that have failed, kept as regression cases."""
 
 CAUSE_BY_SEED: dict[int, str] = {}
-"""Each with a line on its cause; played again with each soak."""
+"""The cause of each failure, by seed; ``--kept`` runs these seeds again."""
 
 SHORT_SEED = 7
-"""The seed of the short run that every test run has."""
+"""The seed of the short run that is part of the test suite."""
--- a/hornbeamglade/soak/skewedentry.py
+++ b/hornbeamglade/soak/skewedentry.py
@@ -1,8 +1,8 @@
-"""Run an entry instance whose wall clock stands off by what a file says.
+"""Runs an entry instance whose wall clock is shifted by the offset in a file.
 
-``python -m hornbeamglade.soak.skewedentry entry --settings FILE`` reads the seconds from
-``FILE`` with the suffix ``.skew``; without such a file the clock is the machine's. Only the
-soak uses it: the clock of a machine cannot be moved for one process alone.
+``python -m hornbeamglade.soak.skewedentry entry --settings FILE`` reads the offset in seconds
+from ``FILE`` with the suffix ``.skew``; without this file it uses the machine's clock. Only the
+soak test uses it, because the machine's clock cannot be changed for one process alone.
 """
 
 import pathlib
@@ -15,21 +15,21 @@
 
 
 def path_for(settings: pathlib.Path) -> pathlib.Path:
-    """Return the file that moves the clock of the instance with these settings."""
+    """Return the path of the file with the clock offset of the instance with these settings."""
     return settings.with_suffix(SUFFIX)
 
 
 class SkewedClock(clocks.SystemClock):
-    """The machine's clock, its wall time moved.
+    """The machine's clock with an offset on its wall time.
 
-    :param path: holds the seconds by which it is moved.
+    :param path: a file that contains the offset in seconds.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
 
     def wall(self) -> float:
-        """Return the wall time as this instance has it."""
+        """Return the shifted wall time."""
         try:
             return super().wall() + float(self._path.read_text(encoding="ascii"))
         except (OSError, ValueError):
@@ -37,7 +37,7 @@
 
 
 def run() -> None:
-    """Run the command line with the moved clock."""
+    """Run the command line with the shifted clock."""
     path = path_for(pathlib.Path(sys.argv[sys.argv.index("--settings") + 1]))
     clocks.SystemClock = lambda: SkewedClock(path)
     main.main()
--- a/hornbeamglade/soak/soaksite.py
+++ b/hornbeamglade/soak/soaksite.py
@@ -1,4 +1,4 @@
-"""The site that a soak plays on, and a record of what was done to it."""
+"""The site of a soak test, and the history of the faults injected into it."""
 
 import collections
 import dataclasses
@@ -8,35 +8,35 @@
 
 from hornbeamglade.localsite import routedsite, tcpproxy
 
-KEYS_A_TEAM = 3
-TRY_AGAIN_S = 0.2
+KEYS_PER_TEAM = 3
+RETRY_DELAY_S = 0.2
 TEAMS = ("clinic", "court", "office")
 MODULE = ("hornbeamglade.soak.skewedentry",)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FaultRecord:
-    """Something that was done to a part of the site.
+    """A fault injected into a component of the site.
 
-    :param what: the fault's name.
-    :param where: the part's name.
-    :param began_at: seconds of the machine's steady clock.
-    :param ended_at: the same; infinite while it lasts.
+    :param name: the name of the fault.
+    :param component: the name of the component.
+    :param began_at: start time, in seconds of the machine's monotonic clock.
+    :param ended_at: end time, by the same clock; infinite while the fault lasts.
     """
 
-    what: str
-    where: str
+    name: str
+    component: str
     began_at: float
     ended_at: float = float("inf")
 
 
 @dataclasses.dataclass(slots=True)
 class Evacuated:
-    """A failure domain that got nothing new for a while.
+    """An evacuation of a failure domain.
 
-    :param domain: its name.
-    :param taken_at: seconds of the machine's steady clock at which the store had taken it.
-    :param taken_back_at: when its end was about to be written; infinite while it lasts.
+    :param domain: the name of the failure domain.
+    :param accepted_at: when the store had accepted it, in seconds of the monotonic clock.
+    :param ended_at: when its end was about to be written; infinite while it lasts.
     """
 
     domain: str
@@ -46,12 +46,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limited:
-    """A server that named a limit for a while.
+    """A period in which a server announced a rate limit.
 
     :param replica_id: the server.
-    :param requests_per_s: what it named.
-    :param began_at: seconds of the machine's steady clock.
-    :param ended_at: the same.
+    :param requests_per_s: the announced limit.
+    :param began_at: start time, in seconds of the machine's monotonic clock.
+    :param ended_at: end time, by the same clock.
     """
 
     replica_id: str
@@ -61,10 +61,10 @@
 
 
 class SoakSite:
-    """The site, its links, its keys and its history; safe to use from several threads.
+    """The site, its proxies, its keys and its fault history; thread-safe.
 
-    :param seed: names the run.
-    :param folder: for the processes' files.
+    :param seed: the seed of the run.
+    :param folder: directory for the processes' files.
     """
 
     def __init__(self, seed: int, folder: pathlib.Path) -> None:
@@ -76,7 +76,7 @@
         shape = routedsite.Shape(route=self.links.route, entry_module=MODULE)
         self.site = routedsite.RoutedSite(shape, folder)
         self.keys_by_team = {
-            team: [f"{team}-{number}" for number in range(KEYS_A_TEAM)] for team in TEAMS
+            team: [f"{team}-{number}" for number in range(KEYS_PER_TEAM)] for team in TEAMS
         }
         self.revoked_at_by_key: dict[str, float] = {}
         self.issued_at_by_key: dict[str, float] = {}
@@ -84,29 +84,30 @@
         self.limited: list[Limited] = []
         self._done: list[FaultRecord] = []
 
-    def begin(self, what: str, where: str) -> None:
-        """Note that something begins."""
+    def begin(self, name: str, component: str) -> None:
+        """Record the start of a fault."""
         with self._lock:
-            self._done.append(FaultRecord(what, where, time.monotonic()))
+            self._done.append(FaultRecord(name, component, time.monotonic()))
 
-    def end(self, what: str, where: str) -> None:
-        """Note that it ends."""
+    def end(self, name: str, component: str) -> None:
+        """Record the end of a fault."""
         now = time.monotonic()
         with self._lock:
             self._done = [
                 dataclasses.replace(each, ended_at=now)
-                if (each.what, each.where) == (what, where) and each.ended_at == float("inf")
+                if (each.name, each.component) == (name, component)
+                and each.ended_at == float("inf")
                 else each
                 for each in self._done
             ]
 
     def history(self) -> tuple[FaultRecord, ...]:
-        """Return all that was done, in order."""
+        """Return all faults, in order of their starts."""
         with self._lock:
             return tuple(self._done)
 
     def revoke_key(self, key: str) -> None:
-        """Take a key from its team."""
+        """Revoke a key of a team."""
         team = team_of(key)
         with self._operator:
             self.keys_by_team[team] = [each for each in self.keys_by_team[team] if each != key]
@@ -114,7 +115,7 @@
             self.revoked_at_by_key[key] = time.monotonic()
 
     def issue_key(self, key: str) -> None:
-        """Give a new key to its team; callers have it once the store has taken it."""
+        """Issue a new key to its team; callers use it once the store has accepted it."""
         team = team_of(key)
         with self._operator:
             self._configure({team: [*self.keys_by_team[team], key]})
@@ -122,12 +123,12 @@
             self.issued_at_by_key[key] = time.monotonic()
 
     def _configure(self, changed: dict[str, list[str]] | None = None) -> None:
-        """Write the manifest, as soon as the store takes it.
+        """Write the manifest; retry until the store accepts it.
 
-        :param changed: keys of teams that differ from those held.
+        :param changed: keys by team, for teams whose keys differ from the current ones.
         """
         while not self.site.configure(self.keys_by_team | (changed or {})):
-            time.sleep(TRY_AGAIN_S)
+            time.sleep(RETRY_DELAY_S)
 
     def evacuate(self, domain: str) -> None:
         """Evacuate a failure domain."""
@@ -135,15 +136,15 @@
             self.evacuated.append(Evacuated(domain, time.monotonic()))
 
     def end_evacuation(self, domain: str) -> None:
-        """End a failure domain's evacuation, as soon as the store takes it."""
+        """End a failure domain's evacuation; retry until the store accepts it."""
         for each in self.evacuated:
             if each.domain == domain:
                 each.ended_at = min(each.ended_at, time.monotonic())
         while not self.site.end_evacuation(domain):
-            time.sleep(TRY_AGAIN_S)
+            time.sleep(RETRY_DELAY_S)
 
     def rewrite(self) -> None:
-        """Write again what the store may have lost, as operators and servers do."""
+        """Write again everything that the store may have lost, as operators and servers do."""
         for each in self.evacuated:
             is_ended = each.ended_at != float("inf")
             (self.site.end_evacuation if is_ended else self.site.evacuate)(each.domain)
@@ -152,10 +153,10 @@
         self.site.rewrite_servers()
 
     def keys(self) -> tuple[str, ...]:
-        """Return every key that was ever given out."""
-        held = collections.ChainMap(self.revoked_at_by_key, self.issued_at_by_key)
-        all_held = {key for keys in self.keys_by_team.values() for key in keys}
-        return tuple(sorted(all_held | set(held)))
+        """Return every key that was ever issued."""
+        used_keys = collections.ChainMap(self.revoked_at_by_key, self.issued_at_by_key)
+        current_keys = {key for keys in self.keys_by_team.values() for key in keys}
+        return tuple(sorted(current_keys | set(used_keys)))
 
 
 def team_of(key: str) -> str:
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -1,4 +1,4 @@
-"""Each promise is seen to be broken when it is, and only then."""
+"""Each violation of a guarantee is detected, and nothing else is reported."""
 
 import dataclasses
 
@@ -12,10 +12,10 @@
 KEY = "clinic-0"
 
 
-def seen(route="list", **changes):
+def result(route="list", **changes):
     is_stream = route in ("draft", "tag")
     whole = tuple((number, f"r1.{number}") for number in range(1, EVENTS + 1))
-    told = routedcaller.CallerResult(
+    fields = routedcaller.CallerResult(
         request_id="r1",
         route=route,
         key=KEY,
@@ -28,11 +28,11 @@
         body=b"" if is_stream else b"s0:r1",
         events=whole if is_stream else (),
     )
-    return dataclasses.replace(told, **changes)
+    return dataclasses.replace(fields, **changes)
 
 
 def run_record(route="list", **changes):
-    told = {
+    fields = {
         "request_id": "r1",
         "target": f"/{route}/1?q=2",
         "team": "clinic",
@@ -41,7 +41,7 @@
         "at": 10.1,
         "replica_id": "service-0.1",
     }
-    return told | changes
+    return fields | changes
 
 
 def violations(
@@ -61,8 +61,8 @@
 
 
 @pytest.mark.parametrize("route", ["list", "hold", "draft", "tag"])
-def test_a_request_that_was_served_breaks_nothing(route):
-    assert violations([seen(route)], [run_record(route)]) == []
+def test_a_served_request_violates_nothing(route):
+    assert violations([result(route)], [run_record(route)]) == []
 
 
 FEW, MANY = ((1, "r1.1"),), ((1, "r1.1"), (2, "r1.2"), (2, "r1.2"))
@@ -71,36 +71,36 @@
 @pytest.mark.parametrize(
     ("answer", "runs", "promise"),
     [
-        (seen(body=b"s0:r2"), [run_record()], "own_answer"),
-        (seen(is_sealed=False), [run_record()], "proved_answer"),
-        (seen(status=404, is_sealed=False), [], "not_denied"),
-        (seen("draft", events=MANY), [run_record("draft")], "events_in_order"),
-        (seen("draft", events=FEW), [run_record("draft")], "whole_only_when_whole"),
-        (seen("hold"), [run_record("hold"), run_record("hold")], "run_as_often_as_allowed"),
-        (seen("draft"), [run_record("draft"), run_record("draft")], "run_as_often_as_allowed"),
-        (seen(), [run_record(), run_record(), run_record()], "run_as_often_as_allowed"),
-        (seen("hold", status=503, is_sealed=False), [run_record("hold")], "not_run_is_true"),
-        (seen(), [run_record(team="court")], "own_team"),
-        (seen(), [run_record(names=["authorization"])], "nothing_reserved_passes"),
-        (seen(), [run_record(body="other")], "passes_unchanged"),
-        (seen(status=401, is_sealed=False), [], "valid_key_is_let_in"),
-        (seen(), [run_record(), run_record(request_id="r9")], "nothing_unasked_runs"),
+        (result(body=b"s0:r2"), [run_record()], "own_answer"),
+        (result(is_sealed=False), [run_record()], "proved_answer"),
+        (result(status=404, is_sealed=False), [], "not_denied"),
+        (result("draft", events=MANY), [run_record("draft")], "events_in_order"),
+        (result("draft", events=FEW), [run_record("draft")], "whole_only_when_whole"),
+        (result("hold"), [run_record("hold"), run_record("hold")], "run_as_often_as_allowed"),
+        (result("draft"), [run_record("draft"), run_record("draft")], "run_as_often_as_allowed"),
+        (result(), [run_record(), run_record(), run_record()], "run_as_often_as_allowed"),
+        (result("hold", status=503, is_sealed=False), [run_record("hold")], "not_run_is_true"),
+        (result(), [run_record(team="court")], "own_team"),
+        (result(), [run_record(names=["authorization"])], "nothing_reserved_passes"),
+        (result(), [run_record(body="other")], "passes_unchanged"),
+        (result(status=401, is_sealed=False), [], "valid_key_is_let_in"),
+        (result(), [run_record(), run_record(request_id="r9")], "nothing_unasked_runs"),
     ],
 )
-def test_a_promise_that_is_broken_is_named(answer, runs, promise):
+def test_a_violated_guarantee_is_named(answer, runs, promise):
     assert promise in violations([answer], runs)
 
 
-def test_key_that_was_taken_away_is_refused_by_its_bound():
+def test_revoked_key_must_be_refused_after_its_bound():
     taken = {KEY: 10.0 - checks.KEY_BOUND_S - 0.5}
-    assert violations([seen()], [run_record()], taken=taken) == ["taken_key_is_refused"]
+    assert violations([result()], [run_record()], taken=taken) == ["taken_key_is_refused"]
     away = soaksite.FaultRecord("StoreFails", "store", 8.0, 9.0)
-    assert violations([seen()], [run_record()], fault_records=[away], taken=taken) == []
+    assert violations([result()], [run_record()], fault_records=[away], taken=taken) == []
 
 
-def test_key_that_was_refused_is_not_let_in_again_in_one_life():
-    refused = seen(status=401, is_sealed=False, sent_at=9.0, ended_at=9.1)
-    later = seen(sent_at=9.5)
+def test_refused_key_must_not_be_accepted_again_by_the_same_incarnation():
+    refused = result(status=401, is_sealed=False, sent_at=9.0, ended_at=9.1)
+    later = result(sent_at=9.5)
     taken = {KEY: 8.9}
     assert violations([refused, later], [run_record()], taken=taken) == [
         "configuration_never_goes_back"
@@ -109,9 +109,9 @@
     assert violations([refused, later], [run_record()], fault_records=[killed], taken=taken) == []
 
 
-def test_a_site_that_refuses_everything_is_no_success():
-    """The instances took no entry of the list, and a run of refusals alone broke nothing."""
-    refused = seen(status=503, is_sealed=False, body=b"")
+def test_a_site_that_refuses_everything_is_a_violation():
+    """Guards against a pass of a run in which instances ignored the list and refused all."""
+    refused = result(status=503, is_sealed=False, body=b"")
     assert violations([refused] * 10, []) == ["serves"]
 
 
@@ -127,16 +127,16 @@
         (7.0, "another", []),
     ],
 )
-def test_what_runs_in_an_evacuated_domain_after_the_bound_is_seen(at, domain, expected):
+def test_runs_in_an_evacuated_domain_after_the_bound_are_reported(at, domain, expected):
     evacuated = soaksite.Evacuated(domain, accepted_at=1.0, ended_at=9.0)
-    assert violations([seen(sent_at=at)], [run_record(at=at)], evacuated=[evacuated]) == expected
+    assert violations([result(sent_at=at)], [run_record(at=at)], evacuated=[evacuated]) == expected
 
 
-def test_an_instance_that_is_hurt_meanwhile_may_not_know_of_an_evacuation():
+def test_an_instance_with_a_fault_may_not_know_of_an_evacuation():
     evacuated = soaksite.Evacuated(DOMAIN, accepted_at=1.0, ended_at=9.0)
     cut = soaksite.FaultRecord("InstancePaused", "entry-0", 5.0, 6.5)
     assert (
-        violations([seen(sent_at=7.0)], [run_record(at=7.0)], [cut], evacuated=[evacuated]) == []
+        violations([result(sent_at=7.0)], [run_record(at=7.0)], [cut], evacuated=[evacuated]) == []
     )
 
 
@@ -147,8 +147,8 @@
     ]
 
 
-def test_a_request_that_crashes_servers_is_seen_to_be_sent_on():
-    served = [seen()], [run_record()]
+def test_repeated_routing_of_a_crashing_request_is_reported():
+    served = [result()], [run_record()]
     within = fatal_runs(1.0, 2.0, 3.0, 3.5, 7.0, 8.0, 9.0)
     assert violations(served[0], served[1] + within) == []
     beyond = [*within, *fatal_runs(10.0)]
@@ -157,10 +157,12 @@
     assert violations(served[0], served[1] + beyond, fault_records=[killed]) == []
 
 
-def test_a_server_that_gets_more_than_it_named_is_seen():
+def test_requests_beyond_a_server_s_limit_are_reported():
     limited = soaksite.Limited("service-0.1", 1.0, began_at=0.0, ended_at=20.0)
     within = [run_record(at=5.0 + number / 10) for number in range(11)]
-    asked = [seen(request_id=f"r{number}", body=f"s0:r{number}".encode()) for number in range(12)]
+    asked = [
+        result(request_id=f"r{number}", body=f"s0:r{number}".encode()) for number in range(12)
+    ]
     runs = [
         {**each, "request_id": f"r{number}", "body": f"r{number}"}
         for number, each in enumerate([*within, run_record(at=6.2)])
--- a/tests/soak/test_plan.py
+++ b/tests/soak/test_plan.py
@@ -1,4 +1,4 @@
-"""Which faults a seed brings."""
+"""The plan of faults of a seed."""
 
 import pytest
 
@@ -6,17 +6,19 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 40))
-def test_no_part_is_hit_twice_at_once_and_two_instances_stay(seed):
+def test_no_component_has_two_faults_at_once_and_two_instances_have_none(seed):
     planned = plan.make(seed, 30.0)
-    for one in planned:
-        lasting = [each for each in planned if each.at_s <= one.at_s < each.at_s + each.for_s]
-        places = [each.fault.where for each in lasting]
-        assert len(places) == len(set(places))
-        assert len(set(places) & set(plan.INSTANCES)) <= plan.MOST_STOPPED
+    for planned_fault in planned:
+        overlapping = [
+            each for each in planned if each.at_s <= planned_fault.at_s < each.at_s + each.for_s
+        ]
+        components = [each.fault.component for each in overlapping]
+        assert len(components) == len(set(components))
+        assert len(set(components) & set(plan.INSTANCES)) <= plan.MAX_IMPAIRED_INSTANCES
 
 
-def test_every_kind_of_fault_comes_in_some_seed():
-    kinds = {each.fault.what for seed in range(1, 60) for each in plan.make(seed, 30.0)}
+def test_every_kind_of_fault_occurs_for_some_seed():
+    kinds = {each.fault.name for seed in range(1, 60) for each in plan.make(seed, 30.0)}
     abstract = {"Fault", "LinkFault"}
     concrete = {
         name
@@ -27,7 +29,7 @@
 
 
 def test_a_plan_is_the_same_for_each_run_of_its_seed():
-    def told(seed):
-        return [(each.at_s, each.for_s, each.fault.what) for each in plan.make(seed, 20.0)]
+    def fields(seed):
+        return [(each.at_s, each.for_s, each.fault.name) for each in plan.make(seed, 20.0)]
 
-    assert told(5) == told(5) != told(6)
+    assert fields(5) == fields(5) != fields(6)
