--- a/hornbeamglade/cli/bench.py
+++ b/hornbeamglade/cli/bench.py
@@ -1,4 +1,4 @@
-"""Commands that measure the decisions in virtual time."""
+"""Commands that benchmark dispatch and admission policies in virtual time."""
 
 import dataclasses
 import pathlib
@@ -15,7 +15,7 @@
 
 @click.group()
 def bench() -> None:
-    """Measure the decisions."""
+    """Run benchmarks."""
 
 
 @bench.command("policy")
@@ -35,7 +35,7 @@
     out: pathlib.Path | None,
     plot: pathlib.Path | None,
 ) -> None:
-    """Compare policies of dispatch and admission on modelled engines."""
+    """Compare dispatch and admission policies on modelled engines."""
     names = sets or (("quick",) if quick else _FULL_SETS)
     duration_s = duration_s or (_QUICK_S if quick else _FULL_S)
     records = []
@@ -55,7 +55,7 @@
 def policy_report(
     paths: tuple[pathlib.Path, ...], out: pathlib.Path | None, plot: pathlib.Path | None
 ) -> None:
-    """Join report files, such as those of several seeds run side by side."""
+    """Merge report files, such as those of several seeds that ran in parallel."""
     _show(policyreport.read(paths), out, plot)
 
 
--- a/hornbeamglade/cli/benchall.py
+++ b/hornbeamglade/cli/benchall.py
@@ -1,4 +1,4 @@
-"""``hornbeamglade bench all``: every bench, one after the other."""
+"""``hornbeamglade bench all``: run all benchmarks in sequence."""
 
 import click
 
@@ -8,7 +8,7 @@
 @click.command("all")
 @click.pass_context
 def bench_all(context: click.Context) -> None:
-    """Run every bench: an hour or more; give it a quiet machine."""
+    """Run every benchmark: takes an hour or more and needs an otherwise idle machine."""
     for title, command in (
         ("policies in virtual time", bench.policy),
         ("cost of a token", benchtraffic.bench_relay),
--- a/hornbeamglade/cli/benchgroup.py
+++ b/hornbeamglade/cli/benchgroup.py
@@ -1,4 +1,4 @@
-"""``hornbeamglade bench``: the group of all benches."""
+"""``hornbeamglade bench``: the group of all benchmark commands."""
 
 from hornbeamglade.cli import bench as benchlib
 from hornbeamglade.cli import benchall, benchdays, benchrecovery, benchtraffic
--- a/hornbeamglade/cli/benchrecovery.py
+++ b/hornbeamglade/cli/benchrecovery.py
@@ -1,4 +1,4 @@
-"""``hornbeamglade bench recovery``: how long callers feel a fault."""
+"""``hornbeamglade bench recovery``: how long faults affect callers."""
 
 import collections.abc
 import json
@@ -26,11 +26,11 @@
 @click.option("--seed", type=int, default=0, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="JSON with each trial, no table.")
 def bench_recovery(trials: int, faults: tuple[str, ...], seed: int, as_json: bool) -> None:
-    """Hurt a site in seeded trials and measure how long callers feel it.
+    """Inject faults into a site in seeded trials and measure how long callers are affected.
 
-    Ends with 1 when a promise was broken or a site was not as before in the end.
+    Exits with 1 when a guarantee was violated or a site did not recover.
     """
-    signal.signal(signal.SIGTERM, _end_in_order)
+    signal.signal(signal.SIGTERM, _exit_on_sigterm)
     shape = recovery.RecoveryShape(trials=trials, seed=seed)
     results = []
     if not as_json:
@@ -52,6 +52,6 @@
     return lambda number: click.echo(f"{name}: trial {number + 1} of {trials}", err=True)
 
 
-def _end_in_order(*_: object) -> None:
-    """End by an exception: the processes that the bench started must be stopped."""
+def _exit_on_sigterm(*_: object) -> None:
+    """Exit by an exception, so that the processes that the bench started are stopped."""
     raise SystemExit(128 + signal.SIGTERM)
--- a/hornbeamglade/cli/benchtraffic.py
+++ b/hornbeamglade/cli/benchtraffic.py
@@ -1,4 +1,4 @@
-"""Commands that measure running processes: the cost of a token, callers under load."""
+"""Commands that benchmark running processes: the cost per token, and callers under load."""
 
 import dataclasses
 import json
@@ -27,9 +27,9 @@
     ways: tuple[str, ...],
     json_path: pathlib.Path | None,
 ) -> None:
-    """Compare an entry node's cost per token with a bare relay's.
+    """Compare the cost per token of an entry node with that of a bare relay.
 
-    Ends with 1 when a stream did not run to the end.
+    Exits with 1 when a stream did not run to its end.
     """
     shape = relay.RelayShape(
         streams=tuple(int(number) for number in streams.split(",")),
@@ -39,7 +39,7 @@
     )
     click.echo(" | ".join(relay.COLUMN_HEADINGS))
     with _work_folder() as folder:
-        results = _coded(
+        results = _with_click_errors(
             lambda: relay.run(
                 shape, folder, lambda result: click.echo(" | ".join(relay.as_row(result)))
             )
@@ -91,9 +91,9 @@
     model: str,
     json_path: pathlib.Path | None,
 ) -> None:
-    """Drive callers' load at a site and report what callers see.
+    """Generate load on a site and report the results that callers get.
 
-    Ends with 1 when an answer was spliced, out of order, repeated or short.
+    Exits with 1 when a response was spliced, out of order, repeated or truncated.
     """
     if warmup_s >= seconds:
         raise click.UsageError("--warmup must be shorter than --seconds.")
@@ -124,7 +124,7 @@
                 lambda policy=policy: load.run_local(shape, policy, folder) for policy in policies
             ]
         for each in runs:
-            results.append(_coded(each))
+            results.append(_with_click_errors(each))
             click.echo(" | ".join(load.as_row(results[-1])))
     _write_json(json_path, shape, results)
     if any(result.violated for result in results):
@@ -132,7 +132,7 @@
 
 
 def _read_keys(path: pathlib.Path | None) -> dict[str, str]:
-    """Read keys from a file: on the command line every user of the machine sees them."""
+    """Read keys from a file: on the command line, all users of the machine could see them."""
     lines = path.read_text(encoding="utf-8").split() if path else []
     key_by_team = dict(line.split("=", 1) for line in lines if "=" in line)
     if not key_by_team:
@@ -141,16 +141,16 @@
 
 
 def _work_folder() -> tempfile.TemporaryDirectory:
-    """Return a folder for settings and logs, and let SIGTERM end the bench in order.
+    """Return a directory for settings and logs, and make SIGTERM end the bench cleanly.
 
-    A bench that is terminated must stop the processes that it started; by
-    default the signal would end it without running any clean-up.
+    A terminated bench must stop the processes that it started; by default, the signal
+    would end it without any cleanup.
     """
-    signal.signal(signal.SIGTERM, _end_in_order)
+    signal.signal(signal.SIGTERM, _exit_on_sigterm)
     return _Folder()
 
 
-def _end_in_order(*_: object) -> None:
+def _exit_on_sigterm(*_: object) -> None:
     raise SystemExit(128 + signal.SIGTERM)
 
 
@@ -159,7 +159,7 @@
         return pathlib.Path(super().__enter__())
 
 
-def _coded(run):
+def _with_click_errors(run):
     try:
         return run()
     except codederrors.CodedError as error:
--- a/hornbeamglade/cli/capacity.py
+++ b/hornbeamglade/cli/capacity.py
@@ -1,4 +1,4 @@
-"""Commands that measure slopes and write the page on the target size."""
+"""Commands that measure cost slopes and write the page on capacity at the target size."""
 
 import pathlib
 
@@ -13,14 +13,16 @@
 
 @click.group()
 def capacity() -> None:
-    """Work out what the target size costs, from slopes measured here."""
+    """Estimate the cost of the target size from slopes measured on this machine."""
 
 
 @capacity.command()
-@click.option("--out", type=_FILE, required=True, help="Keeps what it holds of other groups.")
+@click.option(
+    "--out", type=_FILE, required=True, help="Output file; slopes of other groups in it are kept."
+)
 @click.option("--group", "groups", multiple=True, type=click.Choice(measurement.GROUPS))
 def measure(out: pathlib.Path, groups: tuple[str, ...]) -> None:
-    """Measure slopes, by default all; takes some minutes and about two cores."""
+    """Measure slopes, all by default; takes some minutes and about two cores."""
     try:
         measured = slopes.read(out) if out.exists() else slopes.SlopeSet(slopes.machine(), {})
         for slope in measurement.measure(groups or measurement.GROUPS):
@@ -34,7 +36,7 @@
 
 @capacity.command("page")
 @click.option("--slopes", "path", type=_FILE, required=True)
-@click.option("--sweep", "sweep_path", type=_FILE, required=True, help="What the bench printed.")
+@click.option("--sweep", "sweep_path", type=_FILE, required=True, help="Output of the bench.")
 def print_page(path: pathlib.Path, sweep_path: pathlib.Path) -> None:
     """Print docs/CAPACITY.md."""
     try:
--- a/hornbeamglade/cli/codedgroup.py
+++ b/hornbeamglade/cli/codedgroup.py
@@ -1,4 +1,4 @@
-"""A group of commands that turns coded errors into messages and exit codes."""
+"""A command group that turns coded errors into messages and exit codes."""
 
 import click
 
@@ -12,13 +12,13 @@
 
 
 class CodedGroup(click.Group):
-    """Prints a coded error, one problem a line, and exits with code 2.
+    """Prints a coded error, one problem per line, and exits with code 2.
 
-    Only the outermost group is of this class, so that a message is printed once.
+    Only the outermost group has this class, so that a message is printed only once.
     """
 
     def invoke(self, ctx: click.Context) -> object:
-        """Run the command that was named."""
+        """Run the named command."""
         try:
             return super().invoke(ctx)
         except documentyaml.ConfigurationError as error:
--- a/hornbeamglade/cli/config.py
+++ b/hornbeamglade/cli/config.py
@@ -28,7 +28,7 @@
 from hornbeamglade.platform import storeclient
 from hornbeamglade.store import contract
 
-ASK_AGAIN_S = 0.2
+POLL_INTERVAL_S = 0.2
 HISTORY_LIMIT = 20
 
 _Command = typing.TypeVar("_Command", bound=collections.abc.Callable[..., None])
@@ -65,7 +65,7 @@
 @_file_options
 @_json_option
 def check(base: str, overlays: tuple[str, ...], as_json: bool) -> None:
-    """Check the files without asking the platform."""
+    """Check the files without contacting the platform."""
     document = configfiles.load(base, overlays)
     sites = documents.sites(document.text)
     found = {"digest": document.digest, "sites": list(sites)}
@@ -79,11 +79,11 @@
 def diff(platform_url: str, base: str, overlays: tuple[str, ...], as_json: bool) -> None:
     """Show what the files would change."""
     document = configfiles.load(base, overlays)
-    current = _reached(_head(platform_url).current())
+    current = _require_reachable(_head(platform_url).current())
     before = current.document if current else None
     number = current.number if current else 0
     differences = documentdiff.differences(before, document.text)
-    found = {"revision": number, "differences": _plain(differences)}
+    found = {"revision": number, "differences": _as_dicts(differences)}
     _print(found, as_json, "\n".join([f"against revision {number}:", *_lines(differences)]))
 
 
@@ -100,7 +100,7 @@
     required=True,
     help="The revision that the files were made from; 0 for the first.",
 )
-@click.option("--change-id", default=lambda: uuid.uuid4().hex, help="Of a change sent before.")
+@click.option("--change-id", default=lambda: uuid.uuid4().hex, help="Id of a change sent before.")
 @_json_option
 def apply(
     platform_url: str,
@@ -116,7 +116,7 @@
     document = configfiles.load(base, overlays)
     change = head.Change(document, based_on, change_id, who, why)
     outcome = _head(platform_url).apply(change)
-    message, exit_code = _explained(outcome, based_on)
+    message, exit_code = _describe_outcome(outcome, based_on)
     kind = type(outcome).__name__
     _print({"outcome": kind, **dataclasses.asdict(outcome)}, as_json, message)
     sys.exit(exit_code)
@@ -129,7 +129,7 @@
         raise click.UsageError("This login has no name; give --who.") from None
 
 
-def _explained(outcome: head.Outcome, based_on: int) -> tuple[str, int]:
+def _describe_outcome(outcome: head.Outcome, based_on: int) -> tuple[str, int]:
     match outcome:
         case head.Applied(revision):
             return f"revision {revision} is accepted", 0
@@ -162,7 +162,9 @@
 ) -> None:
     """Show a revision's base and overlays, or what it gives for one site."""
     config_head = _head(platform_url)
-    found = _reached(config_head.revision(revision) if revision else config_head.current())
+    found = _require_reachable(
+        config_head.revision(revision) if revision else config_head.current()
+    )
     if found is None:
         raise codederrors.CodedError("config_no_revision", "there is no such revision")
     if into is not None:
@@ -188,17 +190,17 @@
 @click.option("--limit", type=click.IntRange(min=1), default=HISTORY_LIMIT)
 @_json_option
 def history(platform_url: str, limit: int, as_json: bool) -> None:
-    """Show who changed what, when and why; the newest first."""
-    records = _reached(_head(platform_url).history(limit))
+    """Show who changed what, when and why, newest first."""
+    records = _require_reachable(_head(platform_url).history(limit))
     text = "\n".join(line for record in records for line in _history_lines(record))
-    _print({"changes": _plain(records)}, as_json, text)
+    _print({"changes": _as_dicts(records)}, as_json, text)
 
 
 def _history_lines(record: headrecords.AuditRecord) -> list[str]:
     at = datetime.datetime.fromtimestamp(record.at_s, datetime.UTC).isoformat(timespec="seconds")
     first = f"{record.revision}  {at}  {record.who}: {record.why} (change {record.change_id})"
-    left_out = record.differed_count - len(record.differed)
-    more = [f"    and {left_out} more"] if left_out else []
+    omitted_count = record.differed_count - len(record.differed)
+    more = [f"    and {omitted_count} more"] if omitted_count else []
     return [first, *(f"    {line}" for line in record.differed), *more]
 
 
@@ -207,29 +209,33 @@
 @click.option("--wait", "wait_s", type=click.FloatRange(min=0), default=0.0, metavar="SECONDS")
 @_json_option
 def status(platform_url: str, wait_s: float, as_json: bool) -> None:
-    """Show which revision each node has in force; --wait until all have the newest."""
+    """Show the revision in force at each node; --wait until all have the newest."""
     clock = clocks.SystemClock()
     deadline = clock.now() + wait_s
-    number, statuses = _asked(platform_url)
-    while not (done := configstatus.everywhere(statuses, number)) and clock.now() < deadline:
-        clock.sleep(ASK_AGAIN_S)
-        number, statuses = _asked(platform_url)
+    number, statuses = _read_statuses(platform_url)
+    while (
+        not (done := configstatus.in_force_everywhere(statuses, number)) and clock.now() < deadline
+    ):
+        clock.sleep(POLL_INTERVAL_S)
+        number, statuses = _read_statuses(platform_url)
     lines = [
         f"{node.name}  {node.address}  {node.revision or '-'}"
         f"{'  leaving' if node.leaving else ''}  {node.problem}".rstrip()
         for node in statuses
     ]
-    found = {"revision": number, "everywhere": done, "nodes": _plain(statuses)}
+    found = {"revision": number, "everywhere": done, "nodes": _as_dicts(statuses)}
     _print(found, as_json, "\n".join([f"newest revision {number}", *lines]))
     if wait_s and not done:
         sys.exit(codedgroup.EXIT_NOT_EVERYWHERE)
 
 
-def _asked(platform_url: str) -> tuple[int, tuple[configstatus.NodeRevision, ...]]:
+def _read_statuses(platform_url: str) -> tuple[int, tuple[configstatus.NodeRevision, ...]]:
     platform = storeclient.StoreClient(platform_url)
-    newest = _reached(head.ConfigurationHead(platform, platform, clocks.SystemClock()).newest())
-    instances = _reached(registry.Registry(platform).list())
-    return (newest.revision if newest else 0), configstatus.ask(instances)
+    newest = _require_reachable(
+        head.ConfigurationHead(platform, platform, clocks.SystemClock()).newest()
+    )
+    instances = _require_reachable(registry.Registry(platform).list())
+    return (newest.revision if newest else 0), configstatus.read_revisions(instances)
 
 
 def _head(platform_url: str) -> head.ConfigurationHead:
@@ -240,7 +246,7 @@
 _Found = typing.TypeVar("_Found")
 
 
-def _reached(found: _Found | head.PlatformDown | contract.Unavailable) -> _Found:
+def _require_reachable(found: _Found | head.PlatformDown | contract.Unavailable) -> _Found:
     if isinstance(found, head.PlatformDown | contract.Unavailable):
         click.echo(f"platform down ({found.reason})", err=True)
         sys.exit(codedgroup.EXIT_PLATFORM_DOWN)
@@ -251,7 +257,7 @@
     return [f"  {difference}" for difference in differences] or ["  nothing"]
 
 
-def _plain(values: tuple[object, ...]) -> list[dict[str, object]]:
+def _as_dicts(values: tuple[object, ...]) -> list[dict[str, object]]:
     return [dataclasses.asdict(value) for value in values]
 
 
--- a/hornbeamglade/cli/configfiles.py
+++ b/hornbeamglade/cli/configfiles.py
@@ -1,4 +1,4 @@
-"""The operator's files: found, read, and written without overwriting any."""
+"""Finds, reads and writes the operator's configuration files, without overwriting any."""
 
 import pathlib
 
@@ -22,14 +22,14 @@
 
 
 def as_yaml(value: object) -> str:
-    """Return YAML text of plain values."""
+    """Return plain values as YAML text."""
     return yaml.safe_dump(value, sort_keys=False, allow_unicode=True)
 
 
 def write_new(directory: str, text: str) -> tuple[str, ...]:
     """Write a canonical document as base and overlay files; return their names.
 
-    :raises CodedError: when one of the files exists; then none is written.
+    :raises CodedError: when one of the files exists; in this case none is written.
     """
     base, overlay_by_site = documents.parts(text)
     root = pathlib.Path(directory)
@@ -38,7 +38,7 @@
         root / "sites" / f"{site}.yaml": value for site, value in overlay_by_site.items()
     }
     for path in value_by_path:
-        # The operator's own file may hold the change that just lost a race.
+        # The operator's file may contain the change that has just lost a race.
         if path.exists():
             raise codederrors.CodedError("config_file_exists", f"{path} would be overwritten")
     for path, value in value_by_path.items():
--- a/hornbeamglade/cli/configstatus.py
+++ b/hornbeamglade/cli/configstatus.py
@@ -1,4 +1,4 @@
-"""Which revision each listed node has in force, asked of the nodes themselves."""
+"""The revision in force at each listed node, as reported by the nodes."""
 
 import dataclasses
 
@@ -8,13 +8,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeRevision:
-    """What a listed node says of its configuration.
+    """The configuration revision of a listed node.
 
-    :param name: the node's name on the list.
-    :param address: where it was asked.
+    :param name: the node's name in the instance list.
+    :param address: the address that its status was read from.
     :param leaving: whether the platform has announced its stop.
-    :param revision: the revision in force; 0 when it has none or gave none.
-    :param problem: why it gave none; empty when it did.
+    :param revision: the revision in force; 0 when it has none or reported none.
+    :param problem: why it reported none; empty when it did.
     """
 
     name: str
@@ -24,25 +24,25 @@
     problem: str = ""
 
 
-def everywhere(nodes: tuple[NodeRevision, ...], revision: int) -> bool:
-    """Return whether all nodes that stay have ``revision`` or a newer one.
+def in_force_everywhere(nodes: tuple[NodeRevision, ...], revision: int) -> bool:
+    """Return whether all nodes that are not leaving have ``revision`` or a newer one.
 
-    A node that is listed and does not answer counts as without: it may be cut
-    off from here only, and go on serving by an older revision.
+    A listed node that does not respond counts as not having it: it may be unreachable
+    only from here and continue to serve with an older revision.
 
     Examples
     ========
 
     >>> stays = NodeRevision("n1", "192.0.2.1:80", False, 3)
     >>> leaves = NodeRevision("n2", "192.0.2.2:80", True, 2)
-    >>> everywhere((stays, leaves), 3), everywhere((stays, leaves), 4)
+    >>> in_force_everywhere((stays, leaves), 3), in_force_everywhere((stays, leaves), 4)
     (True, False)
     """
     return all(node.revision >= revision for node in nodes if not node.leaving)
 
 
-def ask(instances: tuple[contract.Instance, ...]) -> tuple[NodeRevision, ...]:
-    """Ask every listed instance, several at once, each within a bounded time."""
+def read_revisions(instances: tuple[contract.Instance, ...]) -> tuple[NodeRevision, ...]:
+    """Read the revision of every listed instance, concurrently and with a timeout."""
     addresses = tuple(instance.address for instance in instances)
     readings = statusreading.read_all(addresses)
     return tuple(map(_node_revision, instances, readings))
@@ -55,6 +55,6 @@
     if reading.status is not None and reading.status.name == instance.name:
         revision = reading.status.config_revision
     elif reading.status is not None:
-        # The list lags: the address was given to another node, which speaks for itself.
+        # The list is outdated: the address now belongs to another node.
         problem = f"{reading.status.name} answers at this address"
     return NodeRevision(instance.name, instance.address, instance.leaving, revision, problem)
--- a/hornbeamglade/cli/demo.py
+++ b/hornbeamglade/cli/demo.py
@@ -1,4 +1,4 @@
-"""``hornbeamglade demo``: a whole site on this machine, shown in a minute."""
+"""``hornbeamglade demo``: a complete site on this machine, in a minute."""
 
 import pathlib
 import tempfile
--- a/hornbeamglade/cli/explain.py
+++ b/hornbeamglade/cli/explain.py
@@ -1,4 +1,4 @@
-"""``hornbeamglade explain``: the story of one request, from logs."""
+"""``hornbeamglade explain``: the timeline of one request, from logs."""
 
 import sys
 import typing
@@ -14,10 +14,10 @@
 @click.argument("request_id")
 @click.argument("files", nargs=-1, required=True, type=click.File(errors="replace"))
 def explain(request_id: str, files: tuple[typing.TextIO, ...]) -> None:
-    """Tell what became of a request and why, from the logs of one or more instances.
+    """Show what happened to a request and why, from the logs of one or more instances.
 
-    FILES are what instances wrote to standard output, in any order; - is standard input.
-    Ends with 1 when no line names the request.
+    FILES contain the standard output of instances, in any order; - is standard input.
+    Exits with 1 when no line names the request.
     """
     lines = [line for file in files for line in requesttimeline.parse(file)]
     timeline = requesttimeline.find(request_id, lines)
--- a/hornbeamglade/cli/losses.py
+++ b/hornbeamglade/cli/losses.py
@@ -1,4 +1,4 @@
-"""``hornbeamglade losses``: what callers did not get and why, from logs."""
+"""``hornbeamglade losses``: failed and late requests by cause, from logs."""
 
 import collections.abc
 import dataclasses
@@ -31,21 +31,21 @@
     type=click.Choice(list(_ROWS_BY_GROUPING)),
     default="cause",
     show_default=True,
-    help="What to group by beside the cause.",
+    help="Group by this in addition to the cause.",
 )
 @click.option("--json", "is_json", is_flag=True, help="Print each loss and the groups as JSON.")
 @click.option(
     "--plot",
     type=click.Path(path_type=pathlib.Path, dir_okay=False),
-    help="Draw the losses by window of time into a file.",
+    help="Plot the losses per time window into a file.",
 )
 def losses(
     files: tuple[typing.TextIO, ...], grouping: str, is_json: bool, plot: pathlib.Path | None
 ) -> None:
-    """Put each request that was not served whole and on time down to one cause.
+    """Attribute each request that was not served completely and on time to one cause.
 
-    FILES are what all instances of a site wrote to standard output, in any order; - is
-    standard input. Ends with 1 when they hold no request.
+    FILES contain the standard output of all instances of a site, in any order; - is
+    standard input. Exits with 1 when they contain no request.
     """
     found = losseslib.find(line for file in files for line in requesttimeline.parse(file))
     rows = _ROWS_BY_GROUPING[grouping](found)
--- a/hornbeamglade/cli/main.py
+++ b/hornbeamglade/cli/main.py
@@ -24,10 +24,10 @@
 
 
 class _LazyGroup(codedgroup.CodedGroup):
-    """Imports a command when it is used.
+    """Imports a command's module when the command is used.
 
-    Guards an entry instance's memory and its time to start: with the benches and the
-    stand-ins that other commands import, both are twice as large.
+    This keeps the memory and start time of an entry instance low: importing the benches
+    and stand-ins that other commands need would double both.
     """
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -44,4 +44,4 @@
 
 @click.group(cls=_LazyGroup)
 def main() -> None:
-    """Serve language-model generations on crowded engines."""
+    """Serve language-model generations on overloaded engines."""
--- a/hornbeamglade/cli/soak.py
+++ b/hornbeamglade/cli/soak.py
@@ -13,28 +13,30 @@
 
 
 @click.command()
-@click.option("--seeds", "told", default="1", show_default=True, help="Such as 3 or 1-50 or 2,9.")
+@click.option(
+    "--seeds", "seeds_text", default="1", show_default=True, help="Such as 3 or 1-50 or 2,9."
+)
 @click.option("--seconds", default=12.0, show_default=True, help="How long faults begin.")
 @click.option("--kept", is_flag=True, help="Also run the seeds that have failed before.")
 @click.option(
     "--folder", type=click.Path(path_type=pathlib.Path), help="Keeps each seed's logs here."
 )
-def soak(told: str, seconds: float, kept: bool, folder: pathlib.Path | None) -> None:
+def soak(seeds_text: str, seconds: float, kept: bool, folder: pathlib.Path | None) -> None:
     """Run seeds one after the other; the exit code is 1 when a guarantee was violated."""
-    chosen = _seeds(told)
+    chosen = _seeds(seeds_text)
     if kept:
         chosen += [seed for seed in seeds.CAUSE_BY_SEED if seed not in chosen]
-    failed = [seed for seed in chosen if not _is_kept(seed, seconds, folder)]
+    failed = [seed for seed in chosen if not _passes(seed, seconds, folder)]
     click.echo(f"{len(chosen)} seeds, {len(failed)} with a broken promise: {failed or 'none'}")
     sys.exit(EXIT_BROKEN if failed else 0)
 
 
-def _is_kept(seed: int, seconds: float, folder: pathlib.Path | None) -> bool:
+def _passes(seed: int, seconds: float, folder: pathlib.Path | None) -> bool:
     """Run a seed and print its result; return whether all guarantees held."""
     with tempfile.TemporaryDirectory(prefix="hornbeamglade-soak-") as scratch:
-        place = pathlib.Path(scratch) if folder is None else folder / f"seed-{seed}"
-        place.mkdir(parents=True, exist_ok=True)
-        verdict = running.run(seed, seconds, place)
+        directory = pathlib.Path(scratch) if folder is None else folder / f"seed-{seed}"
+        directory.mkdir(parents=True, exist_ok=True)
+        verdict = running.run(seed, seconds, directory)
     statuses = ", ".join(
         f"{status or 'none'}: {count}" for status, count in sorted(verdict.count_by_status.items())
     )
@@ -46,7 +48,7 @@
     return not verdict.violations
 
 
-def _seeds(told: str) -> list[int]:
+def _seeds(seeds_text: str) -> list[int]:
     """Parse a list of numbers and ranges.
 
     :raises BadParameter: when it cannot be parsed.
@@ -58,17 +60,17 @@
     [1, 2, 3, 9]
     """
     found: list[int] = []
-    for part in told.split(","):
+    for part in seeds_text.split(","):
         first, _, last = part.partition("-")
         try:
-            found += _span(int(first), int(last or first))
+            found += _seed_range(int(first), int(last or first))
         except ValueError as error:
             detail = f"{part!r} is no seed and no range"
             raise click.BadParameter(detail, param_hint="--seeds") from error
     return found
 
 
-def _span(first: int, last: int) -> collections.abc.Iterable[int]:
+def _seed_range(first: int, last: int) -> collections.abc.Iterable[int]:
     if last < first:
         raise ValueError("the range is empty")
     return range(first, last + 1)
--- a/hornbeamglade/cli/spec.py
+++ b/hornbeamglade/cli/spec.py
@@ -10,7 +10,7 @@
 
 @click.group()
 def spec() -> None:
-    """Check the protocol specifications by exploring them in full."""
+    """Check the protocol specifications by full exploration of their state spaces."""
 
 
 @spec.command()
@@ -22,7 +22,7 @@
 )
 @click.option("--json", "json_output", is_flag=True, help="Print the verdicts as JSON.")
 def check(path: pathlib.Path | None, json_output: bool) -> None:
-    """Check with every guard on, and that each guard taken out alone breaks the promise."""
+    """Check that the guarantee holds with all guards and fails without any one of them."""
     try:
         paths = (path,) if path else programtext.specification_paths()
         verdicts = []
--- a/hornbeamglade/cli/standin.py
+++ b/hornbeamglade/cli/standin.py
@@ -1,4 +1,4 @@
-"""``hornbeamglade standin``: the stand-ins for what hornbeamglade meets outside."""
+"""``hornbeamglade standin``: stand-ins for the external systems that hornbeamglade uses."""
 
 import pathlib
 
@@ -23,12 +23,14 @@
 
 @standin.command("engine")
 @click.option("--bind", default="127.0.0.1:0", show_default=True, help="ip:port to listen on.")
-@click.option("--capacity-tokens", default=12_000, show_default=True, help="Its memory.")
+@click.option("--capacity-tokens", default=12_000, show_default=True, help="Memory, in tokens.")
 @click.option("--step-s", default=0.026, show_default=True, help="Seconds between tokens.")
 @click.option("--max-running", default=256, show_default=True, help="Sequences at once.")
 @click.option("--load-lag-s", default=0.0, show_default=True, help="Age of load reports.")
 @click.option("--event-lag-s", default=0.0, show_default=True, help="Age of cache events.")
-@click.option("--event-drop-every", default=0, show_default=True, help="Leave out each n-th.")
+@click.option(
+    "--event-drop-every", default=0, show_default=True, help="Omit every n-th event; 0: none."
+)
 @click.option("--model", "models", multiple=True, default=("draft",), help="Models present.")
 @click.option("--resume/--no-resume", default=True, help="Whether streams can be resumed.")
 @click.option("--checks-fencing/--no-checks-fencing", default=True)
@@ -82,10 +84,16 @@
 @standin.command("routed")
 @click.option("--bind", default="127.0.0.1:0", show_default=True, help="ip:port to listen on.")
 @click.option("--id", "replica_id", required=True, help="The server's id in the list.")
-@click.option("--events", default=0, show_default=True, help="Of each stream; 0: plain service.")
+@click.option(
+    "--events", default=0, show_default=True, help="Events per stream; 0: plain service."
+)
 @click.option("--gap", "gap_s", default=0.01, show_default=True, help="Seconds between events.")
-@click.option("--born", default=0, show_default=True, help="Unix ms of its start; 0: untold.")
-@click.option("--ledger", type=click.Path(path_type=pathlib.Path), help="File of what was run.")
+@click.option(
+    "--born", default=0, show_default=True, help="Start time in Unix ms; 0: not reported."
+)
+@click.option(
+    "--ledger", type=click.Path(path_type=pathlib.Path), help="File that records the runs."
+)
 @click.option("--crash-on", default="", help="Text in a body that ends the server.")
 def routed_server(
     bind: str,
@@ -96,5 +104,5 @@
     ledger: pathlib.Path | None,
     crash_on: str,
 ) -> None:
-    """Run a backend server behind routes, a plain one or a model engine."""
+    """Run a backend server for routed requests: a plain service or a model engine."""
     routed.run(bind, replica_id, events, gap_s, born, ledger, crash_on)
--- a/hornbeamglade/cli/status.py
+++ b/hornbeamglade/cli/status.py
@@ -9,7 +9,7 @@
 
 
 @click.command()
-@click.option("--platform", "platform_url", help="Base URL of the platform; asks every instance.")
+@click.option("--platform", "platform_url", help="Base URL of the platform; reads every instance.")
 @click.option("--nodes", help="Addresses of nodes, as ip:port, separated by commas.")
 @click.option(
     "--timeout",
@@ -25,11 +25,11 @@
 ) -> None:
     """Show each node and replica: state, revision in force, load, refusals.
 
-    Ends with 1 when a node gave no status.
+    Exits with 1 when the status of a node could not be read.
     """
     if (platform_url is None) == (nodes is None):
         raise click.UsageError("Give either --platform or --nodes.")
-    addresses = _split(nodes) if nodes else _listed(platform_url)
+    addresses = _split_addresses(nodes) if nodes else _listed_addresses(platform_url)
     if not addresses:
         raise click.ClickException("There are no nodes to ask.")
     readings = statusreading.read_all(addresses, timeout_s)
@@ -38,11 +38,11 @@
         raise SystemExit(1)
 
 
-def _split(nodes: str) -> tuple[str, ...]:
+def _split_addresses(nodes: str) -> tuple[str, ...]:
     return tuple(address.strip() for address in nodes.split(",") if address.strip())
 
 
-def _listed(platform_url: str) -> tuple[str, ...]:
+def _listed_addresses(platform_url: str) -> tuple[str, ...]:
     instances = registry.Registry(storeclient.StoreClient(platform_url)).list()
     if isinstance(instances, contract.Unavailable):
         raise click.ClickException(f"The platform gave no list: {instances.reason}")
--- a/hornbeamglade/emulator/__init__.py
+++ b/hornbeamglade/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""A model of one continuous-batching engine in virtual time, for benches and stand-ins."""
+"""A model of a continuous-batching engine in virtual time, for benches and stand-ins."""
 
 from hornbeamglade.emulator.enginemodel import EngineModel, ModelLoad, Sequence, StepResult
 from hornbeamglade.emulator.prefixcache import BlockPool, CacheEvent
--- a/hornbeamglade/emulator/enginemodel.py
+++ b/hornbeamglade/emulator/enginemodel.py
@@ -1,13 +1,13 @@
-"""A pure model of one continuous-batching engine.
+"""A deterministic model of one continuous-batching engine.
 
 Explanation
 ===========
 
-Each step gives one token to every decoding sequence, as with iteration-level
-scheduling [1]_; memory is handed out in blocks [2]_. When no block is free, the
-running sequence of lowest priority, among these the latest arrived, is
+Each step produces one token for every decoding sequence, as in iteration-level
+scheduling [1]_; memory is allocated in blocks [2]_. When no block is free, the
+running sequence with the lowest priority, and among these the latest arrival, is
 preempted: its blocks are freed and it waits until its prompt and the tokens it
-has produced can be computed again. Nothing is random and no clock is read.
+has produced can be recomputed. There is no randomness and no clock is read.
 
 References
 ==========
@@ -27,9 +27,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sequence:
-    """One generation as the engine gets it.
+    """One generation request to the engine.
 
-    :param request_id: unique among the engine's present sequences.
+    :param request_id: unique among the engine's current sequences.
     :param prompt_tokens: tokens of the prompt; at least 1.
     :param answer_tokens: the true length of the answer, hidden from policies; at least 1.
     :param priority: larger is more urgent.
@@ -45,15 +45,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StepResult:
-    """What one step did.
+    """The result of one step.
 
-    :param token_count_by_id: new tokens of each sequence that got any.
+    :param token_count_by_id: number of new tokens, by sequence that got any.
     :param finished: sequences whose last token is among these tokens.
-    :param truncated: those of ``finished`` that were cut because they filled the memory alone.
+    :param truncated: those of ``finished`` that were cut because they alone filled the memory.
     :param preempted: sequences that lost their memory.
     :param resumed: preempted sequences that got memory again.
     :param started: sequences that got memory for the first time.
-    :param duration_s: seconds of virtual time that the step took.
+    :param duration_s: duration of the step, in seconds of virtual time.
     """
 
     token_count_by_id: dict[str, int]
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelLoad:
-    """The engine's present load; preemptions are counted since the start."""
+    """The engine's current load; preemptions are counted since the start."""
 
     capacity_tokens: int
     used_tokens: int
@@ -80,22 +80,22 @@
 class _State:
     """A sequence's mutable state.
 
-    ``room`` is the number of tokens that still fit into the last block,
-    ``left`` the tokens of the answer that are still to come.
+    ``free_slots`` is the number of tokens that still fit into the last block,
+    ``tokens_left`` the number of tokens that are still to be generated.
     """
 
     sequence: Sequence
     arrival: int
-    left: int
+    tokens_left: int
     prefill_left: int = 0
-    room: int = 0
+    free_slots: int = 0
     shared: tuple[int, ...] = ()
     private_blocks: int = 0
     was_preempted: bool = False
 
     @property
     def order(self) -> tuple[int, int]:
-        """Sort key: the most urgent and earliest first."""
+        """Sort key: highest priority first, then earliest arrival."""
         return (-self.sequence.priority, self.arrival)
 
 
@@ -113,10 +113,10 @@
     ('a',)
 
     :param capacity_tokens: memory, in tokens.
-    :param block_tokens: tokens of one block.
-    :param step_s: seconds a step takes when ``slow_factor`` is 1.
-    :param max_running: bound on sequences that hold memory.
-    :param prefill_tokens_per_step: prompt tokens computed a step, over all sequences.
+    :param block_tokens: tokens per block.
+    :param step_s: duration of a step in seconds when ``slow_factor`` is 1.
+    :param max_running: maximum number of sequences that hold memory.
+    :param prefill_tokens_per_step: prompt tokens computed per step, over all sequences.
     :param slow_factor: multiplies the duration of steps; may be set at any time.
     """
 
@@ -146,14 +146,14 @@
         self._waiting_heap: list[tuple[int, int, str]] = []
 
     def submit(self, sequence: Sequence) -> None:
-        """Put a sequence into the engine's waiting queue.
+        """Add a sequence to the engine's queue.
 
-        :raises CodedError: when its prompt can never fit or its id is taken.
+        :raises CodedError: when its prompt can never fit or its id is in use.
         """
         request_id = sequence.request_id
         if request_id in self._state_by_id:
             raise codederrors.CodedError("sequence_duplicate", f"{request_id} is present already")
-        if self._blocks_for(sequence.prompt_tokens + 1) > self.pool.capacity:
+        if self._block_count(sequence.prompt_tokens + 1) > self.pool.capacity:
             detail = f"a prompt of {sequence.prompt_tokens} tokens never fits"
             raise codederrors.CodedError("prompt_too_long", detail)
         self._arrivals += 1
@@ -197,7 +197,7 @@
         )
 
     def load(self) -> ModelLoad:
-        """Return the present load."""
+        """Return the current load."""
         return ModelLoad(
             self.pool.capacity * self.block_tokens,
             self.pool.used * self.block_tokens,
@@ -207,14 +207,14 @@
         )
 
     def computing(self, request_id: str) -> bool:
-        """Tell whether the sequence holds memory now, rather than waits or is gone."""
+        """Return whether the sequence holds memory, rather than waiting or being gone."""
         return request_id in self._decoding_by_id or request_id in self._prefilling_by_id
 
     def drain_cache_events(self) -> tuple[prefixcache.CacheEvent, ...]:
         """Return the prefix cache's events since the last call."""
         return self.pool.drain_events()
 
-    def _blocks_for(self, tokens: int) -> int:
+    def _block_count(self, tokens: int) -> int:
         return -(-tokens // self.block_tokens)
 
     def _wait(self, state: _State) -> None:
@@ -231,18 +231,18 @@
         state.private_blocks = 0
 
     def _grow(self) -> list[str]:
-        """Give a block to each decoding sequence whose last block is full."""
-        growing = [s for s in self._decoding_by_id.values() if not s.room]
+        """Allocate a block for each decoding sequence whose last block is full."""
+        growing = [s for s in self._decoding_by_id.values() if not s.free_slots]
         preempted: list[str] = []
         if not growing:
             return preempted
         growing.sort(key=lambda state: state.order)
         for state in growing:
-            while self._holds_memory(state) and not self.pool.take():
+            while self._holds_memory(state) and not self.pool.allocate():
                 preempted.append(self._preempt())
             if self._holds_memory(state):
                 state.private_blocks += 1
-                state.room = self.block_tokens
+                state.free_slots = self.block_tokens
         return preempted
 
     def _holds_memory(self, state: _State) -> bool:
@@ -254,8 +254,8 @@
         request_id = victim.sequence.request_id
         self._free(victim)
         if len(running) == 1:
-            # It has the whole memory and needs more: computing it again would end
-            # here again, without end, so its answer is cut instead.
+            # It has all the memory and needs more. Recomputing it would lead here again,
+            # forever, so it is truncated instead.
             del self._state_by_id[request_id]
             return request_id
         victim.was_preempted = True
@@ -280,20 +280,20 @@
 
     def _start(self, state: _State) -> bool:
         sequence = state.sequence
-        produced = sequence.answer_tokens - state.left
+        produced = sequence.answer_tokens - state.tokens_left
         tokens = sequence.prompt_tokens + produced
         full_prompt_blocks = sequence.prompt_tokens // self.block_tokens
         prefix = sequence.prefix[:full_prompt_blocks]
         hits = prefix[: self.pool.cached_prefix(prefix)]
-        needed = self._blocks_for(tokens + 1) - len(hits)
+        needed = self._block_count(tokens + 1) - len(hits)
         if needed > self.pool.free - self.pool.blocks_to_reuse(hits):
             return False
-        self.pool.share(hits)
+        self.pool.add_references(hits)
         for _ in range(needed):
-            self.pool.take()
+            self.pool.allocate()
         state.shared = hits
         state.private_blocks = needed
-        state.room = (needed + len(hits)) * self.block_tokens - tokens
+        state.free_slots = (needed + len(hits)) * self.block_tokens - tokens
         state.prefill_left = max(1, tokens - len(hits) * self.block_tokens)
         if state.was_preempted:
             self.recomputed_tokens += state.prefill_left
@@ -327,9 +327,9 @@
     def _decode(self) -> tuple[dict[str, int], list[str]]:
         finished = []
         for request_id, state in self._decoding_by_id.items():
-            state.room -= 1
-            state.left -= 1
-            if not state.left:
+            state.free_slots -= 1
+            state.tokens_left -= 1
+            if not state.tokens_left:
                 finished.append(request_id)
         tokens = dict.fromkeys(self._decoding_by_id, 1)
         for request_id in finished:
--- a/hornbeamglade/modelcheck/__init__.py
+++ b/hornbeamglade/modelcheck/__init__.py
@@ -1,4 +1,4 @@
-"""Checking of the protocol specifications under ``spec/`` with the Storm model checker."""
+"""Checks the protocol specifications under ``spec/`` with the Storm model checker."""
 
 from hornbeamglade.modelcheck.exploration import StateSpace, Transition, explore
 from hornbeamglade.modelcheck.programtext import Specification, load, specification_paths
--- a/hornbeamglade/modelcheck/exploration.py
+++ b/hornbeamglade/modelcheck/exploration.py
@@ -5,7 +5,7 @@
 
 Storm is a development dependency: it is imported on first use, and its absence
 is a coded error, so that the daemons never need it. Exploration checks are on:
-a variable that would leave its range is an error, never a silent cut of the
+a variable that leaves its range is an error and never silently truncates the
 state space.
 """
 
@@ -20,7 +20,7 @@
 
 
 class Transition(typing.NamedTuple):
-    """One step from a state; a named tuple, since millions are made.
+    """One transition from a state; a named tuple, because there are millions of them.
 
     :param choice: number of the command's instance, see :meth:`StateSpace.action`.
     :param target: number of the state it leads to.
@@ -52,7 +52,7 @@
         }
 
     def transitions(self, state: int) -> list[Transition]:
-        """Return the steps from a state.
+        """Return the transitions from a state.
 
         :param state: the state's number.
         """
@@ -90,12 +90,12 @@
 
 
 def explore(program_text: str, bad_labels: tuple[str, ...]) -> StateSpace:
-    """Explore a program in full and check that no bad state is reached.
+    """Explore a program's full state space and compute whether a bad state is reachable.
 
     :param program_text: a PRISM ``mdp`` whose constants are all set.
     :param bad_labels: labels whose union is the bad set.
     :raises CodedError: ``spec_checker_missing`` without stormpy, ``spec_invalid``
-        when Storm refuses the program.
+        when Storm rejects the program.
     """
     stormpy = _stormpy()
     try:
--- a/hornbeamglade/modelcheck/programtext.py
+++ b/hornbeamglade/modelcheck/programtext.py
@@ -1,14 +1,15 @@
-"""Text of a PRISM specification: its guards, variants and labels, and constants set.
+"""Text of a PRISM specification: its guards, variants and labels, and setting of constants.
 
 Explanation
 ===========
 
-A specification leaves two kinds of constants open. ``const bool guard_x;`` is
-a guard of the protocol: on in the protocol as built, off to see what it is
-for. ``const bool variant_x;`` is a choice between protocols, each of which
-must keep the promise; off is the one that is built. Labels are told apart by
-prefix: ``bad_`` must never be reached, ``good_`` must be reachable, ``home_``
-must stay reachable from every reachable state (no run gets stuck short of it).
+A specification leaves two kinds of constants undefined. ``const bool guard_x;`` is
+a guard of the protocol: on in the implemented protocol, off to show why it is
+needed. ``const bool variant_x;`` selects a variant of the protocol; every variant
+must hold the guarantee, and the implemented one has it off. The prefix of a label
+gives its meaning: a ``bad_`` state must be unreachable, a ``good_`` state must be
+reachable, and a ``home_`` state must stay reachable from every reachable state (no
+run gets stuck before it).
 """
 
 import dataclasses
@@ -26,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Specification:
-    r"""One specification with its constants still open.
+    r"""One specification with its constants undefined.
 
     :param name: the file's name without its suffix.
     :param text: the PRISM program.
@@ -51,12 +52,12 @@
 
     @property
     def variants(self) -> tuple[str, ...]:
-        """Names of the protocol choices, in order of the text."""
+        """Names of the protocol variants, in order of the text."""
         return self._constants("variant_")
 
     @property
     def variant_settings(self) -> tuple[dict[str, bool], ...]:
-        """Every combination of the variants, all off first; one empty setting without variants."""
+        """All combinations of the variants, all off first; a single empty one without variants."""
         choices = itertools.product((False, True), repeat=len(self.variants))
         return tuple(dict(zip(self.variants, choice, strict=True)) for choice in choices)
 
@@ -69,7 +70,7 @@
         return tuple(name for name in names if name.startswith(prefix))
 
     def with_constants(self, values: abc.Mapping[str, bool]) -> str:
-        """Return the program with every open constant set.
+        """Return the program with all undefined constants set.
 
         :param values: a value for each guard and each variant.
         :raises CodedError: ``spec_constant_unset`` when a value is missing.
--- a/hornbeamglade/modelcheck/reports.py
+++ b/hornbeamglade/modelcheck/reports.py
@@ -1,4 +1,4 @@
-"""Verdicts as text for people and as JSON for scripts."""
+"""Verdicts as human-readable text and as JSON for scripts."""
 
 import dataclasses
 import json
@@ -10,7 +10,7 @@
 def as_json(verdicts: abc.Sequence[verification.Verdict]) -> str:
     """Return the verdicts as one JSON document.
 
-    :param verdicts: in the order to be shown.
+    :param verdicts: in the order of the output.
     """
     documents = [dataclasses.asdict(verdict) | {"passed": verdict.passed} for verdict in verdicts]
     return json.dumps(documents, indent=2)
--- a/hornbeamglade/modelcheck/verification.py
+++ b/hornbeamglade/modelcheck/verification.py
@@ -1,12 +1,12 @@
-"""Verdict on a specification: safe with its guards, unsafe without any one of them.
+"""Verdict on a specification: safe with all guards, unsafe without any one of them.
 
 Explanation
 ===========
 
-A model can be safe for a bad reason: nothing happens in it. So a verdict asks
-besides that each good outcome is reachable and that no run gets stuck, and
-that every guard is needed: taken out alone, it must let a bad state be reached, or a
-run get stuck, in at least one variant of the protocol.
+A model can be safe vacuously, because nothing happens in it. A verdict therefore also
+requires that every good state is reachable, that no run gets stuck, and that every guard
+is needed: without it, in at least one variant of the protocol, a bad state is reachable
+or a run gets stuck.
 """
 
 import dataclasses
@@ -60,13 +60,13 @@
 
     @property
     def needed(self) -> bool:
-        """Whether the promise breaks without the guard."""
+        """Whether the guarantee is violated without the guard."""
         return self.label is not None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What checking a specification showed.
+    """The result of checking a specification.
 
     :param name: the specification's name.
     :param runs: one for each variant, guards on.
@@ -86,7 +86,7 @@
 
 
 def verify(specification: programtext.Specification) -> Verdict:
-    """Explore a specification with all guards, then without each in turn.
+    """Explore a specification with all guards, then without each one in turn.
 
     :param specification: with at least one ``bad_`` and one ``good_`` label.
     :raises CodedError: ``spec_labels_missing`` when it lacks these labels.
@@ -98,7 +98,7 @@
     return Verdict(
         name=specification.name,
         runs=tuple(_run(specification, setting) for setting in specification.variant_settings),
-        guard_results=tuple(_without(specification, guard) for guard in specification.guards),
+        guard_results=tuple(_run_without(specification, guard) for guard in specification.guards),
     )
 
 
@@ -118,19 +118,19 @@
     )
 
 
-def _without(specification: programtext.Specification, guard: str) -> GuardResult:
+def _run_without(specification: programtext.Specification, guard: str) -> GuardResult:
     for variant in specification.variant_settings:
         space = _explore(specification, variant, guard)
-        label, trace = _first_fault(specification, space)
+        label, trace = _first_violation(specification, space)
         if trace is not None:
             return GuardResult(guard, variant, space.state_count, label, trace.actions)
     return GuardResult(guard, variant, space.state_count, None, ())
 
 
-def _first_fault(
+def _first_violation(
     specification: programtext.Specification, space: exploration.StateSpace
 ) -> tuple[str | None, traces.Trace | None]:
-    """Return the bad label reached, else the home label lost, with a shortest trace."""
+    """Return the reached bad label, or else the unreachable home label, with a shortest trace."""
     trace = _bad_trace(specification, space)
     if trace is not None:
         reached = (
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -33,12 +33,12 @@
     assert (result.exit_code, result.output) == (0, output)
 
 
-def test_an_unknown_request_ends_with_1():
+def test_an_unknown_request_exits_with_1():
     result = explain("0000000000000000", *(f"{kind}.log" for kind in KINDS))
     assert result.exit_code == 1
     assert "no line of" in result.output
 
 
-def test_a_missing_file_is_an_error_of_use(tmp_path):
+def test_a_missing_file_is_a_usage_error(tmp_path):
     result = explain("r1", str(tmp_path / "none.log"))
     assert result.exit_code == 2
--- a/tests/cli/test_losses.py
+++ b/tests/cli/test_losses.py
@@ -32,7 +32,7 @@
     assert sum(group["count"] for group in page["groups"]) == len(page["lost"]) > 0
 
 
-def test_files_without_a_request_end_with_1(tmp_path):
+def test_files_without_a_request_exit_with_1(tmp_path):
     empty = tmp_path / "empty.txt"
     empty.write_text("noise\n")
     result = losses(str(empty))
@@ -42,5 +42,5 @@
     )
 
 
-def test_unknown_grouping_is_an_error_of_use():
+def test_unknown_grouping_is_a_usage_error():
     assert losses("late.log", "--by", "moon").exit_code == 2
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Passes over the tests that KNOWN-RED.txt lists, and prints them.
+"""Marks the tests listed in KNOWN-RED.txt as expected failures, and prints the list.
 
-An entry begins with a test's id, parameters included or left out, then a colon and a space. An
-entry that names no test of a file that was collected is an error.
+An entry begins with a test id, with or without parameters, followed by a colon and a space. An
+entry that matches no test of a collected file is an error.
 """
 
 import pathlib
--- a/tests/docs/refusalcodes.py
+++ b/tests/docs/refusalcodes.py
@@ -1,4 +1,4 @@
-"""Finds the codes of the refusals in the package's source."""
+"""Finds the codes of refusals in the package's source."""
 
 import ast
 import collections.abc
@@ -11,16 +11,16 @@
 REFUSAL = "Refusal"
 CODE = "code"
 FOLLOWED = ("_outcome_unknown", "failed_attempt_refusal")
-"""Helpers of ``node.attempts`` that other modules give the code to, first."""
+"""Helpers of ``node.attempts`` to which other modules pass the code as first argument."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Found:
-    """What the source says of codes.
+    """The codes found in the source.
 
-    :param codes: those stated beside their refusal.
-    :param unresolved: places whose code is computed.
-    :param exported: helpers that other modules give the code to.
+    :param codes: codes that are constants.
+    :param unresolved: places at which the code is computed.
+    :param exported: public helpers to which other modules pass the code.
     """
 
     codes: frozenset[str]
@@ -36,7 +36,7 @@
 
 
 def find() -> Found:
-    """Follow codes from each ``Refusal`` back through the helpers that pass them on."""
+    """Trace codes from each ``Refusal`` back through the helpers that pass them on."""
     codes: set[str] = set()
     unresolved: set[str] = set()
     exported: set[str] = set()
--- a/tests/docs/test_callers.py
+++ b/tests/docs/test_callers.py
@@ -1,4 +1,4 @@
-"""The page for callers lists every code that a caller can meet."""
+"""The page for callers lists every code that a caller can get."""
 
 import pathlib
 import re
@@ -34,7 +34,7 @@
 
 
 def test_no_other_place_computes_a_code():
-    # A new place is not seen by the tests above: state its codes in _computed_codes.
+    # The tests above do not cover new places: add their codes to _computed_codes.
     found = refusalcodes.find()
     assert found.unresolved == {
         "callers.application: code",
--- a/tests/docs/test_glossary.py
+++ b/tests/docs/test_glossary.py
@@ -1,4 +1,4 @@
-"""The glossary names modules that exist, and the words of the users."""
+"""The glossary names existing modules and contains the users' terms."""
 
 import importlib.util
 import pathlib
--- a/tests/docs/test_operations.py
+++ b/tests/docs/test_operations.py
@@ -1,4 +1,4 @@
-"""The page for operators: its examples pass the checks, its tables name every key."""
+"""The page for operators: its examples are valid and its tables list every key."""
 
 import dataclasses
 import pathlib
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("block", _blocks(SETTINGS))
-def test_settings_examples_are_taken_by_the_node(block, tmp_path):
+def test_settings_examples_are_accepted_by_the_node(block, tmp_path):
     path = tmp_path / "node.yaml"
     path.write_text(block, encoding="utf-8")
     assert settings.load(str(path)).site
@@ -108,7 +108,7 @@
         assert cells[3] == ("see below" if is_part else "required")
 
 
-def test_no_class_of_the_configuration_is_left_out():
+def test_every_configuration_class_is_covered():
     classes = {
         each
         for each in vars(models).values()
--- a/tests/emulator/test_enginemodel.py
+++ b/tests/emulator/test_enginemodel.py
@@ -1,4 +1,4 @@
-"""The modelled engine gives whole answers and accounts for its memory."""
+"""The modelled engine completes all generations and accounts for its memory."""
 
 import hypothesis
 import hypothesis.strategies as st
@@ -60,7 +60,7 @@
     ]
 
 
-def test_needed_memory_evicts_the_inner_cached_block_first():
+def test_memory_pressure_evicts_the_innermost_cached_block_first():
     model = enginemodel.EngineModel(64)
     model.submit(sequence("a", prompt=32, answer=1, prefix=(1, 2)))
     run(model)
@@ -70,7 +70,7 @@
     assert [(e.kind, e.block) for e in model.drain_cache_events()] == [("evicted", 2)]
 
 
-def test_cancel_frees_memory_and_forgets_waiting_ones():
+def test_cancel_frees_memory_and_removes_waiting_sequences():
     model = enginemodel.EngineModel(64, max_running=1)
     model.submit(sequence("a"))
     model.submit(sequence("b"))
@@ -79,7 +79,7 @@
     assert model.load() == enginemodel.ModelLoad(64, 0, 0, 0, 0)
 
 
-def test_a_sequence_that_comes_again_waits_behind_those_before_it():
+def test_a_resubmitted_sequence_queues_behind_earlier_ones():
     model = enginemodel.EngineModel(64, max_running=1)
     for request_id in ("first", "again", "other"):
         model.submit(sequence(request_id))
--- a/tests/eventloop.py
+++ b/tests/eventloop.py
@@ -1,9 +1,9 @@
-"""Runs a test's coroutine on an event loop of its own."""
+"""Runs a test's coroutine on a new event loop."""
 
 import asyncio
 
 LONGEST_S = 60.0
-"""A bound on a test that hangs; no test depends on it."""
+"""Timeout of a hanging test; no test depends on it."""
 
 
 def run(coroutine):
--- a/tests/modelcheck/test_specifications.py
+++ b/tests/modelcheck/test_specifications.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("path", PATHS, ids=lambda path: path.stem)
-def test_promise_holds_every_guard_is_needed_and_the_page_says_so(path, page_lines_by_section):
+def test_guarantee_holds_and_every_guard_is_needed_and_documented(path, page_lines_by_section):
     verdict = verification.verify(programtext.load(path))
     assert verdict.passed, reports.as_text(verdict)
     for result in verdict.guard_results:
