--- a/hornbeamglade/exchange/asyncgrantclient.py
+++ b/hornbeamglade/exchange/asyncgrantclient.py
@@ -33,7 +33,7 @@
 
         :param owner: the owner of the replica.
         :param request: the request to send; its ``grant_id`` is replaced. The wait is
-            bounded by its ``deadline_ms``; cancelling it releases the grant request.
+            bounded by its ``deadline_ms``; cancelling the wait abandons the request.
         :returns: a granted or refused response; ``NoResponse`` if the owner did not respond in
             time or before the deadline; or None if the deadline passed while queued. Only a
             granted response needs :meth:`close`, by its ``grant_id``.
--- a/hornbeamglade/exchange/grantrequests.py
+++ b/hornbeamglade/exchange/grantrequests.py
@@ -195,7 +195,7 @@
         """Handle a response.
 
         :param owner: the node that responded, and its endpoint.
-        :param answer: its answer.
+        :param response: its response.
         :param now: monotonic seconds.
         :returns: the release of the grant if no request waits for it any more.
         """
--- a/hornbeamglade/exchange/grantserver.py
+++ b/hornbeamglade/exchange/grantserver.py
@@ -8,9 +8,9 @@
 
 - The response to a grant request is stored, so a repeated request gets the same response
   and the scheduler sees it once.
-- A request whose grant was released is stored as such for :data:`RECORD_RETENTION_S`, so a
-  delayed copy of it is not granted. The codec accepts no frame older than
-  :data:`replay.MAX_FRAME_DELAY_S
+- A request that was released is stored as such for :data:`RECORD_RETENTION_S`, so a
+  delayed copy of it is not granted. The codec drops a frame that is older than the newest of
+  its sender by more than :data:`replay.MAX_FRAME_DELAY_S
   <hornbeamglade.exchange.replay.MAX_FRAME_DELAY_S>`, a third of that.
 - A grant without a report for :data:`GRANT_TIMEOUT_S` expires, and so does a queued
   request that is no longer repeated: the requester failed, or its releases were lost. All
