--- a/hornbeamglade/capacity/checks.py
+++ b/hornbeamglade/capacity/checks.py
@@ -15,7 +15,7 @@
 from hornbeamglade.exchange import configchunks, messages
 from hornbeamglade.membership import addresses, dissemination
 
-PER_TEAM = 3
+NODES_PER_TEAM = 3
 
 
 def all_checks(
@@ -83,7 +83,9 @@
     measured: slopes.SlopeSet, size: targetsize.SiteSize
 ) -> tuple[checkvalues.Check, ...]:
     placement_pass_s = dutyvalues.placement_pass_s(measured, size)
-    shard_memberships = size.teams * addresses.shard_size(size.nodes, 1 / size.teams, PER_TEAM)
+    shard_memberships = size.teams * addresses.shard_size(
+        size.nodes, 1 / size.teams, NODES_PER_TEAM
+    )
     heartbeat_round_s = (size.nodes - 1) / dissemination.FANOUT * dissemination.SAMPLED_PERIOD_S
     return (
         checkvalues.Check(
--- a/hornbeamglade/capacity/checkvalues.py
+++ b/hornbeamglade/capacity/checkvalues.py
@@ -68,8 +68,8 @@
     """
     if nodes <= dissemination.FULL_MESH_MAX_NODES:
         return 1.0
-    heard = dissemination.heartbeats_per_second(nodes) * within_s
-    return 1 - (1 - 1 / (nodes - 1)) ** heard
+    received = dissemination.heartbeats_per_second(nodes) * within_s
+    return 1 - (1 - 1 / (nodes - 1)) ** received
 
 
 def probability_of_fewer_than(least: int, tries: int, chance: float) -> float:
--- a/hornbeamglade/capacity/measuringteams.py
+++ b/hornbeamglade/capacity/measuringteams.py
@@ -107,7 +107,7 @@
 
 def _handover_us(teams: int) -> float:
     team_limits = _limits(teams)
-    names = tuple(samplesite.node_name(number) for number in range(samplesite.PER_TEAM))
+    names = tuple(samplesite.node_name(number) for number in range(samplesite.NODES_PER_TEAM))
 
     def set_shards() -> None:
         for number in range(teams):
--- a/hornbeamglade/capacity/samplesite.py
+++ b/hornbeamglade/capacity/samplesite.py
@@ -14,7 +14,7 @@
 POOLS = 3
 FAILURE_DOMAINS = 7
 MEMORY_TOKENS = 200_000
-PER_TEAM = 3
+NODES_PER_TEAM = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
