--- a/hornbeamglade/node/daemon.py
+++ b/hornbeamglade/node/daemon.py
@@ -297,7 +297,7 @@
         self._metrics.config_revision.set(self._applier.revision)
 
     def _log_problem_change(self) -> None:
-        """Log when a problem that prevents the newest revision begins or ends."""
+        """Log when a problem that keeps the newest revision from being applied begins or ends."""
         problem = self._config.problem or "none"
         logs.state_changed("config_problem", self._problem, problem, code=problem)
         self._problem = problem
--- a/hornbeamglade/node/handlers.py
+++ b/hornbeamglade/node/handlers.py
@@ -44,7 +44,7 @@
     def plain(
         self, service: str, path: str, request: application.CallerRequest
     ) -> application.Answer:
-        """Pass a call to a plain service."""
+        """Forward a call to a plain service."""
         return self._plain.handle(service, path, request)
 
     def page(self, name: str, request: application.CallerRequest) -> application.Answer:
--- a/hornbeamglade/node/pages.py
+++ b/hornbeamglade/node/pages.py
@@ -35,7 +35,7 @@
         self._members = members
         self._ready = ready
         self._status = status
-        self._page_counter = itertools.count()
+        self._rotation = itertools.count()
 
     def answer(self, name: str, request: application.CallerRequest) -> application.Answer:
         """Answer one page.
@@ -87,7 +87,7 @@
             team,
             self._members(),
             view.team_share(team),
-            next(self._page_counter),
+            next(self._rotation),
             address_settings.ttl_s,
             address_settings.per_team,
         )
--- a/hornbeamglade/node/placing.py
+++ b/hornbeamglade/node/placing.py
@@ -70,7 +70,7 @@
     def step(self, view: siteview.SiteView) -> None:
         """Apply the desired states of a newer revision and send the orders that are due.
 
-        :param view: the configuration in force.
+        :param view: the active configuration.
         """
         with self._lock:
             self._update_pools(view)
--- a/hornbeamglade/node/replicacatalog.py
+++ b/hornbeamglade/node/replicacatalog.py
@@ -18,7 +18,8 @@
 """Replicas of other owners that are considered for a request, besides this node's own."""
 
 CLOSED_TIMEOUT_S = 20.0
-"""Longer than a placement plan is valid, or its orders are in flight, after it was announced."""
+"""Longer than a placement plan is valid, or its orders are in flight, after it was last
+announced."""
 
 REPORT_LIFE_S = replicascheduler.REPORT_LIFE_S
 
--- a/hornbeamglade/node/runtime.py
+++ b/hornbeamglade/node/runtime.py
@@ -83,7 +83,7 @@
     """The components that handlers need, created by the daemon.
 
     :param clock: the node's clock.
-    :param views: the configuration in force.
+    :param views: the active configuration.
     :param catalog: the state of the known replicas.
     :param schedulers: this node's schedulers.
     :param acquirer: acquires grants.
