--- a/hornbeamglade/http1/clientpool.py
+++ b/hornbeamglade/http1/clientpool.py
@@ -37,7 +37,7 @@
     ) -> clientside.ServerConnection | clientside.ResponseLost:
         """Return a connection for one request.
 
-        :param fresh: whether the connection must be new.
+        :param new_only: whether an idle connection may not be reused.
         """
         self._open_by_address[address] += 1
         idle = self._idle_by_address.get(address, [])
