--- a/hornbeamglade/callers/__init__.py
+++ b/hornbeamglade/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' interface: HTTP requests in, streams and truthful refusals out."""
+"""The interface for callers: reads HTTP requests, sends streams and truthful refusals."""
--- a/hornbeamglade/callers/server.py
+++ b/hornbeamglade/callers/server.py
@@ -88,7 +88,7 @@
     """Serves a WSGI application on an ``ip:port``.
 
     The address is bound at construction, so that it can be announced; requests are
-    answered once :meth:`start` was called.
+    answered once :meth:`start` has been called.
 
     :param address: where to listen; port 0 selects a free port.
     :param threads: connections served at once; each stream occupies a thread.
