--- a/hornbeamglade/exchange/grantserver.py
+++ b/hornbeamglade/exchange/grantserver.py
@@ -87,7 +87,7 @@
     DECIDING = enum.auto()
     OPEN = enum.auto()
     REFUSED = enum.auto()
-    RETURNED = enum.auto()
+    RELEASED = enum.auto()
     EXPIRED = enum.auto()
 
 
@@ -224,7 +224,7 @@
             # Guards against a request that the network delivers after its release: it
             # would be granted, and reserve unused memory. The record is kept.
             if record is not None:
-                record.phase = _Phase.RETURNED
+                record.phase = _Phase.RELEASED
                 record.last_seen_at = self._clock.now()
         if was_open:
             self._scheduler.release(key, grant.produced)
@@ -295,7 +295,7 @@
 def _stored_response(
     request: messages.GrantRequest, record: _Record
 ) -> messages.GrantResponse | None:
-    if record.phase in (_Phase.RETURNED, _Phase.EXPIRED):
+    if record.phase in (_Phase.RELEASED, _Phase.EXPIRED):
         return _refusal(request.grant_id, RETURNED)
     return record.response
 
--- a/tests/exchange/test_grantrequests.py
+++ b/tests/exchange/test_grantrequests.py
@@ -13,13 +13,13 @@
 
 
 def open_request(tracker):
-    number = tracker.open(OWNER, lossynetwork.make_request(), 0.0)
-    tracker.advance(number, 0.0)
-    return number
+    grant_id = tracker.open(OWNER, lossynetwork.make_request(), 0.0)
+    tracker.advance(grant_id, 0.0)
+    return grant_id
 
 
-def make_response(number, kind, incarnation=1):
-    return messages.GrantResponse(number, kind, incarnation=incarnation)
+def make_response(grant_id, kind, incarnation=1):
+    return messages.GrantResponse(grant_id, kind, incarnation=incarnation)
 
 
 def released_ids(outgoing):
@@ -27,36 +27,36 @@
 
 
 def test_an_unanswered_request_is_sent_again_with_the_same_grant_id(tracker):
-    number = open_request(tracker)
-    assert tracker.advance(number, 0.05) == ()
-    (again,) = tracker.advance(number, 0.1)
-    assert again.message.grant_id == number
+    grant_id = open_request(tracker)
+    assert tracker.advance(grant_id, 0.05) == ()
+    (again,) = tracker.advance(grant_id, 0.1)
+    assert again.message.grant_id == grant_id
 
 
 def test_request_without_a_response_is_abandoned_and_released(tracker):
-    number = open_request(tracker)
-    assert released_ids(tracker.advance(number, grantrequests.RESPONSE_TIMEOUT_S)) == [number]
-    assert tracker.outcome(number) == grantrequests.NoResponse("b")
+    grant_id = open_request(tracker)
+    assert released_ids(tracker.advance(grant_id, grantrequests.RESPONSE_TIMEOUT_S)) == [grant_id]
+    assert tracker.outcome(grant_id) == grantrequests.NoResponse("b")
 
 
 def test_a_late_grant_is_released_immediately(tracker):
     # The owner granted after the request had gone to another replica. Every scheduled
     # release may have been lost; the owner would reserve memory that is not used.
-    number = open_request(tracker)
-    tracker.advance(number, grantrequests.RESPONSE_TIMEOUT_S)
-    tracker.close(number, 0.3)
-    late = make_response(number, KIND.GRANTED)
-    assert released_ids(tracker.on_response(OWNER, late, 9.0)) == [number]
+    grant_id = open_request(tracker)
+    tracker.advance(grant_id, grantrequests.RESPONSE_TIMEOUT_S)
+    tracker.close(grant_id, 0.3)
+    late = make_response(grant_id, KIND.GRANTED)
+    assert released_ids(tracker.on_response(OWNER, late, 9.0)) == [grant_id]
 
 
 def test_a_release_is_repeated_with_the_next_report_only(tracker):
-    number = open_request(tracker)
-    tracker.on_response(OWNER, make_response(number, KIND.GRANTED), 0.0)
-    assert released_ids(tracker.close(number, 0.0)) == [number]
+    grant_id = open_request(tracker)
+    tracker.on_response(OWNER, make_response(grant_id, KIND.GRANTED), 0.0)
+    assert released_ids(tracker.close(grant_id, 0.0)) == [grant_id]
     reports = [
         released_ids(tracker.tick(report * grantrequests.REPORT_INTERVAL_S)) for report in range(4)
     ]
-    assert reports == [[number], [], [], []]
+    assert reports == [[grant_id], [], [], []]
 
 
 def test_reports_for_one_owner_share_a_message(tracker):
@@ -76,43 +76,43 @@
 
 
 def test_a_reordered_queued_response_does_not_undo_a_grant(tracker):
-    number = open_request(tracker)
-    tracker.on_response(OWNER, make_response(number, KIND.GRANTED), 0.1)
-    tracker.on_response(OWNER, make_response(number, KIND.QUEUED), 0.2)
-    assert tracker.advance(number, 9.0) == ()
-    assert tracker.outcome(number).kind is KIND.GRANTED
+    grant_id = open_request(tracker)
+    tracker.on_response(OWNER, make_response(grant_id, KIND.GRANTED), 0.1)
+    tracker.on_response(OWNER, make_response(grant_id, KIND.QUEUED), 0.2)
+    assert tracker.advance(grant_id, 9.0) == ()
+    assert tracker.outcome(grant_id).kind is KIND.GRANTED
 
 
 def test_a_response_to_a_former_incarnation_is_ignored(tracker):
     # The node restarted and its grant ids start from 1 again; a response to request 1 of
     # the former incarnation arrives. If accepted, a request would run without a grant.
-    number = open_request(tracker)
-    tracker.on_response(OWNER, make_response(number, KIND.GRANTED, incarnation=0), 0.1)
-    assert tracker.outcome(number) is None
+    grant_id = open_request(tracker)
+    tracker.on_response(OWNER, make_response(grant_id, KIND.GRANTED, incarnation=0), 0.1)
+    assert tracker.outcome(grant_id) is None
 
 
 def test_a_response_from_another_node_is_ignored(tracker):
-    number = open_request(tracker)
+    grant_id = open_request(tracker)
     other = transport.Peer("c", OWNER.endpoint)
-    tracker.on_response(other, make_response(number, KIND.GRANTED), 0.1)
-    assert tracker.outcome(number) is None
+    tracker.on_response(other, make_response(grant_id, KIND.GRANTED), 0.1)
+    assert tracker.outcome(grant_id) is None
 
 
 def test_request_queued_at_an_owner_that_fails_is_abandoned(tracker):
-    number = open_request(tracker)
-    tracker.on_response(OWNER, make_response(number, KIND.QUEUED), 0.1)
-    tracker.advance(number, 1.0)
-    assert tracker.outcome(number) is None
-    tracker.advance(number, 0.1 + grantrequests.QUEUED_TIMEOUT_S)
-    assert tracker.outcome(number) == grantrequests.NoResponse("b")
+    grant_id = open_request(tracker)
+    tracker.on_response(OWNER, make_response(grant_id, KIND.QUEUED), 0.1)
+    tracker.advance(grant_id, 1.0)
+    assert tracker.outcome(grant_id) is None
+    tracker.advance(grant_id, 0.1 + grantrequests.QUEUED_TIMEOUT_S)
+    assert tracker.outcome(grant_id) == grantrequests.NoResponse("b")
 
 
 def test_progress_goes_to_the_new_owner_after_a_redirect(tracker):
-    number = open_request(tracker)
-    tracker.on_response(OWNER, make_response(number, KIND.GRANTED), 0.0)
-    tracker.record_progress(number, 40)
+    grant_id = open_request(tracker)
+    tracker.on_response(OWNER, make_response(grant_id, KIND.GRANTED), 0.0)
+    tracker.record_progress(grant_id, 40)
     new = transport.Peer("c", OWNER.endpoint)
     tracker.redirect(lossynetwork.REPLICA, new)
     (report,) = tracker.tick(1.0)
     assert report.peer == new
-    assert report.message.running == (messages.GrantProgress(number, lossynetwork.REPLICA, 40),)
+    assert report.message.running == (messages.GrantProgress(grant_id, lossynetwork.REPLICA, 40),)
--- a/tests/node/test_delivery.py
+++ b/tests/node/test_delivery.py
@@ -126,8 +126,11 @@
 
 
 def test_an_incomplete_generation_is_returned_as_a_refusal():
-    cut = Case(token(0), fakeparts.Lost("reset")).delivery.read_whole(lambda: False)
-    assert (cut.refusal.code, cut.refusal.run) == ("link_lost", outcomes.RunStatus.RAN)
+    incomplete = Case(token(0), fakeparts.Lost("reset")).delivery.read_whole(lambda: False)
+    assert (incomplete.refusal.code, incomplete.refusal.run) == (
+        "link_lost",
+        outcomes.RunStatus.RAN,
+    )
 
 
 def test_an_abandoned_generation_releases_only_its_grant():
