--- a/hornbeamglade/cli/benchdays.py
+++ b/hornbeamglade/cli/benchdays.py
@@ -47,7 +47,9 @@
 @click.option("--at-once", type=click.IntRange(1, 8), default=2, show_default=True)
 @click.option("--no-cpu", is_flag=True, help="Do not measure CPU time.")
 @click.option("--small", is_flag=True, help="Use small versions of large days.")
-@click.option("--keep", type=click.Path(file_okay=False), help="Keeps reports and logs here.")
+@click.option(
+    "--keep", type=click.Path(file_okay=False), help="Directory that keeps reports and logs."
+)
 def bench_days(
     program: str,
     site: str,
--- a/hornbeamglade/cli/benchtraffic.py
+++ b/hornbeamglade/cli/benchtraffic.py
@@ -15,7 +15,7 @@
 
 
 @click.command("relay")
-@click.option("--streams", default="36,72,144", show_default=True, help="Streams at once.")
+@click.option("--streams", default="36,72,144", show_default=True, help="Concurrent streams.")
 @click.option("--seconds", type=_WHOLE_SECONDS, default=8.0, show_default=True)
 @click.option("--engines", type=click.IntRange(1, 16), default=4, show_default=True)
 @click.option("--way", "ways", multiple=True, type=click.Choice(relay.WAYS), default=relay.WAYS)
@@ -66,12 +66,12 @@
     type=click.Choice(sorted(load.ADMISSION_BY_POLICY)),
     default=tuple(sorted(load.ADMISSION_BY_POLICY)),
 )
-@click.option("--addresses", help="Drive these nodes (ip:port,...) and start none.")
+@click.option("--addresses", help="Send load to these nodes (ip:port,...) and start none.")
 @click.option(
     "--keys",
     "keys_path",
     type=click.Path(exists=True, dir_okay=False, path_type=pathlib.Path),
-    help="File of teams' keys for --addresses: a line TEAM=KEY each.",
+    help="File of teams' keys for --addresses, one TEAM=KEY per line.",
 )
 @click.option("--model", default="draft", show_default=True, help="Model for --addresses.")
 @click.option("--json", "json_path", type=click.Path(path_type=pathlib.Path))
--- a/hornbeamglade/cli/soak.py
+++ b/hornbeamglade/cli/soak.py
@@ -16,10 +16,12 @@
 @click.option(
     "--seeds", "seeds_text", default="1", show_default=True, help="Such as 3 or 1-50 or 2,9."
 )
-@click.option("--seconds", default=12.0, show_default=True, help="How long faults begin.")
+@click.option("--seconds", default=12.0, show_default=True, help="Period in which faults start.")
 @click.option("--kept", is_flag=True, help="Also run the seeds that have failed before.")
 @click.option(
-    "--folder", type=click.Path(path_type=pathlib.Path), help="Keeps each seed's logs here."
+    "--folder",
+    type=click.Path(path_type=pathlib.Path),
+    help="Directory that keeps each seed's logs.",
 )
 def soak(seeds_text: str, seconds: float, kept: bool, folder: pathlib.Path | None) -> None:
     """Run seeds one after the other; the exit code is 1 when a guarantee was violated."""
@@ -44,7 +46,7 @@
     if verdict.violations:
         click.echo("  faults: " + "; ".join(verdict.faults))
     for each in verdict.violations:
-        click.echo(f"  BROKEN {each.promise} {each.request_id} {each.detail}")
+        click.echo(f"  BROKEN {each.guarantee} {each.request_id} {each.detail}")
     return not verdict.violations
 
 
--- a/hornbeamglade/cli/standin.py
+++ b/hornbeamglade/cli/standin.py
@@ -25,7 +25,7 @@
 @click.option("--bind", default="127.0.0.1:0", show_default=True, help="ip:port to listen on.")
 @click.option("--capacity-tokens", default=12_000, show_default=True, help="Memory, in tokens.")
 @click.option("--step-s", default=0.026, show_default=True, help="Seconds between tokens.")
-@click.option("--max-running", default=256, show_default=True, help="Sequences at once.")
+@click.option("--max-running", default=256, show_default=True, help="Concurrent sequences.")
 @click.option("--load-lag-s", default=0.0, show_default=True, help="Age of load reports.")
 @click.option("--event-lag-s", default=0.0, show_default=True, help="Age of cache events.")
 @click.option(
--- a/hornbeamglade/soak/checks.py
+++ b/hornbeamglade/soak/checks.py
@@ -39,12 +39,12 @@
 class Violation:
     """A violated guarantee.
 
-    :param promise: the name of the guarantee.
+    :param guarantee: the name of the guarantee.
     :param request_id: the request that shows the violation, or an empty text.
     :param detail: what was observed.
     """
 
-    promise: str
+    guarantee: str
     request_id: str
     detail: str
 
--- a/hornbeamglade/soak/soaksite.py
+++ b/hornbeamglade/soak/soaksite.py
@@ -70,7 +70,7 @@
     def __init__(self, seed: int, folder: pathlib.Path) -> None:
         self.seed = seed
         self._lock = threading.Lock()
-        self._operator = threading.Lock()
+        self._manifest_lock = threading.Lock()
         names = ("store", *(f"engine-{n}" for n in range(3)), *(f"service-{n}" for n in range(2)))
         self.links = tcpproxy.TcpProxies(*names)
         shape = routedsite.Shape(route=self.links.route, entry_module=MODULE)
@@ -82,34 +82,34 @@
         self.issued_at_by_key: dict[str, float] = {}
         self.evacuated: list[Evacuated] = []
         self.limited: list[Limited] = []
-        self._done: list[FaultRecord] = []
+        self._fault_records: list[FaultRecord] = []
 
     def begin(self, name: str, component: str) -> None:
         """Record the start of a fault."""
         with self._lock:
-            self._done.append(FaultRecord(name, component, time.monotonic()))
+            self._fault_records.append(FaultRecord(name, component, time.monotonic()))
 
     def end(self, name: str, component: str) -> None:
         """Record the end of a fault."""
         now = time.monotonic()
         with self._lock:
-            self._done = [
+            self._fault_records = [
                 dataclasses.replace(each, ended_at=now)
                 if (each.name, each.component) == (name, component)
                 and each.ended_at == float("inf")
                 else each
-                for each in self._done
+                for each in self._fault_records
             ]
 
     def history(self) -> tuple[FaultRecord, ...]:
         """Return all faults, in order of their starts."""
         with self._lock:
-            return tuple(self._done)
+            return tuple(self._fault_records)
 
     def revoke_key(self, key: str) -> None:
         """Revoke a key of a team."""
         team = team_of(key)
-        with self._operator:
+        with self._manifest_lock:
             self.keys_by_team[team] = [each for each in self.keys_by_team[team] if each != key]
             self._configure()
             self.revoked_at_by_key[key] = time.monotonic()
@@ -117,7 +117,7 @@
     def issue_key(self, key: str) -> None:
         """Issue a new key to its team; callers use it once the store has accepted it."""
         team = team_of(key)
-        with self._operator:
+        with self._manifest_lock:
             self._configure({team: [*self.keys_by_team[team], key]})
             self.keys_by_team[team].append(key)
             self.issued_at_by_key[key] = time.monotonic()
@@ -148,7 +148,7 @@
         for each in self.evacuated:
             is_ended = each.ended_at != float("inf")
             (self.site.end_evacuation if is_ended else self.site.evacuate)(each.domain)
-        with self._operator:
+        with self._manifest_lock:
             self._configure()
         self.site.rewrite_servers()
 
--- a/tests/failures/accounts.py
+++ b/tests/failures/accounts.py
@@ -1,4 +1,4 @@
-"""What every backend server ran, beside what callers were told."""
+"""Compares the runs of all backend servers with the responses that callers got."""
 
 
 def runs(site):
@@ -12,7 +12,7 @@
 
 
 def check_tokens(texts):
-    """Each token once, in order, from one generation."""
+    """Check that each token arrived once, in order, from a single generation."""
     marks = {text.split(".")[0] for text in texts}
     offsets = [int(text.split(".")[1]) for text in texts]
     assert len(marks) <= 1
--- a/tests/failures/conftest.py
+++ b/tests/failures/conftest.py
@@ -8,14 +8,14 @@
 
 @pytest.fixture
 def start(tmp_path):
-    """Start a site with links of the test's own before the named processes."""
+    """Return a function that starts a site with proxies in front of the named processes."""
     with contextlib.ExitStack() as stack:
 
-        def start_site(*linked, **members):
-            between = links.Links(*linked)
-            stack.callback(between.close)
-            shape = localsite.Shape(route=between.route, **members)
+        def start_site(*proxied, **members):
+            proxies = links.Links(*proxied)
+            stack.callback(proxies.close)
+            shape = localsite.Shape(route=proxies.route, **members)
             site = stack.enter_context(localsite.LocalSite(shape, tmp_path))
-            return site, between
+            return site, proxies
 
         yield start_site
--- a/tests/failures/links.py
+++ b/tests/failures/links.py
@@ -1,4 +1,4 @@
-"""The links that failure tests put between a site's processes."""
+"""The proxies that failure tests put between a site's processes."""
 
 from hornbeamglade.localsite import tcpproxy
 
--- a/tests/failures/test_engines.py
+++ b/tests/failures/test_engines.py
@@ -1,4 +1,4 @@
-"""Engines and their links die, stall and answer crossed, in the middle of the work."""
+"""Engines crash, their connections stall or break, and responses are mixed up, under load."""
 
 import signal
 import threading
@@ -26,12 +26,12 @@
 }
 
 
-def test_engine_killed_after_the_first_token_ends_in_one_truthful_error(start):
-    """A clerk reads a draft aloud as its engine dies.
+def test_engine_killed_after_the_first_token_ends_the_stream_with_an_error(start):
+    """An engine crashes after tokens of a stream were delivered.
 
-    The tokens so far were delivered. A second generation would say something else
-    from the middle of a sentence on, so the stream must end with one error that
-    says that the request ran, and never with the mark of a whole answer.
+    A second generation would continue with a different text, so the stream must end
+    with one error that says that the request ran, and never with the marker of a
+    complete response.
     """
     site, _ = start(engines=1, services=0, base=QUICK)
     reply = site.caller(0).stream("letter", 2000)
@@ -45,10 +45,10 @@
 
 
 def test_engine_killed_before_the_first_token_is_replaced_by_another(start):
-    """The chosen engine is dead, and no report has said so yet.
+    """The selected engine has crashed, but no load report shows it yet.
 
-    The caller has heard nothing, so the request runs at the other engine and the
-    caller gets one whole answer.
+    The caller has received nothing, so the request runs at the other engine and the
+    caller gets one complete response.
     """
     site, _ = start(engines=2, services=0, base=QUICK)
     site.signal("engine-0", signal.SIGKILL)
@@ -59,11 +59,11 @@
         assert len(reply.text.split()) == 6
 
 
-def test_cut_link_is_resumed_with_the_same_generation(start):
-    """A switch drops the link between a node and an engine in the middle of a draft.
+def test_stream_is_resumed_after_a_connection_reset(start):
+    """The connection between a node and an engine is reset during a stream.
 
-    The engine holds the stream for a while. The node resumes it after the last
-    delivered token: the clerk sees every token once, from one generation.
+    The engine keeps the stream for a while. The node resumes it after the last
+    delivered token: the caller gets every token once, from one generation.
     """
     site, links = start("engine-0", engines=1, services=0, base=QUICK)
     reply = site.caller(0).stream("letter", 60)
@@ -75,11 +75,11 @@
     assert len(accounts.runs(site)) == 1
 
 
-def test_stalled_link_is_told_from_a_slow_engine_and_resumed(start):
-    """A link stalls without being closed; the engine goes on sending keep-alives.
+def test_stalled_connection_is_distinguished_from_a_slow_engine_and_resumed(start):
+    """A connection stalls without being closed while the engine sends keep-alives.
 
-    Nothing arrives for longer than the engine's keep-alive takes, so the node gives
-    the connection up and resumes over a new one, with no token lost or doubled.
+    Nothing arrives for longer than the keep-alive interval, so the node closes the
+    connection and resumes the stream on a new one, with no token lost or duplicated.
     """
     site, links = start("engine-0", engines=1, services=0, base=QUICK)
     reply = site.caller(0).stream("letter", 60)
@@ -94,10 +94,10 @@
 
 
 def test_not_run_is_not_said_after_an_attempt_that_may_have_run(start):
-    """One engine takes the request, and its link breaks before the first token.
+    """One engine accepts the request, and its connection breaks before the first token.
 
-    The other engine then refuses it as not run. The last word heard is "not run", but
-    the first engine may have run the request: told so, a caller takes it for a fact.
+    The other engine then refuses the request as not run. The last response is "not run",
+    but the first engine may have run the request, so the caller must not be told "not run".
     """
     site, links = start("engine-0", "engine-1", engines=2, services=0, base=QUICK)
     for name in ("engine-0", "engine-1"):
@@ -119,11 +119,11 @@
     assert replies[0].run == "unknown"
 
 
-def test_crossed_answer_reaches_no_caller(start):
-    """An engine mixes up its answers: each carries the id of another request.
+def test_mismatched_response_reaches_no_caller(start):
+    """An engine mixes up its responses: each has the id of another request.
 
-    One citizen would read another's letter. The node drops such an answer with its
-    connection, and the request runs at the other engine.
+    A caller would get another caller's response. The node drops such a response with
+    its connection, and the request runs at the other engine.
     """
     site, _ = start(engines=2, services=0, base=QUICK)
     site.faults("engine-0", wrong_request_id=True)
@@ -136,10 +136,10 @@
         assert reply.text.split(".")[0] in marks
 
 
-def test_reply_to_a_citizen_runs_once_though_its_engine_dies(start):
-    """The engine dies while it writes a reply that may be sent only once.
+def test_non_repeatable_request_runs_once_though_its_engine_crashes(start):
+    """The engine crashes while it streams the response to a request that may run only once.
 
-    The reply has begun and its end is lost. A second run would send a second
+    The response has begun and its end is lost. A second run would produce a second
     reply, so the request ends as run; so does a retry with the same key.
     """
     site, _ = start(engines=2, services=0, base=QUICK)
@@ -155,11 +155,11 @@
     assert accounts.runs(site) == []
 
 
-def test_caller_who_left_finds_the_whole_reply_under_its_key(start):
-    """The clerk's connection breaks in the middle of a reply that runs at most once.
+def test_complete_response_is_recorded_after_the_caller_left(start):
+    """The caller's connection breaks during the response to a request that runs at most once.
 
-    The generation is read to its end and recorded, so that asking again with the
-    key gives the whole reply, from the one run.
+    The node reads the generation to its end and records it, so that a retry with the
+    same key gets the complete response of the only run.
     """
     site, _ = start(engines=1, services=0, base=QUICK)
     reply = site.caller(0).stream("dear citizen", 40, key="thread-7", model="reply")
@@ -178,10 +178,10 @@
 
 
 def test_leaving_engine_gets_no_new_work(start):
-    """An engine is reclaimed: it reports that it leaves.
+    """An engine is reclaimed and reports that it is leaving.
 
-    Within seconds every node stops sending to it, also those that do not read its
-    load themselves.
+    Within seconds all nodes stop sending requests to it, including those that do not
+    poll its load themselves.
     """
     site, _ = start(engines=2, services=0, base=QUICK)
     site.faults("engine-0", leaving=True)
@@ -199,9 +199,9 @@
 
 
 def test_leaving_plain_service_gets_no_new_calls(start):
-    """A counter's backend server is reclaimed: it reports that it leaves.
+    """A plain service's backend server is reclaimed and reports that it is leaving.
 
-    Calls go to the other one, from every node, also those that do not read its load.
+    All nodes send calls to the other one, including those that do not poll its load.
     """
     site, _ = start(engines=1, services=2)
     site.faults("counter-0", leaving=True)
@@ -218,8 +218,8 @@
     assert len(site.ledger("counter-0")["runs"]) == before
 
 
-def test_a_prompt_that_crashes_engines_is_refused_after_a_few(start):
-    """Guards engines, and the drafts on them, against one prompt that ends each of them."""
+def test_a_prompt_that_crashes_engines_is_refused_after_a_few_crashes(start):
+    """Guards engines and the streams on them against a prompt that crashes every engine."""
     site, _ = start(engines=9, services=0, engine_options=("--crash-on", "fatal"), base=QUICK)
     codes = []
     for number in range(12):
@@ -229,5 +229,5 @@
     ended = [name for name, child in site.child_by_name.items() if child.ended()]
     assert len(ended) <= 6
     assert codes[-1] == (503, "request_quarantined")
-    # The node may try the ended engines first, until it holds them for dead.
+    # The node may try the crashed engines first, until it considers them failed.
     site.wait_until(lambda: site.caller(0).generate("letter", 6).status == 200, "a letter")
--- a/tests/failures/test_entry.py
+++ b/tests/failures/test_entry.py
@@ -1,4 +1,4 @@
-"""Entry instances as processes: stops, signals, settings, and logs that nobody reads."""
+"""Entry instances as processes: stops, signals, settings, and logs without a reader."""
 
 import json
 import signal
@@ -64,7 +64,7 @@
     def settings(self, number, **changes):
         port = entrysite.free_port(socket.SOCK_DGRAM)
         addresses = [f"127.0.0.1:{entrysite.free_port(socket.SOCK_STREAM)}" for _ in range(2)]
-        told = {
+        settings = {
             "name": f"entry-{number}",
             "host": "127.0.0.1",
             "failure_domain": "a",
@@ -76,9 +76,9 @@
             "bounds": {"stop_s": 8, "address_ttl_s": 5},
         }
         path = self._folder / f"entry-{number}.yaml"
-        told |= changes
-        path.write_text(yaml.safe_dump(told), encoding="utf-8")
-        return path, [told["listen"]["callers"], told["listen"]["readiness"]]
+        settings |= changes
+        path.write_text(yaml.safe_dump(settings), encoding="utf-8")
+        return path, [settings["listen"]["callers"], settings["listen"]["readiness"]]
 
     def entry(self, number=0, *, log=None, **changes):
         path, addresses = self.settings(number, **changes)
@@ -120,12 +120,12 @@
         started.stop()
 
 
-def test_planned_stop_finishes_what_is_under_way(processes):
-    """An instance is stopped while it streams a draft, and its caller keeps reading.
+def test_planned_stop_finishes_requests_in_progress(processes):
+    """An instance is stopped while it streams a response, and the caller keeps reading.
 
-    The platform sends SIGTERM and kills eight seconds later. The draft must come to its
-    end, a request on an open connection must still be answered, and the instance must no
-    longer call itself ready.
+    The platform sends SIGTERM and kills the instance eight seconds later. The stream must
+    be completed, a request on an open connection must still get a response, and the
+    instance must no longer report that it is ready.
     """
     process, _, addresses = processes.entry()
     stream = processes.ask(addresses[0], "/draft/1", preload_content=False)
@@ -142,11 +142,11 @@
     assert states == ["serving", "leaving", "stopped"]
 
 
-def test_settings_change_with_and_without_a_signal_and_cut_nothing(processes):
+def test_settings_change_with_and_without_a_signal_and_interrupt_no_stream(processes):
     process, path, addresses = processes.entry()
     stream = processes.ask(addresses[0], "/draft/1", preload_content=False)
-    told = yaml.safe_load(path.read_text())
-    path.write_text(yaml.safe_dump(told | {"budget": told["budget"] | {"slack": 7}}))
+    settings = yaml.safe_load(path.read_text())
+    path.write_text(yaml.safe_dump(settings | {"budget": settings["budget"] | {"slack": 7}}))
     process.send_signal(signal.SIGHUP)
     until(lambda: [line for line in processes.log() if line.get("subject") == "settings"])
     path.write_text("name: [")
@@ -158,10 +158,10 @@
     assert process.poll() is None
 
 
-def test_log_that_nobody_reads_stops_nothing(processes):
-    """The reader of an instance's output stands still.
+def test_log_without_a_reader_blocks_nothing(processes):
+    """The reader of an instance's output is stalled.
 
-    A pipe holds 64 KiB; what comes after must be dropped, not waited for.
+    A pipe holds 64 KiB; lines beyond that must be dropped and must not block.
     """
     _, _, addresses = processes.entry(log=subprocess.PIPE)
     statuses = {
@@ -170,7 +170,7 @@
     assert statuses == {200}
 
 
-def test_instance_starts_before_its_store_and_serves_once_that_is_there(processes):
+def test_instance_starts_before_its_store_and_serves_once_the_store_is_up(processes):
     port = entrysite.free_port(socket.SOCK_STREAM)
     path, addresses = processes.settings(0, store=f"127.0.0.1:{port}")
     log = (path.parent / "entry-0.log").open("w")
@@ -188,8 +188,8 @@
     until(lambda: processes.ask(addresses[0]).status == 200)
 
 
-def test_instance_learns_from_its_seed_while_the_store_is_away(processes):
-    """An instance is started while the store is down, beside one that knows everything."""
+def test_instance_gets_its_configuration_from_a_seed_while_the_store_is_down(processes):
+    """An instance starts while the store is down; another instance has the configuration."""
     control = f"127.0.0.1:{entrysite.free_port(socket.SOCK_STREAM)}"
     callers = f"127.0.0.1:{entrysite.free_port(socket.SOCK_STREAM)}"
     ready = f"127.0.0.1:{entrysite.free_port(socket.SOCK_STREAM)}"
@@ -198,14 +198,14 @@
     url = f"http://{processes.store}/standin/faults"
     assert processes.http.request("PUT", url, body='{"down":true}').status == 200
     _, _, addresses = processes.entry(1, seeds=[control])
-    answer = processes.ask(addresses[0])
-    assert answer.status == 200
+    response = processes.ask(addresses[0])
+    assert response.status == 200
     sources = [line["source"] for line in processes.log(1) if line.get("subject") == "config"]
     assert sources == ["peer"]
 
 
 @pytest.mark.parametrize("text", ["name: [", "name: entry-0"])
-def test_bad_settings_end_the_start_with_a_coded_error(tmp_path, text):
+def test_invalid_settings_abort_the_start_with_a_coded_error(tmp_path, text):
     path = tmp_path / "entry.yaml"
     path.write_text(text)
     command = [sys.executable, "-m", "hornbeamglade", "entry", "--settings", str(path)]
@@ -215,8 +215,8 @@
     assert str(path) in ended.stderr
 
 
-def test_a_request_that_crashed_servers_is_refused_after_a_loss_of_all_instances(processes):
-    """Guards servers against what only the lost instances knew."""
+def test_a_request_that_crashed_servers_is_refused_after_a_full_outage(processes):
+    """Guards servers against a loss of the quarantine when all instances are lost at once."""
     for number in range(6):
         _, address = processes.standin("routed", "--id", f"crashes-{number}")
         url = f"http://{address}/standin/faults"
@@ -227,8 +227,8 @@
     process, path, addresses = processes.entry()
 
     def code(number):
-        answer = processes.ask(addresses[0], "/hold/1", request_id=f"again-{number}")
-        return answer.status, json.loads(answer.data)["code"]
+        response = processes.ask(addresses[0], "/hold/1", request_id=f"again-{number}")
+        return response.status, json.loads(response.data)["code"]
 
     codes = []
     while not codes or codes[-1] != (503, "request_quarantined"):
@@ -246,8 +246,8 @@
     assert crashed == 3
 
 
-def test_servers_listed_after_the_store_came_back_from_an_older_copy_are_used(processes):
-    """Guards the list against standing still until versions have caught up."""
+def test_servers_listed_after_the_store_was_restored_from_a_backup_are_used(processes):
+    """Guards against a replica list that stays frozen until the versions have caught up."""
     _, _, addresses = processes.entry()
     store = f"http://{processes.store}/standin"
     processes.http.request("PUT", f"{store}/copy")
--- a/tests/failures/test_nodes.py
+++ b/tests/failures/test_nodes.py
@@ -1,4 +1,4 @@
-"""Entry nodes are killed, frozen and stopped as planned."""
+"""Entry nodes are killed, paused and stopped as planned."""
 
 import signal
 
@@ -11,11 +11,11 @@
 }
 
 
-def test_killed_node_cuts_its_streams_visibly_and_others_serve_on(start):
-    """A node is killed in the middle of a draft.
+def test_killed_node_ends_its_streams_as_incomplete_and_others_continue(start):
+    """A node is killed during a stream.
 
-    Its caller sees the connection end without the mark of a whole answer. The
-    engine stops computing for nobody, and callers of the other nodes are served.
+    Its caller sees the connection end without the marker of a complete response. The
+    engine cancels the abandoned generation, and the other nodes continue to serve.
     """
     site, _ = start(engines=1, services=0)
     reply = site.caller(0).stream("letter", 3000)
@@ -31,11 +31,11 @@
     )
 
 
-def test_replicas_of_a_frozen_node_find_another_owner(start):
+def test_replicas_of_a_paused_node_get_another_owner(start):
     """The node that owns the only engine is paused without warning.
 
-    Asks to it go unanswered; another node takes the engine over and callers are
-    served again, though the paused node still believes that it owns it.
+    Grant requests to it get no response. Another node becomes the owner and callers are
+    served again, although the paused node still considers itself the owner.
     """
     site, _ = start(engines=1, services=0)
     owner = next(each["owner"] for each in site.status("entry-0")["replicas"])
@@ -47,15 +47,15 @@
     site.signal(owner, signal.SIGCONT)
     site.wait_until(
         lambda: site.caller(int(owner[-1])).generate("letter", 3).status == 200,
-        "the thawed node to serve",
+        "the resumed node to serve",
     )
 
 
-def test_planned_stop_cuts_no_stream(start):
-    """An operator stops a node in the middle of a long answer.
+def test_planned_stop_interrupts_no_stream(start):
+    """An operator stops a node during a long stream.
 
-    Callers still hold its address. The stream is delivered whole, a caller with an old
-    answer is still served, and the node then ends with code 0.
+    Callers still use its address. The stream is delivered completely, a caller with an
+    outdated list of addresses is still served, and the node then exits with code 0.
     """
     site, _ = start(engines=2, services=0)
     reply = site.caller(0).stream("lease", 150)
@@ -79,15 +79,15 @@
     assert site.child_by_name["entry-0"].exit_code == 0
 
 
-def test_planned_stop_with_a_dead_engine_on_top(start):
-    """A node is stopped as planned, and an engine under one of its streams dies too.
+def test_planned_stop_with_a_crashed_engine(start):
+    """A node is stopped as planned, and the engine of one of its streams crashes.
 
-    The stream on the dead engine ends in one truthful error, the other one whole;
-    the node still ends with code 0.
+    The stream of the crashed engine ends with one correct error, the other one is
+    complete, and the node still exits with code 0.
     """
     site, _ = start(engines=2, services=0)
     replies = []
-    # Those at the engine that dies are too long to end before it does.
+    # The streams of the crashing engine are too long to end before the crash.
     for leaving, other, tokens in (
         ("engine-0", "engine-1", 5000),
         ("engine-1", "engine-0", 150),
@@ -117,11 +117,11 @@
     assert site.child_by_name["entry-0"].exit_code == 0
 
 
-def test_planned_stop_ends_though_a_caller_keeps_its_connection(start):
-    """A caller keeps its connection and sends one request after the other on it.
+def test_planned_stop_ends_despite_a_persistent_connection(start):
+    """A caller sends one request after the other on a persistent connection.
 
-    Without an end of kept connections the node would wait for this caller for ever;
-    with a careless end, the caller's request under way would be cut.
+    If the node never closed persistent connections, it would wait for this caller forever;
+    if it closed them at any time, it would interrupt the caller's current request.
     """
     site, _ = start(engines=1, services=0)
     caller = site.caller(0)
@@ -140,11 +140,11 @@
     assert site.child_by_name["entry-0"].exit_code == 0
 
 
-def test_hard_stop_cuts_what_it_says_it_cuts(start):
-    """An operator bounds planned stops, and a long answer is under way at the bound.
+def test_hard_stop_interrupts_streams_and_reports_it(start):
+    """Planned stops have a time limit, and a long stream is in progress at the limit.
 
-    The node ends without waiting for it and says so by its exit code; the caller sees
-    the end of the connection without the mark of a whole answer.
+    The node exits without waiting for it and reports this by its exit code; the caller
+    sees the connection end without the marker of a complete response.
     """
     site, _ = start(engines=1, services=0, node_settings={"hard_stop_s": 1.0})
     reply = site.caller(0).stream("lease", 3000)
@@ -157,11 +157,11 @@
     assert len(reply.texts) < 3000
 
 
-def test_team_limit_holds_over_the_nodes(start):
-    """A team's callers flood every node at once, far beyond the team's limit.
+def test_team_limit_holds_across_nodes(start):
+    """A team's callers send far more requests than the team's limit, to every node at once.
 
-    Without shares each node would let the whole limit run, three times what the
-    operator allowed. (A node with nothing in flight takes one request in any case.)
+    Without shares each node would admit the full limit, three times what the operator
+    allowed. (A node with nothing in flight always admits one request.)
     """
     base = {
         "teams": {
@@ -187,11 +187,11 @@
         stream.close()
 
 
-def test_full_engine_refuses_at_once_with_a_time_to_come_back(start):
-    """All memory is taken by long drafts and more callers come than may wait.
+def test_full_engine_refuses_at_once_with_a_retry_delay(start):
+    """All memory is in use by long generations, and more callers arrive than may wait.
 
-    Those that cannot wait are told so at once, truthfully not run, each with a time
-    to come back; none is held until its own deadline.
+    Requests that do not fit into the queue are refused at once, correctly as not run, each
+    with a retry delay; none is held until its deadline.
     """
     base = SLOW_QUEUE | {
         "teams": {
--- a/tests/failures/test_placement.py
+++ b/tests/failures/test_placement.py
@@ -1,4 +1,4 @@
-"""Models are placed on engines by orders of one node, while streams go on."""
+"""One node places models on engines by orders, while streams are running."""
 
 import signal
 
@@ -16,11 +16,11 @@
 
 
 def test_a_new_model_is_loaded_everywhere_though_the_placing_node_dies(start):
-    """An operator wants one more model on every engine of a pool.
+    """An operator adds a model to every engine of a pool.
 
     The node that holds the pool's lease is killed right after the change; another one
-    takes the lease, reads the engines back and completes the change. A stream that runs
-    meanwhile is whole.
+    acquires the lease, reads the engines' state and completes the change. A stream that
+    runs meanwhile is complete.
     """
     site, _ = start(engines=2, services=0)
     reply = site.caller(0).stream("letter", 120)
--- a/tests/failures/test_platform.py
+++ b/tests/failures/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform is down, slow, or loses its answers after the write."""
+"""The platform is down, slow, or loses responses after a write."""
 
 import json
 import signal
@@ -17,10 +17,10 @@
 
 
 def test_hold_is_refused_at_once_while_the_platform_is_down(start):
-    """The platform's store is down as a family reserves a unit.
+    """The platform's store is down when a request that may run only once arrives.
 
-    Without a claim the hold might run twice, so it is refused, with a time to come
-    back, and nothing is run. Drafts, which may be repeated, go on.
+    Without a claim it might run twice, so it is refused with a retry delay, and nothing
+    is run. Repeatable requests are still served.
     """
     site, _ = start()
     site.faults("platform", down=True)
@@ -35,11 +35,11 @@
     assert len(accounts.runs_of_key(site, "unit-12")) == 1
 
 
-def test_claim_whose_answer_is_lost_runs_once(start):
-    """The platform writes the claim and loses its answer.
+def test_request_runs_once_though_the_response_to_its_claim_is_lost(start):
+    """The platform writes the claim and loses the response.
 
-    The node reads its claim back by its attempt's id and goes on; another node
-    that is asked with the same key finds the record. The hold runs once.
+    The node reads its claim back by its attempt's id and continues; another node that
+    gets a request with the same key finds the record. The request runs once.
     """
     site, _ = start()
     site.faults("platform", lose_answers=True)
@@ -53,11 +53,11 @@
         assert count == 1
 
 
-def test_node_frozen_between_claim_and_dispatch_does_not_run_it_twice(start):
-    """A node is paused after its claim took effect and before it sends the hold.
+def test_request_of_a_node_paused_between_claim_and_dispatch_does_not_run_twice(start):
+    """A node is paused after its claim took effect and before it dispatches the request.
 
-    A tenant who asks again at another node must not get a second run; when the
-    paused node wakes up, it may still run the one.
+    A retry at another node must not cause a second run; when the paused node resumes, it
+    may still run the request once.
     """
     site, links = start("platform")
     caller = site.caller(0)
@@ -70,8 +70,8 @@
     site.signal("entry-0", signal.SIGSTOP)
     links["platform"].release()
     second = _hold(site, 1, "unit-14")
-    # On a busy machine the node may give its claim up before it is paused; the key is
-    # then free, and the second request may run it instead.
+    # On a busy machine the node may release its claim before it is paused; the key is
+    # then free, and the second request may run instead.
     if second.status != 200:
         assert (second.status, second.code, second.run) == (409, "claim_in_progress", "unknown")
     site.signal("entry-0", signal.SIGCONT)
@@ -83,11 +83,11 @@
     assert first[0].run != "not_run" or count == 0 or second.status == 200
 
 
-def test_lost_answer_of_a_hold_is_unknown_and_never_run_again(start):
-    """The counter's server runs the hold and its answer is lost.
+def test_request_with_a_lost_response_is_unknown_and_never_run_again(start):
+    """The backend server runs a request and its response is lost.
 
-    It ran, and no retry may run it again: not by this node, not at another one,
-    not with another kill on top.
+    The request ran, and no retry may run it again: neither by this node nor by another
+    one, nor after a node was killed in addition.
     """
     site, _ = start()
     site.faults("counter-0", lose_answers=True)
@@ -115,11 +115,11 @@
     return all(page.get("config_revision") == revision for page in pages)
 
 
-def test_two_operators_race_and_one_hears_of_the_conflict(start):
+def test_two_operators_race_and_one_gets_a_conflict(start):
     """Two operators change the same revision at the same time.
 
-    One change is accepted and in force at every node; the other operator is told
-    of the conflict and which revision won.
+    One change is accepted and in force at every node; the other operator gets a
+    conflict that names the accepted revision.
     """
     site, _ = start(engines=1, services=0)
     results = []
@@ -142,8 +142,8 @@
 def test_new_node_starts_from_its_peers_while_the_store_is_down(start):
     """An instance is replaced during an outage of the platform's store.
 
-    The new one holds nothing. It takes the newest revision from the majority of its
-    peers instead of staying useless, and serves by it.
+    The new one has no state. It takes the newest revision from the majority of its
+    peers and serves with it, instead of being unavailable.
     """
     site, _ = start(engines=1, services=0)
     site.apply(site.base() | {"node": {"max_streams": 77}}, based_on=1, change_id="c2")
@@ -156,11 +156,11 @@
     assert site.caller(2).generate("letter", 3).status == 200
 
 
-def test_new_node_that_hears_nobody_serves_nothing(start):
-    """A new instance starts while the store and the list are both down.
+def test_new_node_without_store_and_peers_refuses_requests(start):
+    """A new instance starts while the store and the instance list are both down.
 
-    Nothing can tell it the newest revision, so it refuses with a code and a time to
-    come back; it must not serve by whatever it could find.
+    It cannot learn the newest revision, so it refuses requests with a code and a retry
+    delay; it must not serve with an arbitrary revision.
     """
     site, _ = start(nodes=1, engines=1, services=0)
     site.faults("platform", down=True)
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -45,19 +45,19 @@
 
 
 def violations(
-    all_results, all_runs, fault_records=(), taken=None, given=None, evacuated=(), limited=()
+    all_results, all_runs, fault_records=(), revoked=None, issued=None, evacuated=(), limited=()
 ):
     evidence = checks.Evidence(
         tuple(all_results),
         tuple(all_runs),
         tuple(fault_records),
-        taken or {},
-        given or {},
+        revoked or {},
+        issued or {},
         tuple(evacuated),
         tuple(limited),
         EVENTS,
     )
-    return [each.promise for each in checks.violations(evidence)]
+    return [each.guarantee for each in checks.violations(evidence)]
 
 
 @pytest.mark.parametrize("route", ["list", "hold", "draft", "tag"])
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "runs", "promise"),
+    ("response", "runs", "guarantee"),
     [
         (result(body=b"s0:r2"), [run_record()], "own_answer"),
         (result(is_sealed=False), [run_record()], "proved_answer"),
@@ -87,26 +87,33 @@
         (result(), [run_record(), run_record(request_id="r9")], "nothing_unasked_runs"),
     ],
 )
-def test_a_violated_guarantee_is_named(answer, runs, promise):
-    assert promise in violations([answer], runs)
+def test_a_violated_guarantee_is_named(response, runs, guarantee):
+    assert guarantee in violations([response], runs)
 
 
 def test_revoked_key_must_be_refused_after_its_bound():
-    taken = {KEY: 10.0 - checks.KEY_BOUND_S - 0.5}
-    assert violations([result()], [run_record()], taken=taken) == ["taken_key_is_refused"]
-    away = soaksite.FaultRecord("StoreFails", "store", 8.0, 9.0)
-    assert violations([result()], [run_record()], fault_records=[away], taken=taken) == []
+    revoked = {KEY: 10.0 - checks.KEY_BOUND_S - 0.5}
+    assert violations([result()], [run_record()], revoked=revoked) == ["taken_key_is_refused"]
+    store_down = soaksite.FaultRecord("StoreFails", "store", 8.0, 9.0)
+    assert (
+        violations([result()], [run_record()], fault_records=[store_down], revoked=revoked) == []
+    )
 
 
 def test_refused_key_must_not_be_accepted_again_by_the_same_incarnation():
     refused = result(status=401, is_sealed=False, sent_at=9.0, ended_at=9.1)
     later = result(sent_at=9.5)
-    taken = {KEY: 8.9}
-    assert violations([refused, later], [run_record()], taken=taken) == [
+    revoked = {KEY: 8.9}
+    assert violations([refused, later], [run_record()], revoked=revoked) == [
         "configuration_never_goes_back"
     ]
-    killed = soaksite.FaultRecord("InstanceKilled", "entry-0", 9.2, 9.4)
-    assert violations([refused, later], [run_record()], fault_records=[killed], taken=taken) == []
+    instance_killed = soaksite.FaultRecord("InstanceKilled", "entry-0", 9.2, 9.4)
+    assert (
+        violations(
+            [refused, later], [run_record()], fault_records=[instance_killed], revoked=revoked
+        )
+        == []
+    )
 
 
 def test_a_site_that_refuses_everything_is_a_violation():
@@ -134,9 +141,12 @@
 
 def test_an_instance_with_a_fault_may_not_know_of_an_evacuation():
     evacuated = soaksite.Evacuated(DOMAIN, accepted_at=1.0, ended_at=9.0)
-    cut = soaksite.FaultRecord("InstancePaused", "entry-0", 5.0, 6.5)
+    instance_paused = soaksite.FaultRecord("InstancePaused", "entry-0", 5.0, 6.5)
     assert (
-        violations([result(sent_at=7.0)], [run_record(at=7.0)], [cut], evacuated=[evacuated]) == []
+        violations(
+            [result(sent_at=7.0)], [run_record(at=7.0)], [instance_paused], evacuated=[evacuated]
+        )
+        == []
     )
 
 
@@ -148,26 +158,26 @@
 
 
 def test_repeated_routing_of_a_crashing_request_is_reported():
-    served = [result()], [run_record()]
+    baseline = [result()], [run_record()]
     within = fatal_runs(1.0, 2.0, 3.0, 3.5, 7.0, 8.0, 9.0)
-    assert violations(served[0], served[1] + within) == []
+    assert violations(baseline[0], baseline[1] + within) == []
     beyond = [*within, *fatal_runs(10.0)]
-    assert violations(served[0], served[1] + beyond) == ["fatal_request_is_refused"]
-    killed = soaksite.FaultRecord("InstanceKilled", "entry-0", 6.0, 6.5)
-    assert violations(served[0], served[1] + beyond, fault_records=[killed]) == []
+    assert violations(baseline[0], baseline[1] + beyond) == ["fatal_request_is_refused"]
+    instance_killed = soaksite.FaultRecord("InstanceKilled", "entry-0", 6.0, 6.5)
+    assert violations(baseline[0], baseline[1] + beyond, fault_records=[instance_killed]) == []
 
 
 def test_requests_beyond_a_server_s_limit_are_reported():
     limited = soaksite.Limited("service-0.1", 1.0, began_at=0.0, ended_at=20.0)
     within = [run_record(at=5.0 + number / 10) for number in range(11)]
-    asked = [
+    results = [
         result(request_id=f"r{number}", body=f"s0:r{number}".encode()) for number in range(12)
     ]
     runs = [
         {**each, "request_id": f"r{number}", "body": f"r{number}"}
         for number, each in enumerate([*within, run_record(at=6.2)])
     ]
-    assert violations(asked, runs[:11], limited=[limited]) == []
-    assert violations(asked, runs, limited=[limited]) == ["limit_is_kept_to"]
+    assert violations(results, runs[:11], limited=[limited]) == []
+    assert violations(results, runs, limited=[limited]) == ["limit_is_kept_to"]
     early = [{**each, "at": each["at"] - 4.5} for each in runs]
-    assert violations(asked, early, limited=[limited]) == []
+    assert violations(results, early, limited=[limited]) == []
