--- a/hornbeamglade/standins/operatordocuments.py
+++ b/hornbeamglade/standins/operatordocuments.py
@@ -48,7 +48,7 @@
 
     :param version: must be larger than those of earlier manifests.
     :param keys_by_team: the API keys of each team.
-    :param terms_by_route: routes by name; a route's prefix is its name.
+    :param settings_by_route: settings of the routes by name; a route's prefix is its name.
     """
     engine = {
         "slots": ENGINE_SLOTS,
--- a/hornbeamglade/standins/routed.py
+++ b/hornbeamglade/standins/routed.py
@@ -6,7 +6,7 @@
 It implements the platform's protocol for replicas, including refusals, proofs, reports and
 KV cache copies, and injects the faults that ``PUT /standin/faults`` sets
 (:class:`RoutedFaults <hornbeamglade.standins.routedfaults.RoutedFaults>`). The requests that
-it record are in its ledger (``GET /standin/ledger``).
+it ran are in its ledger (``GET /standin/ledger``).
 
 Responses are written as raw bytes, because most tests need responses that a correct server
 library would not send.
