--- a/hornbeamglade/capacity/dutyvalues.py
+++ b/hornbeamglade/capacity/dutyvalues.py
@@ -82,8 +82,8 @@
 
 def document_bytes(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> float:
     """Return the size of the canonical document in bytes."""
-    team_cost = measured.at("config.bytes.teams", size.teams)
-    return team_cost + measured.per("config.bytes.replicas") * size.replicas
+    team_bytes = measured.at("config.bytes.teams", size.teams)
+    return team_bytes + measured.per("config.bytes.replicas") * size.replicas
 
 
 def placement_pass_s(measured: slopes.SlopeSet, size: targetsize.SiteSize) -> float:
