--- a/hornbeamglade/bench/load.py
+++ b/hornbeamglade/bench/load.py
@@ -56,7 +56,6 @@
     :param stall_s_per_1000_tokens: stall time per 1,000 delivered tokens.
     :param stall_p99_s: 99th percentile of stall time of started responses.
     :param preemptions: counted by the engines, warm-up included; None when unknown.
-    :param violated: responses that broke a delivery guarantee; any is a defect.
     :param latest_start_s: largest delay with which a driver sent a request.
     """
 
@@ -77,7 +76,10 @@
 
     @property
     def violated(self) -> int:
-        """Number of responses that were spliced, out of order, repeated or short."""
+        """Number of responses that were spliced, out of order, repeated or short.
+
+        Each of them broke a delivery guarantee; any is a defect.
+        """
         return self.count_by_ending.get("violated", 0)
 
 
