--- a/hornbeamglade/soak/checks.py
+++ b/hornbeamglade/soak/checks.py
@@ -155,7 +155,7 @@
 def _check_key(
     result: routedcaller.CallerResult, evidence: Evidence
 ) -> collections.abc.Iterator[Violation]:
-    """Return whether a valid key was refused or a revoked key accepted."""
+    """Return violations in which a valid key was refused or a revoked key accepted."""
     revoked_at = evidence.revoked_at_by_key.get(result.key)
     issued_at = evidence.issued_at_by_key.get(result.key)
     was_always_valid = revoked_at is None and issued_at is None
@@ -183,7 +183,7 @@
 
 
 def _check_key_regressions(evidence: Evidence) -> collections.abc.Iterator[Violation]:
-    """Return whether one incarnation accepted a key that it had refused before."""
+    """Return violations in which one incarnation accepted a key that it had refused before."""
     results_by_place: dict[tuple[str, str], list[routedcaller.CallerResult]] = (
         collections.defaultdict(list)
     )
@@ -228,7 +228,7 @@
 
 
 def _check_crashing_requests(evidence: Evidence) -> collections.abc.Iterator[Violation]:
-    """Return whether a request that crashes servers was routed after all instances had to know."""
+    """Return a violation if a crashing request ran when all instances had to know of it."""
     runs = sorted(
         (each for each in evidence.runs if each["body"] == routedsite.FATAL_BODY),
         key=lambda each: each["at"],
@@ -247,7 +247,7 @@
 
 
 def _check_limits(evidence: Evidence) -> collections.abc.Iterator[Violation]:
-    """Return whether a server got more requests than the limit that it announced."""
+    """Return a violation for each server that got more requests than its announced limit."""
     for limited in evidence.limited:
         since = limited.began_at + PROPAGATION_S
         times = sorted(
@@ -267,7 +267,7 @@
 
 
 def _check_served_share(evidence: Evidence) -> collections.abc.Iterator[Violation]:
-    """Return whether the instances served too few requests."""
+    """Return a violation if the instances served too few requests."""
     served = sum(result.status == 200 and result.is_whole for result in evidence.results)
     if served < MIN_SERVED_SHARE * len(evidence.results):
         yield Violation("serves", "", f"{served} of {len(evidence.results)} requests")
--- a/hornbeamglade/soak/faults.py
+++ b/hornbeamglade/soak/faults.py
@@ -252,7 +252,7 @@
 
 
 class LinkFault(Fault):
-    """A fault of the proxy of the store or of a server."""
+    """A fault of the link to the store or to a server, injected at its proxy."""
 
     def link(self, soak_site: soaksite.SoakSite) -> tcpproxy.TcpProxy:
         """Return the affected proxy."""
--- a/hornbeamglade/soak/plan.py
+++ b/hornbeamglade/soak/plan.py
@@ -11,13 +11,13 @@
 """Time without faults at the start."""
 
 MEAN_INTERVAL_S = 0.7
-"""Mean time between the starts of two faults: as faults last one to three seconds, several
+"""Mean time between the starts of two faults: as most faults last 0.3 to 3 seconds, several
 overlap."""
 
 MAX_DURATION_S = 3.0
 MAX_IMPAIRED_INSTANCES = 1
-"""Maximum number of instances, of three, that are killed, stopped or paused at once: some have
-to be left to serve callers. A full outage would be a kind of fault of its own."""
+"""Maximum number of instances, of three, that have a fault at once, such as a kill, a stop or a
+pause: some have to be left to serve callers. A full outage would be a kind of fault of its own."""
 
 INSTANCES = tuple(f"entry-{number}" for number in range(3))
 ENGINES = tuple(f"engine-{number}" for number in range(3))
--- a/tests/cli/test_config.py
+++ b/tests/cli/test_config.py
@@ -80,9 +80,9 @@
     assert apply(platform, files, 1).output == "revision 2 is accepted\n"
     shown = run("config", "show", *platform_options(platform), "--site", "krakow", "--json")
     assert json.loads(shown.output)["effective"]["node"]["max_streams"] == 2
-    arguments = run("config", "history", *platform_options(platform))
-    assert "ada: a reason" in arguments.output
-    assert "overlays.krakow.node.max_streams: 1 -> 2" in arguments.output
+    history = run("config", "history", *platform_options(platform))
+    assert "ada: a reason" in history.output
+    assert "overlays.krakow.node.max_streams: 1 -> 2" in history.output
 
 
 def test_the_loser_of_a_race_learns_what_changed_and_keeps_its_files(platform, files):
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -15,7 +15,7 @@
 def result(route="list", **changes):
     is_stream = route in ("draft", "tag")
     whole = tuple((number, f"r1.{number}") for number in range(1, EVENTS + 1))
-    fields = routedcaller.CallerResult(
+    default_result = routedcaller.CallerResult(
         request_id="r1",
         route=route,
         key=KEY,
@@ -28,7 +28,7 @@
         body=b"" if is_stream else b"s0:r1",
         events=whole if is_stream else (),
     )
-    return dataclasses.replace(fields, **changes)
+    return dataclasses.replace(default_result, **changes)
 
 
 def run_record(route="list", **changes):
--- a/tests/soak/test_plan.py
+++ b/tests/soak/test_plan.py
@@ -29,7 +29,7 @@
 
 
 def test_a_plan_is_the_same_for_each_run_of_its_seed():
-    def fields(seed):
+    def summary(seed):
         return [(each.at_s, each.for_s, each.fault.name) for each in plan.make(seed, 20.0)]
 
-    assert fields(5) == fields(5) != fields(6)
+    assert summary(5) == summary(5) != summary(6)
