--- a/hornbeamglade/observability/logbudget.py
+++ b/hornbeamglade/observability/logbudget.py
@@ -1,9 +1,9 @@
 """Rate limit on the log lines that a process writes about requests."""
 
 LINES_PER_S = 500.0
-"""A node of the target size answers 20 requests a second and writes three lines for each. A load
-of ten times that is still logged in full; more would cost a twentieth of a core and bury the
-lines that an operator looks for."""
+"""A node of the target size answers 20 requests a second and writes three lines for each. Ten
+times that load exceeds the limit by 100 lines a second, which ``BURST`` covers for ten seconds.
+More lines would cost a twentieth of a core and bury those that an operator looks for."""
 
 BURST = 1000.0
 
--- a/tests/bench/test_pairedtrials.py
+++ b/tests/bench/test_pairedtrials.py
@@ -34,7 +34,8 @@
 def test_variation_shared_by_both_variants_is_removed():
     """Seeds change the worth by up to 0.3, the variants differ by 0.01.
 
-    Compared by their means, the error would be forty times the difference between the variants.
+    Compared by their means, the standard error would be nine times the difference between the
+    variants.
     """
 
     def worth(trial):
