--- a/hornbeamglade/bench/recoveryfaults.py
+++ b/hornbeamglade/bench/recoveryfaults.py
@@ -140,7 +140,7 @@
 
 
 class PlatformOutage(_OfPlatform):
-    """The platform answers 503 to everything."""
+    """The platform responds 503 to every request."""
 
     name = "platform_outage"
 
--- a/hornbeamglade/standins/__init__.py
+++ b/hornbeamglade/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that speak the border's protocols, for tests and the demo."""
+"""Stand-ins that implement the protocols of external systems, for tests and the demo."""
--- a/hornbeamglade/standins/routed.py
+++ b/hornbeamglade/standins/routed.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend server behind routes: a plain service or a model engine.
+"""A stand-in for a backend server of routed requests: a plain service or a model engine.
 
 Explanation
 ===========
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -46,8 +46,8 @@
 
 def test_the_bytes_of_the_instance_list_are_measured_within_the_full_mesh(measured):
     # Guards against a page that shows no bytes for the platform's instance list. A site
-    # above the full-mesh limit reads the list so rarely that its point turns the slope
-    # negative, which counts as zero.
+    # above the full-mesh limit reads the list so rarely that its point pulls the fitted line
+    # below zero, which counts as zero.
     slope = measured.slope_by_key["processes.platform_bytes.nodes"]
     assert all(point.size <= dissemination.FULL_MESH_MAX_NODES for point in slope.points)
     assert slope.fit.slope > 0
